--- a/client/client.go
+++ b/client/client.go
@@ -43,13 +43,13 @@
 }
 
 // Admission asks how the node shares submissions, and the leader machines.
-func (c *Client) Admission() (*wire.Admission, error) {
-	return do[wire.Admission](c, http.MethodGet, "/admission", nil)
+func (c *Client) Admission() (*wire.AdmissionStatus, error) {
+	return do[wire.AdmissionStatus](c, http.MethodGet, "/admission", nil)
 }
 
 // Relays tells which controllers carry workers' connections.
-func (c *Client) Relays() (*wire.Relays, error) {
-	return do[wire.Relays](c, http.MethodGet, "/relays", nil)
+func (c *Client) Relays() (*wire.RelayStatus, error) {
+	return do[wire.RelayStatus](c, http.MethodGet, "/relays", nil)
 }
 
 func do[T any](c *Client, method, path string, in any) (*T, error) {
--- a/cmd/lilacthread/bound.go
+++ b/cmd/lilacthread/bound.go
@@ -46,9 +46,9 @@
 }
 
 // read makes a day of the log, in which there must be something.
-func (b *boundCmd) read(log string, aims bound.Aims) (*bound.Day, map[string]*bound.Served, error) {
-	day, served, err := bound.Read(strings.NewReader(log), aims)
-	if err == nil && (len(day.Jobs) == 0 || len(day.Room) == 0) {
+func (b *boundCmd) read(log string, aims bound.ObjectiveWindows) (*bound.Recording, map[string]*bound.Observed, error) {
+	day, served, err := bound.ReadLog(strings.NewReader(log), aims)
+	if err == nil && (len(day.Jobs) == 0 || len(day.Capacity) == 0) {
 		err = errors.New("bound: the log has no jobs of these classes, or not what machines had (level debug)")
 	}
 	if err != nil {
@@ -66,51 +66,51 @@
 		}
 		return out
 	}
-	day, served, err := b.read(log, bound.Aims{Begun: micros(b.Begun), Done: micros(b.Done), Deadline: b.Deadline})
+	day, served, err := b.read(log, bound.ObjectiveWindows{StartWithin: micros(b.Begun), FinishWithin: micros(b.Done), DeadlineClasses: b.Deadline})
 	if err != nil {
 		return err
 	}
-	r := bound.Best(day)
+	r := bound.ComputeBounds(day)
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "team/class\tjobs\tbegun\tdone\treachable with all known\t")
 	for _, name := range slices.Sorted(maps.Keys(served)) {
 		s := served[name]
-		fmt.Fprintf(t, "%s\t%d\t%.2f\t%.2f\t%.2f\t\n", name, s.Jobs, float64(s.Begun)/float64(s.Jobs), float64(s.Done)/float64(s.Jobs), r.Reached[name])
+		fmt.Fprintf(t, "%s\t%d\t%.2f\t%.2f\t%.2f\t\n", name, s.Jobs, float64(s.StartedInTime)/float64(s.Jobs), float64(s.FinishedInTime)/float64(s.Jobs), r.GreedyShare[name])
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	fmt.Printf("no scheduler serves more than %.2f of every one, nor more than %.2f of all in the mean\n", r.Least, r.Mean)
+	fmt.Printf("no scheduler serves more than %.2f of every one, nor more than %.2f of all in the mean\n", r.MinShareBound, r.MeanShareBound)
 	return nil
 }
 
 // figure tells what the named aims were worth, and at most could have been: each as if the
 // machines were there for it alone.
 func (b *boundCmd) figure(log string) error {
-	var aims []bound.Aim
+	var aims []bound.Objective
 	var was, most []float64
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "aim\tserved\tworth\tat most\tworth\t")
 	for _, text := range b.Aim {
-		a, err := bound.ParseAim(text)
+		a, err := bound.ParseObjective(text)
 		if err != nil {
 			return usageError{err}
 		}
-		day, served, err := b.read(log, a.Aims)
+		day, served, err := b.read(log, a.Windows)
 		if err != nil {
 			return err
 		}
 		jobs, good := 0, 0
 		for _, s := range served {
-			jobs, good = jobs+s.Jobs, good+max(s.Begun, s.Done)
+			jobs, good = jobs+s.Jobs, good+max(s.StartedInTime, s.FinishedInTime)
 		}
-		part, best := float64(good)/float64(jobs), bound.Mean(day)
+		part, best := float64(good)/float64(jobs), bound.MeanBound(day)
 		aims, was, most = append(aims, a), append(was, part), append(most, best)
-		fmt.Fprintf(t, "%s\t%.3f\t%.2f\t%.3f\t%.2f\t\n", text, part, a.Worth(part), best, a.Worth(best))
+		fmt.Fprintf(t, "%s\t%.3f\t%.2f\t%.3f\t%.2f\t\n", text, part, a.Score(part), best, a.Score(best))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	fmt.Printf("the day was worth %.2f by these aims; no scheduler reaches more than %.2f\n", bound.Figure(aims, was), bound.Figure(aims, most))
+	fmt.Printf("the day was worth %.2f by these aims; no scheduler reaches more than %.2f\n", bound.MeanScore(aims, was), bound.MeanScore(aims, most))
 	return nil
 }
--- a/cmd/lilacthread/main.go
+++ b/cmd/lilacthread/main.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, nil, usageError{err}
 	}
-	if err := pol.Check(cfg.Classes()); err != nil {
+	if err := pol.CheckClasses(cfg.Classes()); err != nil {
 		return nil, nil, usageError{err}
 	}
 	return cfg, pol, nil
@@ -149,7 +149,7 @@
 		Priority: map[string]string{"low": "best_effort", "normal": "normal", "high": "urgent", "production": "prod"}[s.Priority],
 		Tasks:    s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.Memory, Image: s.Image, ImageGB: s.ImageGB,
 		Types: s.Type, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot,
-		Estimate: s.Estimate, Checkpoint: s.Checkpoint, Save: s.Save, Deadline: s.Deadline, Awaits: s.Awaits}
+		Estimate: s.Estimate, CheckpointInterval: s.Checkpoint, SaveDuration: s.Save, Deadline: s.Deadline, DependsOn: s.Awaits}
 	return show(client.New(s.Addr).Submit(job))
 }
 
@@ -209,16 +209,16 @@
 }
 
 // printAdmission prints the table, a line an account.
-func printAdmission(w io.Writer, a *wire.Admission) error {
-	mode := map[bool]string{false: "usual order", true: "overload"}[a.Over]
+func printAdmission(w io.Writer, a *wire.AdmissionStatus) error {
+	mode := map[bool]string{false: "usual order", true: "overload"}[a.Overloaded]
 	switch {
-	case !a.On:
+	case !a.Enabled:
 		mode = "off"
 	case a.Term == 0:
 		mode = "no valid table: this node takes its base only"
 	}
-	fmt.Fprintf(w, "node %s (%s), table %d of term %d: %s\n", a.Node, roleOf(a.Leads), a.Number, a.Term, mode)
-	fmt.Fprintf(w, "may make %.1f changes a second; %d submissions wait, the oldest for %.3f s\n", a.Rate, a.Waiting, a.Oldest)
+	fmt.Fprintf(w, "node %s (%s), table %d of term %d: %s\n", a.Node, roleOf(a.IsLeader), a.Number, a.Term, mode)
+	fmt.Fprintf(w, "may make %.1f changes a second; %d submissions wait, the oldest for %.3f s\n", a.Rate, a.Waiting, a.OldestSeconds)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "team\tclass\theld\twaiting\tfloor\tshare\trate\tpart\tspread\tqueued\ttaken\trefused\tknown\taccepted p50/p99 ms\tstarted p50/p99 s\tin time\t")
 	for _, x := range a.Accounts {
@@ -226,12 +226,12 @@
 		if class == "" {
 			class = "(others)"
 		}
-		if x.Over > 0 {
-			inTime = fmt.Sprintf("%d of %d", x.InTime, x.Over)
+		if x.FinishedJobs > 0 {
+			inTime = fmt.Sprintf("%d of %d", x.FinishedInTime, x.FinishedJobs)
 		}
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%d s\t%d\t%d\t%d\t%d\t%d/%d\t%.1f/%.1f\t%s\t\n", x.Team, class,
-			x.Held, x.Waiting, x.Floor, x.Share, x.Rate, x.Part, x.Slots, x.Queued, x.Taken, x.Refused, x.Known,
-			x.Accept50, x.Accept99, float64(x.Start50)/1000, float64(x.Start99)/1000, inTime)
+			x.Held, x.Waiting, x.MinShare, x.Share, x.Rate, x.NodeRate, x.Slots, x.Queued, x.Accepted, x.Refused, x.Duplicates,
+			x.AcceptP50Millis, x.AcceptP99Millis, float64(x.StartP50Millis)/1000, float64(x.StartP99Millis)/1000, inTime)
 	}
 	return t.Flush()
 }
@@ -246,16 +246,16 @@
 }
 
 // printRelays prints who carries whom, and this node's counters.
-func printRelays(w io.Writer, r *wire.Relays) error {
-	mode := map[bool]string{false: "workers report to the leader", true: "relaying"}[r.InForce]
-	fmt.Fprintf(w, "node %s (%s): %s, members %v (table %d of term %d)\n", r.Node, roleOf(r.Leads), mode, r.Members, r.Number, r.Term)
-	for _, name := range slices.Sorted(maps.Keys(r.Carried)) {
-		fmt.Fprintf(w, "  %s carries %d workers\n", name, r.Carried[name])
+func printRelays(w io.Writer, r *wire.RelayStatus) error {
+	mode := map[bool]string{false: "workers report to the leader", true: "relaying"}[r.Active]
+	fmt.Fprintf(w, "node %s (%s): %s, members %v (table %d of term %d)\n", r.Node, roleOf(r.IsLeader), mode, r.Members, r.Number, r.Term)
+	for _, name := range slices.Sorted(maps.Keys(r.WorkersPerRelay)) {
+		fmt.Fprintf(w, "  %s carries %d workers\n", name, r.WorkersPerRelay[name])
 	}
 	fmt.Fprintf(w, "%d workers report here, %d reports wait; relayed %d in %d batches (%d repeated, %d batches unanswered, latest answered in %.1f ms)\n",
-		r.Workers, r.Waiting, r.Relayed, r.Batches, r.Repeated, r.Unanswered, float64(r.DelayMicros)/1000)
+		r.Workers, r.QueuedReports, r.Relayed, r.Batches, r.Repeated, r.Unanswered, float64(r.BatchLatencyMicros)/1000)
 	_, err := fmt.Fprintf(w, "workers sent elsewhere %d, reports shed %d, orders sent %d, refused %d, malformed items %d\n",
-		r.Redirected, r.Shed, r.Orders, r.Refused, r.Malformed)
+		r.Redirected, r.Shed, r.Orders, r.RefusedOrders, r.Malformed)
 	return err
 }
 
--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -100,7 +100,7 @@
 		if err != nil {
 			return err
 		}
-		report.Expect(fits)
+		report.SetExpected(fits)
 	}
 	if c.JSON != "" {
 		raw, err := json.MarshalIndent(report, "", " ")
--- a/internal/admit/account.go
+++ b/internal/admit/account.go
@@ -24,7 +24,7 @@
 }
 
 // Aim is what the settings say of a class that matters to admission.
-type Aim struct {
+type Objective struct {
 	Class  string
 	Within Micros // of an objective: a start or an end is wanted within this time
 }
@@ -32,16 +32,16 @@
 // AccountIndex numbers the accounts of a deployment. All nodes have the same settings, so
 // all have the same numbers; Digest tells an index made from others apart.
 type AccountIndex struct {
-	Accounts []Account
-	Widest   []Micros // by account: the widest aim of its class, or 0
-	Digest   uint32
-	index    map[Account]int
-	first    map[string]int // the account of a team's other classes
+	Accounts       []Account
+	LongestTargets []Micros // by account: the widest aim of its class, or 0
+	Digest         uint32
+	index          map[Account]int
+	first          map[string]int // the account of a team's other classes
 }
 
 // NewAccountIndex makes the accounts of the teams, which are not empty, and of the classes
 // that the aims name.
-func NewAccountIndex(teams []string, aims []Aim) *AccountIndex {
+func NewAccountIndex(teams []string, aims []Objective) *AccountIndex {
 	b := &AccountIndex{index: map[Account]int{}, first: map[string]int{}}
 	widest := map[string]Micros{}
 	for _, a := range aims {
@@ -52,7 +52,7 @@
 	sum := xxhash.New()
 	add := func(a Account) {
 		b.index[a] = len(b.Accounts)
-		b.Accounts, b.Widest = append(b.Accounts, a), append(b.Widest, widest[a.Class])
+		b.Accounts, b.LongestTargets = append(b.Accounts, a), append(b.LongestTargets, widest[a.Class])
 		sum.WriteString(a.Team + "\x00" + a.Class + "\x00")
 	}
 	teams = slices.Clone(teams)
@@ -69,7 +69,7 @@
 }
 
 // Of numbers the account of a job; -1 if the team is unknown.
-func (b *AccountIndex) Of(team, class string) int {
+func (b *AccountIndex) IndexOf(team, class string) int {
 	if i, ok := b.index[Account{team, class}]; ok {
 		return i
 	}
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -14,9 +14,9 @@
 )
 
 func testAccounts(classes int) *AccountIndex {
-	var aims []Aim
+	var aims []Objective
 	for i := range classes {
-		aims = append(aims, Aim{fmt.Sprintf("c%02d", i), Micros(100+i) * clock.Second})
+		aims = append(aims, Objective{fmt.Sprintf("c%02d", i), Micros(100+i) * clock.Second})
 	}
 	return NewAccountIndex([]string{"t", "u"}, aims)
 }
@@ -24,7 +24,7 @@
 // TestAccountIndex: users cannot make accounts, and those of other settings differ.
 func TestAccountIndex(t *testing.T) {
 	b := testAccounts(3)
-	if b.Len() != 8 || b.Of("t", "made up") != b.Of("t", "made up too") || b.Of("nobody", "c00") != -1 || b.Of("u", "c01") < 0 {
+	if b.Len() != 8 || b.IndexOf("t", "made up") != b.IndexOf("t", "made up too") || b.IndexOf("nobody", "c00") != -1 || b.IndexOf("u", "c01") < 0 {
 		t.Errorf("%+v", b.Accounts)
 	}
 	if b.Digest == testAccounts(4).Digest || b.Digest != testAccounts(3).Digest {
@@ -64,7 +64,7 @@
 		w.allowances = append(w.allowances, NewAllowance(w.accounts, w.limits))
 	}
 	w.elect(0)
-	w.allocator.from = 0 // nobody led before
+	w.allocator.grantsFrom = 0 // nobody led before
 	return w
 }
 
@@ -77,8 +77,8 @@
 // ask has a node send its notice and the leader answer; the answer is under way.
 func (w *world) ask(node int) {
 	now := w.local(w.leader)
-	w.allocator.Hear(fmt.Sprint(node), w.allowances[node].Notice(func(int) int { return 0 }, w.local(node)), now)
-	w.flying = append(w.flying, reply{node, w.allowances[node], w.allocator.Give(fmt.Sprint(node), now), w.local(node)})
+	w.allocator.RecordNotice(fmt.Sprint(node), w.allowances[node].Notice(func(int) int { return 0 }, w.local(node)), now)
+	w.flying = append(w.flying, reply{node, w.allowances[node], w.allocator.TableFor(fmt.Sprint(node), now), w.local(node)})
 }
 
 func (w *world) deliver(i int) error {
@@ -88,7 +88,7 @@
 	if p != r.life { // restarted meanwhile
 		return nil
 	}
-	if p.Put(r.table, r.asked) {
+	if p.ApplyTable(r.table, r.asked) {
 		if old := w.highest[r.to]; old != nil && !r.table.Newer(old) {
 			return fmt.Errorf("table %d/%d replaced %d/%d", r.table.Term, r.table.Number, old.Term, old.Number)
 		}
@@ -109,8 +109,8 @@
 		}
 		sum := int64(0)
 		for a, e := range t.Accounts {
-			spent[a] += int64(e.Part)
-			sum += int64(e.Part)
+			spent[a] += int64(e.NodeRate)
+			sum += int64(e.NodeRate)
 		}
 		pool += sum
 		if sum > 0 && n == w.leader && t.Term == w.term {
@@ -124,7 +124,7 @@
 			for a := range o {
 				for job := range 20 {
 					id := fmt.Sprintf("req-%06d", job)
-					if t.Turn(a, id) != (&Table{Number: t.Number, Accounts: o}).Turn(a, id) {
+					if t.SlotsUntil(a, id) != (&Table{Number: t.Number, Accounts: o}).SlotsUntil(a, id) {
 						return fmt.Errorf("same table, another answer for %s", id)
 					}
 				}
@@ -136,7 +136,7 @@
 		return fmt.Errorf("parts of %d in use, the pool is %d", pool, w.limits.Pool)
 	}
 	// What the leader would make itself, it does on top of all others.
-	if out := w.allocator.Out(w.local(w.leader)); pool > out {
+	if out := w.allocator.Outstanding(w.local(w.leader)); pool > out {
 		return fmt.Errorf("parts of %d in use, the leader counts on %d", pool, out)
 	}
 	most := w.limits.Pool + w.limits.Base*int64(len(w.allowances))
@@ -160,7 +160,7 @@
 			case 0, 1:
 				w.now += Micros(rapid.IntRange(1, 2_500_000).Draw(t, "dt"))
 			case 2:
-				w.allocator.Next(w.local(w.leader), false, nil, nil)
+				w.allocator.BuildTable(w.local(w.leader), false, nil, nil)
 			case 3, 4, 5:
 				w.ask(node)
 			case 6, 7:
@@ -170,7 +170,7 @@
 					}
 				}
 			case 8:
-				w.allowances[node].Saw(rapid.IntRange(0, w.accounts.Len()-1).Draw(t, "account"), rapid.IntRange(1, 500).Draw(t, "load"), w.local(node))
+				w.allowances[node].RecordSubmission(rapid.IntRange(0, w.accounts.Len()-1).Draw(t, "account"), rapid.IntRange(1, 500).Draw(t, "load"), w.local(node))
 			case 9:
 				if rapid.Bool().Draw(t, "restart") {
 					w.allowances[node] = NewAllowance(w.accounts, w.limits)
@@ -237,9 +237,9 @@
 	switch n {
 	case 0: // a second with load at two nodes, and the table of it
 		w.now += clock.Second
-		w.allowances[1].Saw(1, 300, w.local(1))
-		w.allowances[2].Saw(1, 300, w.local(2))
-		w.allocator.Next(w.local(w.leader), false, nil, nil)
+		w.allowances[1].RecordSubmission(1, 300, w.local(1))
+		w.allowances[2].RecordSubmission(1, 300, w.local(2))
+		w.allocator.BuildTable(w.local(w.leader), false, nil, nil)
 	case 1, 2:
 		w.ask(n)
 	case 3, 4: // the oldest or the newest answer arrives
@@ -266,17 +266,17 @@
 
 // key tells states apart: times are relative, so that equal states meet.
 func (w *world) key() string {
-	s := fmt.Sprint(w.term, w.leader, w.allocator.number, w.allocator.from-w.local(w.leader) > 0, w.now)
+	s := fmt.Sprint(w.term, w.leader, w.allocator.number, w.allocator.grantsFrom-w.local(w.leader) > 0, w.now)
 	for n, p := range w.allowances {
 		if t := p.Table(w.local(n)); t != nil {
-			s += fmt.Sprint("|", t.Term, t.Number, t.Accounts[1].Part, p.until-w.local(n))
+			s += fmt.Sprint("|", t.Term, t.Number, t.Accounts[1].NodeRate, p.until-w.local(n))
 		}
 		s += fmt.Sprint(";", p.seen[1].rate > 1)
 	}
 	for _, r := range w.flying {
 		s += fmt.Sprint("/", r.to, r.life == w.allowances[r.to], r.asked-w.now)
 		if r.table != nil {
-			s += fmt.Sprint(r.table.Term, r.table.Number, r.table.Accounts[1].Part)
+			s += fmt.Sprint(r.table.Term, r.table.Number, r.table.Accounts[1].NodeRate)
 		}
 	}
 	return s
@@ -288,8 +288,8 @@
 	for _, skew := range [][]int64{{5, -5, 0}, {-5, 5, 0}, {5, -5, 5}} {
 		for late := Micros(0); late < 4*clock.Second; late += 100 * clock.Millisecond {
 			w := newWorld(3, 1, skew)
-			load := func(node int) { w.allowances[node].Saw(1, 500, w.local(node)) }
-			next := func() { w.allocator.Next(w.local(0), false, nil, nil) }
+			load := func(node int) { w.allowances[node].RecordSubmission(1, 500, w.local(node)) }
+			next := func() { w.allocator.BuildTable(w.local(0), false, nil, nil) }
 			load(1)
 			w.ask(1) // the leader learns of the load
 			w.flying = nil
@@ -302,7 +302,7 @@
 				t.Fatal(err)
 			}
 			for end := w.now + 4*clock.Second; w.now < end; w.now += clock.Millisecond {
-				if w.allocator.Out(w.local(0)) > 0 {
+				if w.allocator.Outstanding(w.local(0)) > 0 {
 					continue
 				}
 				load(2)
@@ -331,13 +331,13 @@
 		w.now += clock.Second
 		for _, n := range busy {
 			for range 100 {
-				w.allowances[n].Saw(1, 1, w.now)
+				w.allowances[n].RecordSubmission(1, 1, w.now)
 			}
 		}
 		for n := range w.allowances {
 			w.ask(n)
 		}
-		w.allocator.Next(w.now, false, nil, nil)
+		w.allocator.BuildTable(w.now, false, nil, nil)
 		for n := range w.allowances {
 			w.ask(n)
 		}
@@ -377,7 +377,7 @@
 		waited := 0
 		for {
 			tab.Accounts[0].Slots = slots
-			wait := tab.Turn(0, job)
+			wait := tab.SlotsUntil(0, job)
 			if wait == 0 {
 				break
 			}
@@ -391,7 +391,7 @@
 	tab := &Table{Number: 3, Accounts: []Entry{{Slots: 8}}}
 	count := make([]int, 8)
 	for i := range 800 {
-		count[tab.Turn(0, fmt.Sprintf("req-%06d", i))]++
+		count[tab.SlotsUntil(0, fmt.Sprintf("req-%06d", i))]++
 	}
 	if slices.Max(count) > 150 || slices.Min(count) < 50 {
 		t.Errorf("not spread: %v", count)
@@ -433,7 +433,7 @@
 			}
 			out++
 			for a := range accounts {
-				if a == x.account || q.Queued(a) == 0 {
+				if a == x.account || q.QueuedCost(a) == 0 {
 					passed[a] = 0
 				} else if passed[a] += x.cost; passed[a] > 2*(accounts-1)*(quantum+6) {
 					t.Fatalf("account %d was passed by %d changes", a, passed[a])
@@ -462,14 +462,14 @@
 			refused++
 			continue
 		}
-		q.Push(0, Newcomer, 1, 10, 1, "burst")
+		q.Push(0, RankNew, 1, 10, 1, "burst")
 	}
 	if refused == 0 || !q.Fits(1, 10) {
 		t.Fatalf("%d refused, %d wait", refused, q.Len())
 	}
-	q.Push(1, Newcomer, 1, 10, 2, "other")
-	q.Push(0, Chained, 1, 10, 3, "stage")
-	q.Push(0, Returning, 1, 10, 4, "retry")
+	q.Push(1, RankNew, 1, 10, 2, "other")
+	q.Push(0, RankDependent, 1, 10, 3, "stage")
+	q.Push(0, RankRetry, 1, 10, 4, "retry")
 	var order []string
 	for range quantum + 1 {
 		x, _ := q.Pop(10, true, func(string) bool { return true })
@@ -478,8 +478,8 @@
 	if !slices.Equal(order, []string{"retry", "stage", "burst", "burst", "other"}) {
 		t.Error(order)
 	}
-	if q.Ahead(1, Newcomer, 1) > 2*quantum+2 || q.Oldest(9) != 1 {
-		t.Errorf("ahead %d, oldest %d", q.Ahead(1, Newcomer, 1), q.Oldest(9))
+	if q.CostAhead(1, RankNew, 1) > 2*quantum+2 || q.Oldest(9) != 1 {
+		t.Errorf("ahead %d, oldest %d", q.CostAhead(1, RankNew, 1), q.Oldest(9))
 	}
 }
 
@@ -488,23 +488,23 @@
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(30, 500).Draw(t, "rate")
-		floors := rapid.SampledFrom([]Floors{Changes, Reads}).Draw(t, "floors")
+		floors := rapid.SampledFrom([]MinShares{WriteMinShares, ReadMinShares}).Draw(t, "floors")
 		b := NewBudget(rate, floors)
-		greedy := Use(rapid.IntRange(0, len(floors)-1).Draw(t, "greedy"))
-		modest := Use(rapid.IntRange(0, len(floors)-1).Draw(t, "modest"))
+		greedy := RequestClass(rapid.IntRange(0, len(floors)-1).Draw(t, "greedy"))
+		modest := RequestClass(rapid.IntRange(0, len(floors)-1).Draw(t, "modest"))
 		if greedy == modest {
 			return
 		}
-		b.Want(modest, true)
+		b.SetWaiting(modest, true)
 		spent := make([]int, len(floors))
 		at := time.UnixMicro(1e12)
 		const seconds = 20
 		for step := range seconds * 100 {
 			at = at.Add(10 * time.Millisecond)
-			n := int(b.Room(at, greedy))
+			n := int(b.Available(at, greedy))
 			b.Spend(at, greedy, n)
 			spent[greedy] += n
-			for step%5 == 0 && b.Take(at, modest) {
+			for step%5 == 0 && b.Allow(at, modest) {
 				spent[modest]++
 			}
 		}
@@ -514,9 +514,9 @@
 		if most := int(rate*(seconds+1)) + 8; spent[greedy]+spent[modest] > most {
 			t.Fatalf("%d spent of %d", spent[greedy]+spent[modest], most)
 		}
-		b.Want(modest, false)
+		b.SetWaiting(modest, false)
 		at = at.Add(5 * time.Second)
-		if n := int(b.Room(at, greedy)); n < b.Burst()-1 {
+		if n := int(b.Available(at, greedy)); n < b.Burst()-1 {
 			t.Fatalf("%d lent of %d", n, b.Burst())
 		}
 	})
@@ -528,7 +528,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		accounts := testAccounts(rapid.IntRange(1, 4).Draw(t, "classes"))
 		teams := []Team{{"t", rapid.Float64Range(0, 500).Draw(t, "guarantee"), 0}, {"u", 100, rapid.SampledFrom([]float64{0, 300}).Draw(t, "limit")}}
-		s := NewShares(accounts, teams, Rules{On: true, Begins: clock.Second})
+		s := NewTeamShares(accounts, teams, Settings{Enabled: true, OverloadBacklog: clock.Second})
 		demands := make([]Demand, accounts.Len())
 		wants, sum := make([]float64, 2), 0.0
 		for i := range demands {
@@ -565,53 +565,53 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const accounts = 3
 		floors := []float64{0.55, 0.55, rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "floor")}
-		s := NewServed(floors)
+		s := NewObjectiveTracker(floors)
 		now := Micros(0)
 		for range rapid.IntRange(0, 30).Draw(t, "over") {
 			now += clock.Second
-			s.Over(rapid.IntRange(-1, accounts).Draw(t, "of"), rapid.Bool().Draw(t, "good"), now)
+			s.RecordFinished(rapid.IntRange(-1, accounts).Draw(t, "of"), rapid.Bool().Draw(t, "good"), now)
 		}
 		if rapid.Bool().Draw(t, "takeover") {
-			next := NewServed(floors)
+			next := NewObjectiveTracker(floors)
 			next.Restore(s.Counts(now), now)
 			s = next
 		}
-		cases := make([]Case, rapid.IntRange(0, 60).Draw(t, "cases"))
+		cases := make([]UnfinishedJob, rapid.IntRange(0, 60).Draw(t, "cases"))
 		counts := s.Counts(now)
 		all, good, open := make([]float64, accounts), make([]float64, accounts), make([]int, accounts)
 		for i := range cases {
 			c := &cases[i]
 			c.Account = rapid.IntRange(-1, accounts-1).Draw(t, "account")
-			c.Prospect = Prospect(rapid.IntRange(0, 3).Draw(t, "prospect"))
-			c.Rest, c.ID = float64(rapid.IntRange(0, 9).Draw(t, "rest")), string(rune('a'+i))
+			c.Feasibility = Feasibility(rapid.IntRange(0, 3).Draw(t, "prospect"))
+			c.RemainingWork, c.ID = float64(rapid.IntRange(0, 9).Draw(t, "rest")), string(rune('a'+i))
 			if c.Account >= 0 {
 				all[c.Account]++
-				switch c.Prospect {
-				case Kept:
+				switch c.Feasibility {
+				case OnTime:
 					good[c.Account]++
-				case Open, Doubtful:
+				case Feasible, AtRisk:
 					open[c.Account]++
 				}
 			}
 		}
-		turns := s.Turns(now, cases)
+		turns := s.Evaluate(now, cases)
 		for a := range accounts {
 			jobs, served := all[a]+counts[2*a], good[a]+counts[2*a+1]
 			lacks := max(int(math.Ceil(floors[a]*jobs-served-1e-9)), 0)
 			given, largest, least := 0, 0.0, math.Inf(1)
 			for i, c := range cases {
-				if c.Account != a || c.Prospect != Open {
+				if c.Account != a || c.Feasibility != Feasible {
 					if c.Account == a && turns[i].Needed {
 						given++
 					}
 					continue
 				}
 				if turns[i].Needed {
-					given, largest = given+1, max(largest, c.Rest)
+					given, largest = given+1, max(largest, c.RemainingWork)
 				} else {
-					least = min(least, c.Rest)
+					least = min(least, c.RemainingWork)
 				}
-				if turns[i].Needed == turns[i].Spare {
+				if turns[i].Needed == turns[i].Surplus {
 					t.Fatalf("%+v: %+v", c, turns[i])
 				}
 			}
@@ -628,21 +628,21 @@
 // TestServedAlike: two classes whose bursts differ tenfold get their turns in like measure,
 // as the index by Jain shows wherever the turns are cut off, and a small one is not drowned.
 func TestServedAlike(t *testing.T) {
-	s := NewServed([]float64{0.55, 0.55, 0.55})
-	var cases []Case
+	s := NewObjectiveTracker([]float64{0.55, 0.55, 0.55})
+	var cases []UnfinishedJob
 	for a, n := range []int{400, 40, 4} {
 		for i := range n {
-			cases = append(cases, Case{Account: a, Prospect: Open, Rest: float64(1 + i%7), ID: fmt.Sprint(i)})
+			cases = append(cases, UnfinishedJob{Account: a, Feasibility: Feasible, RemainingWork: float64(1 + i%7), ID: fmt.Sprint(i)})
 		}
 	}
-	turns := s.Turns(0, cases)
+	turns := s.Evaluate(0, cases)
 	order := make([]int, 0, len(cases))
 	for i := range cases {
 		if turns[i].Needed {
 			order = append(order, i)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(turns[a].Share, turns[b].Share) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(turns[a].ServedShare, turns[b].ServedShare) })
 	for _, cut := range []int{100, 150, 200, len(order)} {
 		n := [3]float64{}
 		for _, i := range order[:cut] {
@@ -659,11 +659,11 @@
 // while there are machines to be had.
 func TestMode(t *testing.T) {
 	accounts := testAccounts(1)
-	s := NewShares(accounts, []Team{{"t", 0, 0}}, Rules{On: true, Begins: 30 * clock.Second})
+	s := NewTeamShares(accounts, []Team{{"t", 0, 0}}, Settings{Enabled: true, OverloadBacklog: 30 * clock.Second})
 	demands := make([]Demand, accounts.Len())
 	judge := func(at int, waiting float64, room bool) bool {
-		demands[1] = Demand{Held: 100, Waiting: waiting, Work: (100 + waiting) * 50}
-		return s.Judge(Micros(at)*clock.Second, 100, room, demands) != nil
+		demands[1] = Demand{Held: 100, Waiting: waiting, RemainingWork: (100 + waiting) * 50}
+		return s.Evaluate(Micros(at)*clock.Second, 100, room, demands) != nil
 	}
 	for _, c := range []struct {
 		at      int
@@ -682,19 +682,19 @@
 func TestNotices(t *testing.T) {
 	accounts := testAccounts(1)
 	a, b := NewAllowance(accounts, LimitsOf(100, 2)), NewAllowance(accounts, LimitsOf(100, 2))
-	for i := range 3 * maxMemory {
-		a.Refused(1, 1, fmt.Sprintf("req-%06d", i), 4, clock.Second)
+	for i := range 3 * maxRememberedRefusals {
+		a.RecordRefusal(1, 1, fmt.Sprintf("req-%06d", i), 4, clock.Second)
 	}
 	n := a.Notice(func(int) int { return 7 }, clock.Second)
-	if len(n.Refusals) != maxTold || len(a.told.at) > maxMemory || n.Accounts[1].Queued != 7 || n.Accounts[1].Refused == 0 {
-		t.Errorf("%d told, %d remembered, %+v", len(n.Refusals), len(a.told.at), n.Accounts[1])
+	if len(n.Refusals) != maxNoticeRefusals || len(a.refusals.byHash) > maxRememberedRefusals || n.Accounts[1].Queued != 7 || n.Accounts[1].Refused == 0 {
+		t.Errorf("%d told, %d remembered, %+v", len(n.Refusals), len(a.refusals.byHash), n.Accounts[1])
 	}
-	b.HearRefusals(n, 2*clock.Second)
-	if !b.Returns("req-000000", 3*clock.Second) || b.Returns("req-000000", 70*clock.Second) || b.Returns("req-999999", 3*clock.Second) {
+	b.MergeRefusals(n, 2*clock.Second)
+	if !b.WasRefused("req-000000", 3*clock.Second) || b.WasRefused("req-000000", 70*clock.Second) || b.WasRefused("req-999999", 3*clock.Second) {
 		t.Error("what a peer refused")
 	}
-	b.HearRefusals(&Notice{Digest: 1, Refusals: []Refusal{{Hash: Hash("req-999999")}}}, 2*clock.Second)
-	if b.Returns("req-999999", 3*clock.Second) {
+	b.MergeRefusals(&Notice{Digest: 1, Refusals: []Refusal{{Hash: Hash("req-999999")}}}, 2*clock.Second)
+	if b.WasRefused("req-999999", 3*clock.Second) {
 		t.Error("a notice of other settings was taken")
 	}
 }
@@ -704,17 +704,17 @@
 func BenchmarkDecision(b *testing.B) {
 	accounts := testAccounts(499)
 	p := NewAllowance(accounts, LimitsOf(100, 3))
-	t := &Table{Term: 1, Number: 1, Digest: accounts.Digest, Valid: valid, Accounts: make([]Entry, accounts.Len())}
+	t := &Table{Term: 1, Number: 1, Digest: accounts.Digest, ValidFor: tableLifetime, Accounts: make([]Entry, accounts.Len())}
 	for i := range t.Accounts {
 		t.Accounts[i].Slots = MaxSlots
 	}
-	p.Put(t, 0)
+	p.ApplyTable(t, 0)
 	q := NewQueue[int](accounts.Len(), Bounds{Count: 400, Bytes: 1 << 20})
 	for i := range 300 {
-		q.Push(i*3, Newcomer, 1, 100, 0, i)
+		q.Push(i*3, RankNew, 1, 100, 0, i)
 	}
-	for i := range 2 * maxMemory { // its memory is full
-		p.Refused(3, 1, fmt.Sprintf("req-%06d", i), 4, 0)
+	for i := range 2 * maxRememberedRefusals { // its memory is full
+		p.RecordRefusal(3, 1, fmt.Sprintf("req-%06d", i), 4, 0)
 	}
 	jobs := make([]string, 512)
 	for i := range jobs {
@@ -723,9 +723,9 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		job := jobs[i%len(jobs)]
-		account := accounts.Of("t", "c250")
-		if turn := p.Table(1).Turn(account, job); turn > 0 || q.Ahead(account, Newcomer, 1) > 10 {
-			p.Refused(account, 1, job, 4, 1)
+		account := accounts.IndexOf("t", "c250")
+		if turn := p.Table(1).SlotsUntil(account, job); turn > 0 || q.CostAhead(account, RankNew, 1) > 10 {
+			p.RecordRefusal(account, 1, job, 4, 1)
 		}
 	}
 }
--- a/internal/admit/allowance.go
+++ b/internal/admit/allowance.go
@@ -18,7 +18,7 @@
 	table    *Table
 	until    Micros // the table's end on this node's clock
 	seen     []arrival
-	told     memory    // jobs that were refused, here or at a peer
+	refusals memory    // jobs that were refused, here or at a peer
 	fresh    []Refusal // refused here since the last notice
 	counts   []Counts
 }
@@ -32,13 +32,13 @@
 
 // Counts is what became of an account's submissions at this node.
 type Counts struct {
-	Taken, Refused, Known uint64
+	Accepted, Refused, Duplicates uint64
 }
 
 // NewAllowance makes the allowance of a node.
 func NewAllowance(accounts *AccountIndex, limits Limits) *Allowance {
 	return &Allowance{accounts: accounts, limits: limits, seen: make([]arrival, accounts.Len()), counts: make([]Counts, accounts.Len()),
-		told: memory{at: map[uint32]*remembered{}}}
+		refusals: memory{byHash: map[uint32]*remembered{}}}
 }
 
 // SetLimits follows the state service's limits.
@@ -46,14 +46,14 @@
 
 // Put takes a table over that was asked for at the given time. A table of an older
 // term or number, or made from other settings, changes nothing.
-func (p *Allowance) Put(t *Table, asked Micros) bool {
-	if t == nil || t.Digest != p.accounts.Digest || len(t.Accounts) != p.accounts.Len() || t.Valid <= 0 || t.Valid > valid {
+func (p *Allowance) ApplyTable(t *Table, asked Micros) bool {
+	if t == nil || t.Digest != p.accounts.Digest || len(t.Accounts) != p.accounts.Len() || t.ValidFor <= 0 || t.ValidFor > tableLifetime {
 		return false
 	}
 	if !t.Newer(p.table) {
 		return false
 	}
-	p.table, p.until = t, asked+t.Valid
+	p.table, p.until = t, asked+t.ValidFor
 	return true
 }
 
@@ -67,8 +67,8 @@
 
 // WasOver reports whether the machines were overloaded when this node last heard of
 // it, not long ago: an election takes longer than a table is valid.
-func (p *Allowance) WasOver(now Micros) bool {
-	return p.table != nil && p.table.Over && now < p.until+overLife
+func (p *Allowance) WasOverloaded(now Micros) bool {
+	return p.table != nil && p.table.Overloaded && now < p.until+overLife
 }
 
 // overLife is how long an overload that one leader saw is likely to go on for the next.
@@ -80,7 +80,7 @@
 	if t := p.Table(now); t != nil {
 		part := int64(0)
 		for i := range t.Accounts {
-			part += int64(t.Accounts[i].Part)
+			part += int64(t.Accounts[i].NodeRate)
 		}
 		rate += min(part, p.limits.Pool)
 	}
@@ -98,7 +98,7 @@
 }
 
 // Saw notes a submission that asks for so many changes.
-func (p *Allowance) Saw(account, changes int, now Micros) {
+func (p *Allowance) RecordSubmission(account, changes int, now Micros) {
 	if account < 0 {
 		return
 	}
@@ -108,18 +108,18 @@
 }
 
 // Took counts a submission that was accepted, or was known.
-func (p *Allowance) Took(account int, known bool) {
+func (p *Allowance) CountAccepted(account int, known bool) {
 	switch {
 	case account < 0:
 	case known:
-		p.counts[account].Known++
+		p.counts[account].Duplicates++
 	default:
-		p.counts[account].Taken++
+		p.counts[account].Accepted++
 	}
 }
 
 // Refused notes a submission that was told to come back.
-func (p *Allowance) Refused(account, changes int, job string, cpus float64, now Micros) {
+func (p *Allowance) RecordRefusal(account, changes int, job string, cpus float64, now Micros) {
 	if account < 0 {
 		return
 	}
@@ -127,22 +127,22 @@
 	a.fade(now)
 	a.refused += float64(changes)
 	p.counts[account].Refused++
-	t := Refusal{Hash(job), uint32(account), clip(int64(math.Ceil(min(cpus, math.MaxInt32))))}
-	if p.told.add(t, now) && len(p.fresh) < maxTold {
+	t := Refusal{Hash(job), uint32(account), clampUint32(int64(math.Ceil(min(cpus, math.MaxInt32))))}
+	if p.refusals.add(t, now) && len(p.fresh) < maxNoticeRefusals {
 		p.fresh = append(p.fresh, t)
 	}
 }
 
 // Returns reports whether a job was refused before, here or at a peer: it goes before
 // a newcomer of its account.
-func (p *Allowance) Returns(job string, now Micros) bool {
-	r, ok := p.told.at[Hash(job)]
+func (p *Allowance) WasRefused(job string, now Micros) bool {
+	r, ok := p.refusals.byHash[Hash(job)]
 	return ok && now-r.at < toldLife
 }
 
 // Accepted notes that a job, refused before or not, is accepted.
-func (p *Allowance) Accepted(job string) {
-	if r := p.told.at[Hash(job)]; r != nil {
+func (p *Allowance) MarkAccepted(job string) {
+	if r := p.refusals.byHash[Hash(job)]; r != nil {
 		r.expected = false
 	}
 }
@@ -150,10 +150,10 @@
 // Expected is what the jobs of each account that were refused of late, here or at a peer,
 // will ask for when they come back, in CPUs. Machines take longer to come than the state
 // service to accept a burst: they may be rented for it meanwhile.
-func (p *Allowance) Expected(now Micros) []float64 {
+func (p *Allowance) ExpectedCPUs(now Micros) []float64 {
 	sums := make([]float64, p.accounts.Len())
-	for _, h := range p.told.order {
-		if r := p.told.at[h]; r.expected && now-r.at < expectedLife && int(r.account) < len(sums) {
+	for _, h := range p.refusals.order {
+		if r := p.refusals.byHash[h]; r.expected && now-r.at < expectedLife && int(r.account) < len(sums) {
 			sums[r.account] += float64(r.cpus)
 		}
 	}
@@ -165,17 +165,17 @@
 const expectedLife = (MaxSlots + 4) * clock.Second
 
 // HearRefusals takes in whom a peer refused.
-func (p *Allowance) HearRefusals(n *Notice, now Micros) {
+func (p *Allowance) MergeRefusals(n *Notice, now Micros) {
 	if n == nil || n.Digest != p.accounts.Digest {
 		return
 	}
 	for _, t := range n.Refusals {
-		p.told.add(t, now)
+		p.refusals.add(t, now)
 	}
 }
 
 // maxTold bounds the refused jobs that a notice names.
-const maxTold = 512
+const maxNoticeRefusals = 512
 
 // Notice is what this node tells its peers, with what waits in its queue.
 func (p *Allowance) Notice(queued func(account int) int, now Micros) *Notice {
@@ -184,7 +184,7 @@
 	for i := range n.Accounts {
 		a := &p.seen[i]
 		a.fade(now)
-		n.Accounts[i] = Arrivals{Rate: clip(int64(a.rate * milli)), Queued: clip(int64(queued(i))), Refused: clip(int64(a.refused))}
+		n.Accounts[i] = Arrivals{Rate: clampUint32(int64(a.rate * milli)), Queued: clampUint32(int64(queued(i))), Refused: clampUint32(int64(a.refused))}
 	}
 	return n
 }
@@ -194,8 +194,8 @@
 
 // memory holds hashes of jobs for a while, a bounded number of them.
 type memory struct {
-	at    map[uint32]*remembered
-	order []uint32
+	byHash map[uint32]*remembered
+	order  []uint32
 }
 
 type remembered struct {
@@ -206,22 +206,22 @@
 }
 
 const (
-	maxMemory = 8192
-	toldLife  = 60 * clock.Second // no user tries for longer
+	maxRememberedRefusals = 8192
+	toldLife              = 60 * clock.Second // no user tries for longer
 )
 
 // add reports whether the hash is new.
 func (m *memory) add(t Refusal, now Micros) bool {
-	if _, ok := m.at[t.Hash]; ok {
+	if _, ok := m.byHash[t.Hash]; ok {
 		return false
 	}
-	for len(m.order) > 0 && (len(m.order) >= maxMemory || now-m.at[m.order[0]].at >= toldLife) {
-		delete(m.at, m.order[0])
+	for len(m.order) > 0 && (len(m.order) >= maxRememberedRefusals || now-m.byHash[m.order[0]].at >= toldLife) {
+		delete(m.byHash, m.order[0])
 		m.order = m.order[1:]
 	}
-	m.at[t.Hash] = &remembered{now, t.Account, t.CPUs, true}
+	m.byHash[t.Hash] = &remembered{now, t.Account, t.CPUs, true}
 	m.order = append(m.order, t.Hash)
-	if cap(m.order) > 4*maxMemory {
+	if cap(m.order) > 4*maxRememberedRefusals {
 		m.order = slices.Clone(m.order)
 	}
 	return true
@@ -229,7 +229,7 @@
 
 // Spread is when a user who is refused should come back, in seconds: after the wait
 // that stands before him, and not together with all others.
-func Spread(wait Micros, job string) int {
+func RetryAfterSeconds(wait Micros, job string) int {
 	most := int64(MaxSlots)
 	seconds := min(max((int64(wait)+int64(clock.Second)-1)/int64(clock.Second), 1), most)
 	return int(min(seconds+int64(Hash(job))%seconds, most))
--- a/internal/admit/budget.go
+++ b/internal/admit/budget.go
@@ -7,30 +7,30 @@
 )
 
 // Use is what requests of the state service are spent on.
-type Use int
+type RequestClass int
 
 // Uses of changes, in no order: each has a floor.
 const (
-	Urgent  Use = iota // launches, ends of jobs, cancellations
-	Submits            // new jobs
-	Ends               // of single tasks
-	Idle               // images, archiving, what was learnt
+	UrgentWrites     RequestClass = iota // launches, ends of jobs, cancellations
+	SubmissionWrites                     // new jobs
+	TaskEndWrites                        // of single tasks
+	BackgroundWrites                     // images, archiving, what was learnt
 )
 
 // Uses of reads.
 const (
-	Lookups Use = iota // of a job for a user
-	Needs              // of a job that another awaits
+	UserReads       RequestClass = iota // of a job for a user
+	DependencyReads                     // of a job that another awaits
 )
 
 // Floors are the parts of a budget that its uses get whatever the others want. What a
 // use does not want now is lent.
-type Floors []float64
+type MinShares []float64
 
 // Floors of changes and of reads.
 var (
-	Changes = Floors{Urgent: 0.45, Submits: 0.2, Ends: 0.15, Idle: 0.05}
-	Reads   = Floors{Lookups: 0.5, Needs: 0.4}
+	WriteMinShares = MinShares{UrgentWrites: 0.45, SubmissionWrites: 0.2, TaskEndWrites: 0.15, BackgroundWrites: 0.05}
+	ReadMinShares  = MinShares{UserReads: 0.5, DependencyReads: 0.4}
 )
 
 // Budget shares a node's changes, or reads, among its uses. A floor is a bucket of its own that
@@ -38,7 +38,7 @@
 // its bucket holds. So no burst of one use keeps another waiting for longer than its
 // floor takes.
 type Budget struct {
-	floors Floors
+	floors MinShares
 	all    *rate.Limiter
 	own    []*rate.Limiter
 	wants  []bool
@@ -46,7 +46,7 @@
 }
 
 // NewBudget makes a budget of so many a second.
-func NewBudget(perSecond float64, floors Floors) *Budget {
+func NewBudget(perSecond float64, floors MinShares) *Budget {
 	b := &Budget{floors: floors, all: rate.NewLimiter(rate.Limit(perSecond), burst(perSecond)),
 		wants: make([]bool, len(floors)), taken: make([]time.Time, len(floors))}
 	for _, f := range floors {
@@ -56,9 +56,9 @@
 }
 
 // Take spends one if there is room. A use that asks so wants something for a second.
-func (b *Budget) Take(at time.Time, u Use) bool {
+func (b *Budget) Allow(at time.Time, u RequestClass) bool {
 	b.taken[u] = at
-	if b.Room(at, u) < 1 {
+	if b.Available(at, u) < 1 {
 		return false
 	}
 	b.Spend(at, u, 1)
@@ -70,7 +70,7 @@
 func burst(perSecond float64) int { return max(int(perSecond), 4) }
 
 // Set changes the rate.
-func (b *Budget) Set(at time.Time, perSecond float64) {
+func (b *Budget) SetRate(at time.Time, perSecond float64) {
 	if b.all.Limit() == rate.Limit(perSecond) {
 		return
 	}
@@ -85,25 +85,25 @@
 }
 
 // Floor is the rate that a use gets whatever the others want.
-func (b *Budget) Floor(u Use) float64 { return b.Rate() * b.floors[u] }
+func (b *Budget) MinRate(u RequestClass) float64 { return b.Rate() * b.floors[u] }
 
 // Want notes whether a use has something waiting.
-func (b *Budget) Want(u Use, wants bool) { b.wants[u] = wants }
+func (b *Budget) SetWaiting(u RequestClass, wants bool) { b.wants[u] = wants }
 
 // Room is how many changes a use may spend now.
-func (b *Budget) Room(at time.Time, u Use) float64 {
+func (b *Budget) Available(at time.Time, u RequestClass) float64 {
 	have := b.all.TokensAt(at)
 	for o := range b.own {
-		if Use(o) != u && (b.wants[o] || at.Sub(b.taken[o]) < time.Second) {
-			have -= b.Own(at, Use(o))
+		if RequestClass(o) != u && (b.wants[o] || at.Sub(b.taken[o]) < time.Second) {
+			have -= b.Reserved(at, RequestClass(o))
 		}
 	}
-	return max(have, b.Own(at, u))
+	return max(have, b.Reserved(at, u))
 }
 
 // Left is what is left for all uses; Own is what of it is one use's own floor.
-func (b *Budget) Left(at time.Time) float64 { return b.all.TokensAt(at) }
-func (b *Budget) Own(at time.Time, u Use) float64 {
+func (b *Budget) Remaining(at time.Time) float64 { return b.all.TokensAt(at) }
+func (b *Budget) Reserved(at time.Time, u RequestClass) float64 {
 	return max(min(b.own[u].TokensAt(at), b.all.TokensAt(at)), 0)
 }
 
@@ -114,7 +114,7 @@
 func (b *Budget) Rate() float64 { return float64(b.all.Limit()) }
 
 // Spend takes n changes for a use.
-func (b *Budget) Spend(at time.Time, u Use, n int) {
+func (b *Budget) Spend(at time.Time, u RequestClass, n int) {
 	b.all.AllowN(at, min(n, max(int(b.all.TokensAt(at)), 0)))
 	b.own[u].AllowN(at, min(n, max(int(b.own[u].TokensAt(at)), 0)))
 }
--- a/internal/admit/served.go
+++ b/internal/admit/objective_tracker.go
@@ -9,29 +9,29 @@
 )
 
 // Prospect is what can be said of an unfinished job's aims.
-type Prospect uint8
+type Feasibility uint8
 
 // Prospects.
 const (
-	Kept     Prospect = iota // has its places in time
-	Open                     // can be served as its users want it, if it gets its places soon
-	Doubtful                 // the same, if all goes well
-	Lost                     // cannot be served in time any more
+	OnTime     Feasibility = iota // has its places in time
+	Feasible                      // can be served as its users want it, if it gets its places soon
+	AtRisk                        // the same, if all goes well
+	Infeasible                    // cannot be served in time any more
 )
 
 // Case is one unfinished job as the floor of the served share sees it.
-type Case struct {
-	Account  int
-	Prospect Prospect
-	Rest     float64 // CPU-seconds that it yet needs
-	Since    Micros  // when it became ready
-	ID       string
+type UnfinishedJob struct {
+	Account       int
+	Feasibility   Feasibility
+	RemainingWork float64 // CPU-seconds that it yet needs
+	ReadyAt       Micros  // when it became ready
+	ID            string
 }
 
 // Served keeps, for each account, how many of its jobs were served of late, and tells
 // which of those that wait must be, so that of every account at least a given part is.
 // Whatever machines are left beyond that go by the users' own order.
-type Served struct {
+type ObjectiveTracker struct {
 	floors []float64 // the part of its jobs that each account is to be served
 	past   []past
 }
@@ -46,8 +46,8 @@
 const servedMemory = 300 * clock.Second
 
 // NewServed makes the counts of a deployment's accounts, each with its floor.
-func NewServed(floors []float64) *Served {
-	return &Served{floors: floors, past: make([]past, len(floors))}
+func NewObjectiveTracker(floors []float64) *ObjectiveTracker {
+	return &ObjectiveTracker{floors: floors, past: make([]past, len(floors))}
 }
 
 func (p *past) fade(now Micros) {
@@ -58,7 +58,7 @@
 }
 
 // Over counts a job that is over; good if it was served as its users wanted it.
-func (s *Served) Over(account int, good bool, now Micros) {
+func (s *ObjectiveTracker) RecordFinished(account int, good bool, now Micros) {
 	if account < 0 || account >= len(s.past) {
 		return
 	}
@@ -72,7 +72,7 @@
 
 // Counts gives the jobs of late and those of them that were served, of each account in
 // turn: what Restore takes over in the next term.
-func (s *Served) Counts(now Micros) []float64 {
+func (s *ObjectiveTracker) Counts(now Micros) []float64 {
 	out := make([]float64, 0, 2*len(s.past))
 	for a := range s.past {
 		s.past[a].fade(now)
@@ -82,7 +82,7 @@
 }
 
 // Restore takes over the counts that were given at the time.
-func (s *Served) Restore(counts []float64, at Micros) {
+func (s *ObjectiveTracker) Restore(counts []float64, at Micros) {
 	if len(counts) != 2*len(s.past) {
 		return
 	}
@@ -95,10 +95,10 @@
 }
 
 // Turn is what the floor of the served share makes of a job.
-type Turn struct {
-	Needed bool    // its account lacks it for its floor
-	Share  float64 // then: what of its account's jobs is served before it; the least goes first
-	Spare  bool    // its account has its floor without it
+type MinShareStatus struct {
+	Needed      bool    // its account lacks it for its floor
+	ServedShare float64 // then: what of its account's jobs is served before it; the least goes first
+	Surplus     bool    // its account has its floor without it
 }
 
 // Turns tells which cases have to be served next, and in what order: of each account the
@@ -106,8 +106,8 @@
 // Least first, since a job counts as one whatever it takes: half of the jobs of a class
 // are a fifth of its work or so, and the rest of the machines can go to whom the users
 // put first.
-func (s *Served) Turns(now Micros, cases []Case) []Turn {
-	turns := make([]Turn, len(cases))
+func (s *ObjectiveTracker) Evaluate(now Micros, cases []UnfinishedJob) []MinShareStatus {
+	turns := make([]MinShareStatus, len(cases))
 	all, good := make([]float64, len(s.past)), make([]float64, len(s.past))
 	for a := range s.past {
 		p := &s.past[a]
@@ -124,17 +124,17 @@
 	}
 	slices.SortFunc(order, func(a, b int) int {
 		x, y := &cases[a], &cases[b]
-		return cmp.Or(cmp.Compare(x.Prospect, y.Prospect), cmp.Compare(x.Rest, y.Rest), cmp.Compare(x.Since, y.Since), cmp.Compare(x.ID, y.ID))
+		return cmp.Or(cmp.Compare(x.Feasibility, y.Feasibility), cmp.Compare(x.RemainingWork, y.RemainingWork), cmp.Compare(x.ReadyAt, y.ReadyAt), cmp.Compare(x.ID, y.ID))
 	})
 	for _, i := range order {
 		c := &cases[i]
 		lacks := good[c.Account] < s.floors[c.Account]*all[c.Account]
 		switch {
-		case c.Prospect == Lost || !lacks:
-			turns[i].Spare = true
+		case c.Feasibility == Infeasible || !lacks:
+			turns[i].Surplus = true
 			continue
-		case c.Prospect != Kept:
-			turns[i].Needed, turns[i].Share = true, good[c.Account]/all[c.Account]
+		case c.Feasibility != OnTime:
+			turns[i].Needed, turns[i].ServedShare = true, good[c.Account]/all[c.Account]
 		}
 		good[c.Account]++
 	}
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -26,9 +26,9 @@
 
 // Ranks, the first goes first.
 const (
-	Returning Rank = iota // was refused before
-	Chained               // a later stage of a pipeline that was accepted
-	Newcomer
+	RankRetry     Rank = iota // was refused before
+	RankDependent             // a later stage of a pipeline that was accepted
+	RankNew
 	ranks
 )
 
@@ -151,7 +151,7 @@
 }
 
 // Head is the changes that the next submission asks for; 0 if none waits.
-func (q *Queue[T]) Head() int {
+func (q *Queue[T]) HeadCost() int {
 	if len(q.ring) == 0 {
 		return 0
 	}
@@ -163,7 +163,7 @@
 func (q *Queue[T]) Cost() int { return q.cost }
 
 // Queued is the changes that one account waits for.
-func (q *Queue[T]) Queued(account int) int { return q.lanes[q.lane(account)].cost }
+func (q *Queue[T]) QueuedCost(account int) int { return q.lanes[q.lane(account)].cost }
 
 // Oldest is since when the submission waits that came first; now if none does.
 func (q *Queue[T]) Oldest(now Micros) Micros {
@@ -179,7 +179,7 @@
 
 // Ahead is how many changes are served before a new submission of an account, which
 // asks for cost itself: what its lane holds, and as much of each other lane.
-func (q *Queue[T]) Ahead(account int, rank Rank, cost int) int {
+func (q *Queue[T]) CostAhead(account int, rank Rank, cost int) int {
 	i := q.lane(account)
 	mine := cost
 	for r := Rank(0); r <= rank; r++ {
--- a/internal/admit/share.go
+++ b/internal/admit/share.go
@@ -9,12 +9,12 @@
 
 // Shares settles when there is more to do than the machines can take, and how much of
 // them each team is due then, by its guarantee. Within a team Served says who goes first.
-type Shares struct {
-	accounts *AccountIndex
-	teams    []Team
-	rules    Rules
-	Over     bool   // overloaded now
-	since    Micros // since when the other mode is called for; clock.Forever while it is not
+type TeamShares struct {
+	accounts   *AccountIndex
+	teams      []Team
+	rules      Settings
+	Overloaded bool   // overloaded now
+	since      Micros // since when the other mode is called for; clock.Forever while it is not
 }
 
 // Team is what the settings say of one.
@@ -25,20 +25,20 @@
 }
 
 // Rules are the operators' settings of admission.
-type Rules struct {
-	On     bool
-	Serve  float64            // part of each account's jobs that is served before all else
-	Serves map[string]float64 // of classes: their parts instead
-	Answer Micros             // a submission that would wait longer is refused at once
-	Begins Micros             // overload begins when the work waiting takes this long; 0: from the aims
+type Settings struct {
+	Enabled              bool
+	MinServedShare       float64            // part of each account's jobs that is served before all else
+	ClassMinServedShares map[string]float64 // of classes: their parts instead
+	MaxQueueWait         Micros             // a submission that would wait longer is refused at once
+	OverloadBacklog      Micros             // overload begins when the work waiting takes this long; 0: from the aims
 }
 
 // Floors are the parts of their jobs that the accounts are to be served, in turn.
-func (r Rules) Floors(accounts *AccountIndex) []float64 {
+func (r Settings) AccountMinServedShares(accounts *AccountIndex) []float64 {
 	floors := make([]float64, accounts.Len())
 	for i, a := range accounts.Accounts {
-		floors[i] = r.Serve
-		if f, ok := r.Serves[a.Class]; ok {
+		floors[i] = r.MinServedShare
+		if f, ok := r.ClassMinServedShares[a.Class]; ok {
 			floors[i] = f
 		}
 	}
@@ -48,12 +48,12 @@
 // begins is when work waiting means overload: a quarter of the narrowest of the widest
 // aims of those who ask. What waits less than that is reached in time in the usual
 // order. Services are not among the demands: their aims are a few seconds.
-func (s *Shares) begins(demands []Demand) Micros {
-	if s.rules.Begins > 0 {
-		return s.rules.Begins
+func (s *TeamShares) begins(demands []Demand) Micros {
+	if s.rules.OverloadBacklog > 0 {
+		return s.rules.OverloadBacklog
 	}
 	least := clock.Forever
-	for a, w := range s.accounts.Widest {
+	for a, w := range s.accounts.LongestTargets {
 		if w > 0 && demands[a].Held+demands[a].Waiting > 0 {
 			least = min(least, w)
 		}
@@ -71,20 +71,20 @@
 )
 
 // NewShares makes the shares of a deployment.
-func NewShares(accounts *AccountIndex, teams []Team, rules Rules) *Shares {
-	return &Shares{accounts: accounts, teams: teams, rules: rules, since: clock.Forever}
+func NewTeamShares(accounts *AccountIndex, teams []Team, rules Settings) *TeamShares {
+	return &TeamShares{accounts: accounts, teams: teams, rules: rules, since: clock.Forever}
 }
 
 // Demand is what an account's unfinished work, services aside, asks of the machines.
 type Demand struct {
-	Held    float64 // CPUs that its tasks hold
-	Waiting float64 // CPUs that its waiting tasks ask for
-	Work    float64 // CPU-seconds of both that are yet to do
+	Held          float64 // CPUs that its tasks hold
+	Waiting       float64 // CPUs that its waiting tasks ask for
+	RemainingWork float64 // CPU-seconds of both that are yet to do
 }
 
 // Due is what an account is due, in CPUs: by its floor, and by its team's share.
-type Due struct {
-	Floor, Share float64
+type Entitlement struct {
+	MinShare, Share float64
 }
 
 const milli = 1000
@@ -93,14 +93,14 @@
 // for work that is not production, up or on their way. room tells whether machines can
 // still be rented. It reports nil, and leaves Over false, while the usual order serves
 // everybody.
-func (s *Shares) Judge(now Micros, capacity float64, room bool, demands []Demand) []float64 {
-	if !s.rules.On || len(demands) != s.accounts.Len() {
-		s.Over = false
+func (s *TeamShares) Evaluate(now Micros, capacity float64, room bool, demands []Demand) []float64 {
+	if !s.rules.Enabled || len(demands) != s.accounts.Len() {
+		s.Overloaded = false
 		return nil
 	}
 	var held, waiting, work float64
 	for _, d := range demands {
-		held, waiting, work = held+d.Held, waiting+d.Waiting, work+d.Work
+		held, waiting, work = held+d.Held, waiting+d.Waiting, work+d.RemainingWork
 	}
 	// The work that waits, measured by how long all machines would take for it.
 	backlog := Micros(0)
@@ -109,31 +109,31 @@
 	}
 	begins := s.begins(demands)
 	over := backlog > begins && !room
-	if s.Over {
+	if s.Overloaded {
 		over = backlog > begins/3
 	}
-	if over == s.Over {
+	if over == s.Overloaded {
 		s.since = clock.Forever
 	} else if s.since = min(s.since, now); now-s.since >= settles {
-		s.Over, s.since = over, clock.Forever
+		s.Overloaded, s.since = over, clock.Forever
 	}
-	if !s.Over {
+	if !s.Overloaded {
 		return nil
 	}
 	return s.divide(capacity, demands)
 }
 
 // divide shares out among the teams, by guarantee and up to their limits.
-func (s *Shares) divide(capacity float64, demands []Demand) []float64 {
-	asks := make([]quota.Ask, len(s.teams))
+func (s *TeamShares) divide(capacity float64, demands []Demand) []float64 {
+	asks := make([]quota.Request, len(s.teams))
 	for t, team := range s.teams {
 		for a, account := range s.accounts.Accounts {
 			if account.Team == team.Name {
-				asks[t].Want += units(demands[a].Held + demands[a].Waiting)
+				asks[t].Demand += units(demands[a].Held + demands[a].Waiting)
 			}
 		}
 		if team.Limit > 0 {
-			asks[t].Want = min(asks[t].Want, units(team.Limit))
+			asks[t].Demand = min(asks[t].Demand, units(team.Limit))
 		}
 		asks[t].Weight = max(units(team.Guarantee), 1)
 	}
@@ -145,4 +145,6 @@
 }
 
 // units is thousandths of a CPU.
-func units(cpus float64) int64 { return int64(math.Min(math.Max(cpus, 0)*milli, float64(quota.Most))) }
+func units(cpus float64) int64 {
+	return int64(math.Min(math.Max(cpus, 0)*milli, float64(quota.MaxAmount)))
+}
--- a/internal/admit/table.go
+++ b/internal/admit/table.go
@@ -18,18 +18,18 @@
 type Table struct {
 	Term, Number uint64
 	Digest       uint32 // of the account index
-	Valid        Micros // from when the node asked for it
-	Over         bool   // the machines are overloaded
+	ValidFor     Micros // from when the node asked for it
+	Overloaded   bool   // the machines are overloaded
 	Accounts     []Entry
 }
 
 // Entry is one account in a table. Rates are thousandths of a change a second.
 type Entry struct {
-	Rate  uint32 // of submissions, over all nodes
-	Part  uint32 // of it, for the node that holds the table
-	Slots uint32 // submissions are spread over this many tables; 1: taken as they come
+	Rate     uint32 // of submissions, over all nodes
+	NodeRate uint32 // of it, for the node that holds the table
+	Slots    uint32 // submissions are spread over this many tables; 1: taken as they come
 
-	Held, Waiting, Floor, Share uint32 // CPUs
+	Held, Waiting, MinShare, Share uint32 // CPUs
 }
 
 // Newer reports whether the table replaces an older one.
@@ -42,7 +42,7 @@
 // two users who were refused together need come back together. A number of slots is
 // a power of two: if it grows while somebody waits, what he was told is a step on the
 // way to his turn, which is never more than MaxSlots tables from his first attempt.
-func (t *Table) Turn(account int, job string) int {
+func (t *Table) SlotsUntil(account int, job string) int {
 	if account < 0 || account >= len(t.Accounts) {
 		return 0
 	}
@@ -103,22 +103,22 @@
 // valid is the life of a table, counted by its holder from when he asked and by the
 // leader from when it answered, with drift between the clocks.
 const (
-	valid      = 3 * clock.Second
-	validMost  = valid + valid/500
-	noticeLife = 5 * clock.Second
+	tableLifetime = 3 * clock.Second
+	validMost     = tableLifetime + tableLifetime/500
+	noticeLife    = 5 * clock.Second
 )
 
 // Allocator makes a leader's tables and keeps account of the parts that are out.
 type Allocator struct {
-	accounts *AccountIndex
-	self     string
-	term     uint64
-	limits   Limits
-	from     Micros // before, parts of an earlier leader may be in use
-	number   uint64
-	shared   []Entry // of the current number, without parts
-	nodes    map[string]*holder
-	over     bool
+	accounts   *AccountIndex
+	self       string
+	term       uint64
+	limits     Limits
+	grantsFrom Micros // before, parts of an earlier leader may be in use
+	number     uint64
+	shared     []Entry // of the current number, without parts
+	nodes      map[string]*holder
+	over       bool
 }
 
 // holder is a node that parts are given to.
@@ -138,9 +138,9 @@
 // NewAllocator begins a term: parts of earlier terms are waited for. Before the first there
 // were none, as terms begin with 1 and are never forgotten.
 func NewAllocator(accounts *AccountIndex, self string, term uint64, now Micros, limits Limits) *Allocator {
-	g := &Allocator{accounts: accounts, self: self, term: term, limits: limits, from: now + validMost, nodes: map[string]*holder{}}
+	g := &Allocator{accounts: accounts, self: self, term: term, limits: limits, grantsFrom: now + validMost, nodes: map[string]*holder{}}
 	if term <= 1 {
-		g.from = now
+		g.grantsFrom = now
 	}
 	return g
 }
@@ -149,7 +149,7 @@
 func (g *Allocator) SetLimits(l Limits) { g.limits = l }
 
 // Hear takes in what a node saw. What was made from other settings is ignored.
-func (g *Allocator) Hear(node string, n *Notice, now Micros) {
+func (g *Allocator) RecordNotice(node string, n *Notice, now Micros) {
 	if n == nil || n.Digest != g.accounts.Digest || len(n.Accounts) != g.accounts.Len() {
 		return
 	}
@@ -163,12 +163,12 @@
 
 // Next makes the table of the next second. demands and dues, of the machines, are
 // for those who look at it; dues may be nil.
-func (g *Allocator) Next(now Micros, over bool, demands []Demand, dues []Due) {
+func (g *Allocator) BuildTable(now Micros, over bool, demands []Demand, dues []Entitlement) {
 	g.number++
 	g.over = over
 	n := g.accounts.Len()
 	g.shared = make([]Entry, n)
-	asks := make([]quota.Ask, n)
+	asks := make([]quota.Request, n)
 	backlog := make([]int64, n)
 	active := int64(0)
 	for _, h := range g.nodes {
@@ -176,28 +176,28 @@
 			continue
 		}
 		for a, x := range h.notice.Accounts {
-			asks[a].Want += want(x)
+			asks[a].Demand += want(x)
 			backlog[a] += int64(x.Queued) + int64(x.Refused)
 		}
 	}
 	for a := range asks {
-		if asks[a].Want > 0 {
+		if asks[a].Demand > 0 {
 			active++
 		}
 	}
 	// Together the nodes take their bases too; the leader's own rate is for it to see.
 	total := g.limits.Pool + g.limits.Base*int64(max(len(g.nodes), 1))
 	for a := range asks {
-		asks[a].Floor, asks[a].Weight = total/(2*max(active, 1)), 1
+		asks[a].Minimum, asks[a].Weight = total/(2*max(active, 1)), 1
 	}
 	for a, rate := range quota.Divide(total, asks) {
 		e := &g.shared[a]
-		e.Rate, e.Slots = clip(rate), slots(backlog[a], max(rate, total/max(active, 1)))
+		e.Rate, e.Slots = clampUint32(rate), slots(backlog[a], max(rate, total/max(active, 1)))
 		if a < len(demands) {
-			e.Held, e.Waiting = clip(int64(demands[a].Held)), clip(int64(demands[a].Waiting))
+			e.Held, e.Waiting = clampUint32(int64(demands[a].Held)), clampUint32(int64(demands[a].Waiting))
 		}
 		if a < len(dues) {
-			e.Floor, e.Share = clip(int64(dues[a].Floor)), clip(int64(dues[a].Share))
+			e.MinShare, e.Share = clampUint32(int64(dues[a].MinShare)), clampUint32(int64(dues[a].Share))
 		}
 	}
 }
@@ -216,20 +216,20 @@
 	return min(uint32(1)<<min(bits.Len64(seconds-1), 31), MaxSlots)
 }
 
-func clip(x int64) uint32 { return uint32(min(max(x, 0), math.MaxUint32)) }
+func clampUint32(x int64) uint32 { return uint32(min(max(x, 0), math.MaxUint32)) }
 
 // Give answers a node that asks. Asked again under the same number it gets the same.
 // The parts in use never add up to more than an account's rate, nor in all to more
 // than the pool: a part that was given counts until it has surely ended, also where a
 // smaller one was given since, which may be lost on the way.
-func (g *Allocator) Give(node string, now Micros) *Table {
+func (g *Allocator) TableFor(node string, now Micros) *Table {
 	if g.number == 0 {
 		return nil
 	}
-	t := &Table{Term: g.term, Number: g.number, Digest: g.accounts.Digest, Valid: valid, Over: g.over,
+	t := &Table{Term: g.term, Number: g.number, Digest: g.accounts.Digest, ValidFor: tableLifetime, Overloaded: g.over,
 		Accounts: slices.Clone(g.shared)}
 	h := g.nodes[node]
-	if h == nil || node == g.self || now < g.from {
+	if h == nil || node == g.self || now < g.grantsFrom {
 		return t
 	}
 	if h.given != g.number {
@@ -237,7 +237,7 @@
 	}
 	h.out = append(h.out, grant{h.part, now + validMost})
 	for a := range t.Accounts {
-		t.Accounts[a].Part = h.part[a]
+		t.Accounts[a].NodeRate = h.part[a]
 	}
 	return t
 }
@@ -254,14 +254,14 @@
 	}
 	free := g.limits.Pool - inUse
 	for a := range out {
-		wants := make([]quota.Ask, 0, len(g.nodes))
+		wants := make([]quota.Request, 0, len(g.nodes))
 		at, others := -1, int64(0)
 		for name, h := range g.nodes {
 			if now-h.heard <= noticeLife && name != g.self {
 				if name == node {
 					at = len(wants)
 				}
-				wants = append(wants, quota.Ask{Want: want(h.notice.Accounts[a]), Weight: 1})
+				wants = append(wants, quota.Request{Demand: want(h.notice.Accounts[a]), Weight: 1})
 			}
 			if name != node {
 				others += int64(h.inUse(a, now))
@@ -271,7 +271,7 @@
 			continue
 		}
 		fair := quota.Divide(int64(g.shared[a].Rate), wants)[at]
-		out[a] = clip(min(fair, int64(g.shared[a].Rate)-others, free))
+		out[a] = clampUint32(min(fair, int64(g.shared[a].Rate)-others, free))
 		free -= int64(out[a])
 	}
 	return out
@@ -303,8 +303,8 @@
 }
 
 // Out is what of the pool others may be using: the leader does without it.
-func (g *Allocator) Out(now Micros) int64 {
-	if now < g.from {
+func (g *Allocator) Outstanding(now Micros) int64 {
+	if now < g.grantsFrom {
 		return g.limits.Pool
 	}
 	out := int64(0)
--- a/internal/bound/bound.go
+++ b/internal/bound/bound.go
@@ -31,42 +31,42 @@
 }
 
 // Step is what the machines have for the jobs from an instant on.
-type Step struct {
+type CapacityStep struct {
 	At   Micros
 	CPUs float64
 }
 
 // Day is a recorded day; the steps are in order.
-type Day struct {
-	Jobs []Job
-	Room []Step
+type Recording struct {
+	Jobs     []Job
+	Capacity []CapacityStep
 }
 
 // Result is the best that can be said of a day.
 type Result struct {
-	Least   float64            // no scheduler serves a larger part of every account's jobs
-	Mean    float64            // nor of all accounts in the mean
-	Reached map[string]float64 // what least work first reaches, by account
+	MinShareBound  float64            // no scheduler serves a larger part of every account's jobs
+	MeanShareBound float64            // nor of all accounts in the mean
+	GreedyShare    map[string]float64 // what least work first reaches, by account
 }
 
 // slot is the grain of time. A window reaches to the slots' outer ends and a bound on
 // what is done in it stays one.
-const slot = 5 * clock.Second
+const slotLength = 5 * clock.Second
 
 // grid is a day in slots.
 type grid struct {
-	room     []float64 // CPU-seconds of each slot
-	from, to []int     // of each job: its first slot and the one after its last
-	work     []float64
-	account  []int
-	hopeless []bool    // more work than all room in its window: cannot be served
-	count    []float64 // jobs by account
-	names    []string
+	slotCapacity []float64 // CPU-seconds of each slot
+	from, to     []int     // of each job: its first slot and the one after its last
+	work         []float64
+	account      []int
+	hopeless     []bool    // more work than all room in its window: cannot be served
+	count        []float64 // jobs by account
+	names        []string
 }
 
 // cut puts a day into slots; nil if there is nothing in it.
-func cut(d *Day) *grid {
-	if len(d.Jobs) == 0 || len(d.Room) == 0 {
+func newGrid(d *Recording) *grid {
+	if len(d.Jobs) == 0 || len(d.Capacity) == 0 {
 		return nil
 	}
 	start, end := clock.Forever, -clock.Forever
@@ -76,10 +76,10 @@
 	if end <= start {
 		return nil
 	}
-	g := &grid{room: make([]float64, int((end-start+slot-1)/slot))}
-	for i := range g.room {
-		a := start + Micros(i)*slot
-		g.room[i] = capacity(d.Room, a, a+slot)
+	g := &grid{slotCapacity: make([]float64, int((end-start+slotLength-1)/slotLength))}
+	for i := range g.slotCapacity {
+		a := start + Micros(i)*slotLength
+		g.slotCapacity[i] = capacity(d.Capacity, a, a+slotLength)
 	}
 	index := map[string]int{}
 	for _, j := range d.Jobs {
@@ -90,16 +90,16 @@
 			g.names, g.count = append(g.names, j.Account), append(g.count, 0)
 		}
 		g.count[a]++
-		first := int((j.From - start) / slot)
-		g.from, g.to = append(g.from, first), append(g.to, max(int((j.To-start+slot-1)/slot), first+1))
+		first := int((j.From - start) / slotLength)
+		g.from, g.to = append(g.from, first), append(g.to, max(int((j.To-start+slotLength-1)/slotLength), first+1))
 		g.work, g.account = append(g.work, j.Work), append(g.account, a)
-		g.hopeless = append(g.hopeless, sum(g.room[first:g.to[len(g.to)-1]]) < j.Work)
+		g.hopeless = append(g.hopeless, sum(g.slotCapacity[first:g.to[len(g.to)-1]]) < j.Work)
 	}
 	return g
 }
 
 // capacity is the CPU-seconds between two instants.
-func capacity(room []Step, from, to Micros) float64 {
+func capacity(room []CapacityStep, from, to Micros) float64 {
 	all := 0.0
 	for i, s := range room {
 		a, b := s.At, to
@@ -117,22 +117,22 @@
 }
 
 // Best works a day out.
-func Best(d *Day) Result {
-	g := cut(d)
+func ComputeBounds(d *Recording) Result {
+	g := newGrid(d)
 	if g == nil {
-		return Result{Reached: map[string]float64{}}
+		return Result{GreedyShare: map[string]float64{}}
 	}
 	equal, reached := g.equal(), g.greedy()
-	r := Result{Least: min(g.least(equal, reached), 1), Mean: g.mean(equal, reached), Reached: map[string]float64{}}
+	r := Result{MinShareBound: min(g.least(equal, reached), 1), MeanShareBound: g.mean(equal, reached), GreedyShare: map[string]float64{}}
 	for a, name := range g.names {
-		r.Reached[name] = reached[a]
+		r.GreedyShare[name] = reached[a]
 	}
 	return r
 }
 
 // Mean is the part of Best's result that costs little.
-func Mean(d *Day) float64 {
-	if g := cut(d); g != nil {
+func MeanBound(d *Recording) float64 {
+	if g := newGrid(d); g != nil {
 		return g.mean(g.equal(), g.greedy())
 	}
 	return 0
@@ -168,19 +168,19 @@
 			worth[i] = weights[a] / g.count[a]
 		}
 	}
-	prices := make([]float64, len(g.room))
+	prices := make([]float64, len(g.slotCapacity))
 	uniform := g.uniform(worth)
 	for t := range prices {
 		prices[t] = uniform
 	}
 	best, parts := math.Inf(1), make([]float64, len(weights))
-	used := make([]float64, len(g.room))
+	used := make([]float64, len(g.slotCapacity))
 	for round := range priceRounds {
 		total := 0.0
 		clear(used)
 		served := make([]float64, len(weights))
 		for t, p := range prices {
-			total += p * g.room[t]
+			total += p * g.slotCapacity[t]
 		}
 		for i, work := range g.work {
 			least := slices.Min(prices[g.from[i]:g.to[i]])
@@ -198,12 +198,12 @@
 			room := 0.0
 			for t := g.from[i]; t < g.to[i]; t++ {
 				if prices[t] <= 1.02*least {
-					room += g.room[t] + 1e-9
+					room += g.slotCapacity[t] + 1e-9
 				}
 			}
 			for t := g.from[i]; t < g.to[i]; t++ {
 				if prices[t] <= 1.02*least {
-					used[t] += part * work * (g.room[t] + 1e-9) / room
+					used[t] += part * work * (g.slotCapacity[t] + 1e-9) / room
 				}
 			}
 		}
@@ -213,7 +213,7 @@
 		}
 		norm := 0.0
 		for t := range prices {
-			d := used[t] - g.room[t]
+			d := used[t] - g.slotCapacity[t]
 			norm += d * d
 		}
 		if norm == 0 || total <= reached {
@@ -221,7 +221,7 @@
 		}
 		step := (total - reached) / norm / math.Sqrt(1+float64(round)/20)
 		for t := range prices {
-			prices[t] = max(prices[t]+step*(used[t]-g.room[t]), 0)
+			prices[t] = max(prices[t]+step*(used[t]-g.slotCapacity[t]), 0)
 		}
 	}
 	return best, parts
@@ -235,7 +235,7 @@
 		order[i] = i
 	}
 	slices.SortFunc(order, func(x, y int) int { return cmp.Compare(worth[y]*g.work[x], worth[x]*g.work[y]) })
-	left := sum(g.room)
+	left := sum(g.slotCapacity)
 	for _, i := range order {
 		if left -= g.work[i]; left < 0 {
 			return worth[i] / g.work[i]
@@ -284,7 +284,7 @@
 // long as it fits into what is left of its window: a plan that could be kept if work could
 // be split at will.
 func (g *grid) greedy() []float64 {
-	left := slices.Clone(g.room)
+	left := slices.Clone(g.slotCapacity)
 	open := make([][]int, len(g.names))
 	for i, a := range g.account {
 		open[a] = append(open[a], i)
--- a/internal/bound/record.go
+++ b/internal/bound/record.go
@@ -17,20 +17,20 @@
 
 // Aims are the windows of the classes that a day is judged by: how long after it is ready
 // a job may be begun, or done.
-type Aims struct {
-	Begun, Done map[string]Micros
-	Deadline    []string // classes of which each job has its own time to be done
+type ObjectiveWindows struct {
+	StartWithin, FinishWithin map[string]Micros
+	DeadlineClasses           []string // classes of which each job has its own time to be done
 }
 
 // Served is what a recorded day did itself, by account.
-type Served struct{ Jobs, Begun, Done int }
+type Observed struct{ Jobs, StartedInTime, FinishedInTime int }
 
 // Read makes a day of a controllers' log at level debug: of the jobs that were over in it
 // and of what the machines had for them. Lines of all controllers may stand together, and
 // each may have something before its time. A job's work is its tasks' expected time at
 // the end, which is what they took, smoothed.
-func Read(r io.Reader, aims Aims) (*Day, map[string]*Served, error) {
-	d, served := &Day{}, map[string]*Served{}
+func ReadLog(r io.Reader, aims ObjectiveWindows) (*Recording, map[string]*Observed, error) {
+	d, served := &Recording{}, map[string]*Observed{}
 	raw, err := io.ReadAll(r)
 	if err != nil {
 		return nil, nil, err
@@ -64,7 +64,7 @@
 			return x
 		}
 		if f["msg"] == "fleet" {
-			d.Room = append(d.Room, Step{now, num("room")})
+			d.Capacity = append(d.Capacity, CapacityStep{now, num("room")})
 		} else {
 			d.add(f, now, num, aims, served)
 		}
@@ -73,16 +73,16 @@
 		}
 	}
 	// Of controllers whose clocks differ; a leader's own lines are in order.
-	slices.SortStableFunc(d.Room, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(d.Capacity, func(a, b CapacityStep) int { return cmp.Compare(a.At, b.At) })
 	return d, served, nil
 }
 
 // add enters a job that was over just now.
-func (d *Day) add(f map[string]string, now Micros, num func(string) float64, aims Aims, served map[string]*Served) {
+func (d *Recording) add(f map[string]string, now Micros, num func(string) float64, aims ObjectiveWindows, served map[string]*Observed) {
 	class := f["class"]
-	begun, isBegun := aims.Begun[class]
-	done, isDone := aims.Done[class]
-	if slices.Contains(aims.Deadline, class) {
+	begun, isBegun := aims.StartWithin[class]
+	done, isDone := aims.FinishWithin[class]
+	if slices.Contains(aims.DeadlineClasses, class) {
 		done, isDone = clock.FromSeconds(num("deadline")), true
 	}
 	if f["phase"] != wire.PhaseDone || f["kind"] == wire.KindService || !isBegun && !isDone {
@@ -93,20 +93,20 @@
 	j := Job{Account: f["team"] + "/" + class, From: ready, To: clock.Forever, Work: num("tasks") * num("cpus") * num("estimate")}
 	s := served[j.Account]
 	if s == nil {
-		s = &Served{}
+		s = &Observed{}
 		served[j.Account] = s
 	}
 	s.Jobs++
 	if isBegun {
 		j.To = ready + begun + span("estimate") // what is begun in time may run on
 		if b := span("began"); b > 0 && b-span("ready") <= begun {
-			s.Begun++
+			s.StartedInTime++
 		}
 	}
 	if isDone {
 		j.To = min(j.To, ready+done)
 		if now-ready <= done {
-			s.Done++
+			s.FinishedInTime++
 		}
 	}
 	d.Jobs = append(d.Jobs, j)
--- a/internal/bound/score.go
+++ b/internal/bound/score.go
@@ -11,19 +11,19 @@
 
 // Aim is one of the users' aims for a class: what part of its jobs is begun, or done, in
 // time, worth nothing where the part Worst misses it, and all where no more than Best does.
-type Aim struct {
+type Objective struct {
 	Class       string
-	Aims        Aims // the window
+	Windows     ObjectiveWindows // the window
 	Worst, Best float64
 	Weight      float64
 }
 
 // ParseAim reads KIND:CLASS:SECONDS:WORST:BEST:WEIGHT; the kind is begun, done, or, with
 // the seconds left empty, deadline.
-func ParseAim(text string) (Aim, error) {
+func ParseObjective(text string) (Objective, error) {
 	f := strings.Split(text, ":")
 	if len(f) != 6 {
-		return Aim{}, fmt.Errorf("aim %q: not KIND:CLASS:SECONDS:WORST:BEST:WEIGHT", text)
+		return Objective{}, fmt.Errorf("aim %q: not KIND:CLASS:SECONDS:WORST:BEST:WEIGHT", text)
 	}
 	numbers := [4]float64{}
 	for i, s := range f[2:] {
@@ -32,31 +32,31 @@
 		}
 		x, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(x > 0 && x < 1e9) {
-			return Aim{}, fmt.Errorf("aim %q: %q is not a number above 0", text, s)
+			return Objective{}, fmt.Errorf("aim %q: %q is not a number above 0", text, s)
 		}
 		numbers[i] = x
 	}
-	a := Aim{Class: f[1], Worst: numbers[1], Best: numbers[2], Weight: numbers[3]}
+	a := Objective{Class: f[1], Worst: numbers[1], Best: numbers[2], Weight: numbers[3]}
 	window := map[string]Micros{f[1]: clock.FromSeconds(numbers[0])}
 	switch f[0] {
 	case "begun":
-		a.Aims.Begun = window
+		a.Windows.StartWithin = window
 	case "done":
-		a.Aims.Done = window
+		a.Windows.FinishWithin = window
 	case "deadline":
-		a.Aims.Deadline = []string{f[1]}
+		a.Windows.DeadlineClasses = []string{f[1]}
 	default:
-		return Aim{}, fmt.Errorf("aim %q: the kind is begun, done or deadline", text)
+		return Objective{}, fmt.Errorf("aim %q: the kind is begun, done or deadline", text)
 	}
 	if a.Best >= a.Worst || a.Worst > 1 {
-		return Aim{}, fmt.Errorf("aim %q: best must lie below worst, and worst at 1 at most", text)
+		return Objective{}, fmt.Errorf("aim %q: best must lie below worst, and worst at 1 at most", text)
 	}
 	return a, nil
 }
 
 // Worth is what a day's part of jobs in time is worth: by the logarithm of what is missed,
 // so that half as many late is the same step anywhere.
-func (a Aim) Worth(part float64) float64 {
+func (a Objective) Score(part float64) float64 {
 	missed := 1 - part
 	if missed <= a.Best {
 		return 1
@@ -65,10 +65,10 @@
 }
 
 // Figure is the weighted mean of the worth of aims, each served to the part given.
-func Figure(aims []Aim, parts []float64) float64 {
+func MeanScore(aims []Objective, parts []float64) float64 {
 	sum, weights := 0.0, 0.0
 	for i, a := range aims {
-		sum += a.Weight * a.Worth(parts[i])
+		sum += a.Weight * a.Score(parts[i])
 		weights += a.Weight
 	}
 	return sum / max(weights, 1e-300)
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -16,7 +16,7 @@
 type Micros = clock.Micros
 
 // Answer is the reply to a worker's report.
-type Answer struct {
+type ReportAnswer struct {
 	Code   int
 	Body   wire.ReportAnswer
 	Leader string // with 421: where to report
@@ -27,27 +27,27 @@
 	Now() Micros
 	After(d Micros, f func())
 	// Message begins a message to another controller.
-	Message(kind fb.Kind) *peer.Msg
+	NewMessage(kind fb.Kind) *peer.Msg
 	// Ask sends it; done gets nil when no answer came in time.
-	Ask(node string, m *peer.Msg, timeout Micros, done func(*peer.Msg))
+	Call(node string, m *peer.Msg, timeout Micros, done func(*peer.Msg))
 	// Order sends commands to the worker at addr; see controller.Env.
-	Order(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report))
+	SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report))
 	// Leader is the controller that leads as far as is known, or "".
 	Leader() string
 	// Reaches reports whether another controller was heard of late and relays.
-	Reaches(node string) bool
+	Reachable(node string) bool
 }
 
 // Codes between controllers, beside those that a worker gets.
 const (
-	codeWhole     = 409 // the leader needs the whole report
-	codeNotLeader = 421 // another node leads, or none
-	codeMalformed = 400
-	codeBusy      = 503
+	codeNeedFullReport = 409 // the leader needs the whole report
+	codeNotLeader      = 421 // another node leads, or none
+	codeMalformed      = 400
+	codeBusy           = 503
 )
 
 // NotLeader answers a batch of reports at a node that does not lead.
-func NotLeader(reports int) []peer.RelayedAnswer {
+func NotLeaderAnswers(reports int) []peer.RelayedAnswer {
 	answers := make([]peer.RelayedAnswer, reports)
 	for i := range answers {
 		answers[i].Code = codeNotLeader
@@ -59,34 +59,34 @@
 const (
 	batchDelay = 10 * clock.Millisecond // of the first item of a batch
 	// answerWithin is how long the leader's answer to a batch is awaited.
-	answerWithin = 5 * clock.Second / 2
+	answerTimeout = 5 * clock.Second / 2
 	// retryWithin is how old a report may be to be sent again, to another leader.
-	retryWithin = clock.Second
+	maxRetryAge = clock.Second
 	// waitAtMost is how long an item may wait for its batch.
-	waitAtMost = clock.Second
+	maxQueueTime = clock.Second
 	// receivedWithin is how long a batch of orders, or of results, is counted as in flight
 	// without an answer.
-	receivedWithin = 2 * clock.Second
+	ackTimeout = 2 * clock.Second
 	// OrderWithin is how long the result of an order through another controller is
 	// awaited: what waits for its batch, the order's own time and the way back.
-	OrderWithin = waitAtMost + 2*clock.Second + waitAtMost
+	OrderTimeout = maxQueueTime + 2*clock.Second + maxQueueTime
 )
 
 // batchBounds are those of batches to one controller; a frame holds 256 KB, a report 64 KB at most.
-func batchBounds(waiting int) Bounds {
-	return Bounds{Items: 512, Bytes: 96 << 10, InFlight: 4, Waiting: waiting}
+func batchLimits(waiting int) BatchLimits {
+	return BatchLimits{MaxItems: 512, MaxBytes: 96 << 10, MaxInFlight: 4, MaxQueued: waiting}
 }
 
 // Counts are a controller's counters since its start.
-type Counts struct {
-	Relayed    uint64 // reports sent to the leader
-	Repeated   uint64 // of these, without their tasks: nothing was new
-	Batches    uint64
-	Unanswered uint64 // batches
-	Redirected uint64 // workers sent to the controller that carries them
-	Shed       uint64 // reports refused because too many wait
-	Orders     uint64 // sent to workers for the leader
-	Refused    uint64 // orders that this node had no connection for
-	Malformed  uint64 // items of a batch that could not be read
-	Delay      Micros // of the latest batch, until it was answered
+type Counters struct {
+	Relayed       uint64 // reports sent to the leader
+	Repeated      uint64 // of these, without their tasks: nothing was new
+	Batches       uint64
+	Unanswered    uint64 // batches
+	Redirected    uint64 // workers sent to the controller that carries them
+	Shed          uint64 // reports refused because too many wait
+	Orders        uint64 // sent to workers for the leader
+	RefusedOrders uint64 // orders that this node had no connection for
+	Malformed     uint64 // items of a batch that could not be read
+	BatchLatency  Micros // of the latest batch, until it was answered
 }
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -32,13 +32,13 @@
 	done func(*peer.Msg)
 }
 
-func (h *testHost) Now() Micros                    { return h.now }
-func (h *testHost) After(d Micros, f func())       { h.timers = append(h.timers, timer{h.now + d, f}) }
-func (h *testHost) Message(kind fb.Kind) *peer.Msg { return &peer.Msg{Kind: kind} }
-func (h *testHost) Leader() string                 { return h.leader }
-func (h *testHost) Reaches(node string) bool       { return !h.gone[node] }
+func (h *testHost) Now() Micros                       { return h.now }
+func (h *testHost) After(d Micros, f func())          { h.timers = append(h.timers, timer{h.now + d, f}) }
+func (h *testHost) NewMessage(kind fb.Kind) *peer.Msg { return &peer.Msg{Kind: kind} }
+func (h *testHost) Leader() string                    { return h.leader }
+func (h *testHost) Reachable(node string) bool        { return !h.gone[node] }
 
-func (h *testHost) Ask(to string, m *peer.Msg, timeout Micros, done func(*peer.Msg)) {
+func (h *testHost) Call(to string, m *peer.Msg, timeout Micros, done func(*peer.Msg)) {
 	answered := false
 	once := func(a *peer.Msg) {
 		if !answered {
@@ -50,7 +50,7 @@
 	h.After(timeout, func() { once(nil) })
 }
 
-func (h *testHost) Order(_ string, _ *wire.Orders, done func(store.Outcome, *wire.Report)) {
+func (h *testHost) SendOrders(_ string, _ *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	h.orders = append(h.orders, done)
 }
 
@@ -89,7 +89,7 @@
 
 func testRelay(h *testHost, waiting int) *Relay {
 	r := NewRelay(h, "self", lease, waiting, 2)
-	r.Put(relay.Table{Term: 1, Number: 1, Members: []string{"self"}})
+	r.ApplyTable(relay.Table{Term: 1, Number: 1, Members: []string{"self"}})
 	return r
 }
 
@@ -98,28 +98,30 @@
 }
 
 // codes collects the answers that a worker gets.
-func codes(got *[]int) func(Answer) { return func(a Answer) { *got = append(*got, a.Code) } }
+func codes(got *[]int) func(ReportAnswer) {
+	return func(a ReportAnswer) { *got = append(*got, a.Code) }
+}
 
 // TestRepeatedReport follows a worker that has nothing new: the leader is sent its tasks
 // once, and again when it does not have them.
 func TestRepeatedReport(t *testing.T) {
 	h := newHost()
 	r, router, got := testRelay(h, 10), NewRouter(h, 7, 10), []int{}
-	r.Redirect(report(1))
+	r.RedirectTarget(report(1))
 	var seen []*wire.Report
-	decide := func(rep *wire.Report) Answer {
+	decide := func(rep *wire.Report) ReportAnswer {
 		seen = append(seen, rep)
-		return Answer{Code: 200, Body: wire.ReportAnswer{Token: 7}}
+		return ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: 7}}
 	}
 	running := wire.TaskReport{Task: "req-000001/0", Attempt: 3, State: wire.TaskRunning}
 	step := func(rep *wire.Report, whole bool) {
 		t.Helper()
-		r.Take(rep, codes(&got))
+		r.Forward(rep, codes(&got))
 		a := h.next(t)
-		if (a.m.Relayed[0].Body != nil) != whole {
+		if (a.m.RelayedReports[0].Body != nil) != whole {
 			t.Fatalf("report %d: whole is %v", rep.Seq, !whole)
 		}
-		a.done(&peer.Msg{Answers: router.Reports("self", a.m.Relayed, decide)})
+		a.done(&peer.Msg{ReportAnswers: router.HandleReports("self", a.m.RelayedReports, decide)})
 		if last := seen[len(seen)-1]; whole && (last.Seq != rep.Seq || len(last.Tasks) != len(rep.Tasks)) {
 			t.Fatalf("report %d: the leader saw %+v", rep.Seq, last)
 		}
@@ -127,26 +129,26 @@
 	step(report(1, running), true)
 	step(report(2, running), false)
 	step(report(3, running), false)
-	step(report(4), true) // the task is gone
-	router.Direct("m-1")  // it reported to the leader itself meanwhile
-	r.Take(report(5), codes(&got))
+	step(report(4), true)     // the task is gone
+	router.RemoveRoute("m-1") // it reported to the leader itself meanwhile
+	r.Forward(report(5), codes(&got))
 	a := h.next(t)
-	answers := router.Reports("self", a.m.Relayed, decide)
-	if answers[0].Code != codeWhole {
+	answers := router.HandleReports("self", a.m.RelayedReports, decide)
+	if answers[0].Code != codeNeedFullReport {
 		t.Fatalf("answered %d without the report that it repeats", answers[0].Code)
 	}
-	a.done(&peer.Msg{Answers: answers})
+	a.done(&peer.Msg{ReportAnswers: answers})
 	a = h.next(t)
-	if a.m.Relayed[0].Body == nil {
+	if a.m.RelayedReports[0].Body == nil {
 		t.Error("the report is not sent whole when it is asked for")
 	}
-	a.done(&peer.Msg{Answers: router.Reports("self", a.m.Relayed, decide)})
+	a.done(&peer.Msg{ReportAnswers: router.HandleReports("self", a.m.RelayedReports, decide)})
 	if len(got) != 5 || got[4] != 200 {
 		t.Errorf("answers %v", got)
 	}
 	// A report that repeats another than the leader has is not taken for it.
-	stale := peer.RelayedReport{Machine: "m-1", Session: 1, Seq: 9, Token: 7, Base: 3}
-	if code := router.Reports("self", []peer.RelayedReport{stale}, decide)[0].Code; code != codeWhole {
+	stale := peer.RelayedReport{Machine: "m-1", Session: 1, Seq: 9, Token: 7, BaseSeq: 3}
+	if code := router.HandleReports("self", []peer.RelayedReport{stale}, decide)[0].Code; code != codeNeedFullReport {
 		t.Errorf("a report based on an older one is answered %d", code)
 	}
 }
@@ -155,25 +157,25 @@
 func TestUndecidedReports(t *testing.T) {
 	h := newHost()
 	r, got := testRelay(h, 10), []int{}
-	r.Take(report(1), codes(&got))
+	r.Forward(report(1), codes(&got))
 	a := h.next(t)
 	h.leader = "successor"
-	a.done(&peer.Msg{Answers: NotLeader(1)})
-	h.run(retryWithin / 2)
+	a.done(&peer.Msg{ReportAnswers: NotLeaderAnswers(1)})
+	h.run(maxRetryAge / 2)
 	if a = h.next(t); a.to != "successor" {
 		t.Fatalf("sent again to %s", a.to)
 	}
-	h.run(answerWithin) // no answer, and nobody else leads: the worker looks elsewhere
+	h.run(answerTimeout) // no answer, and nobody else leads: the worker looks elsewhere
 	if len(got) != 1 || got[0] != codeBusy {
 		t.Fatalf("answers %v", got)
 	}
 	h.leader = ""
-	r.Take(report(2), codes(&got))
-	h.run(retryWithin / 2)
+	r.Forward(report(2), codes(&got))
+	h.run(maxRetryAge / 2)
 	if len(got) != 1 {
 		t.Error("sent away at once while a leader is being elected")
 	}
-	h.run(2 * retryWithin)
+	h.run(2 * maxRetryAge)
 	if len(got) != 2 || got[1] != codeBusy {
 		t.Errorf("answers %v", got)
 	}
@@ -184,7 +186,7 @@
 	h := newHost()
 	r, got := testRelay(h, 3), []int{}
 	for seq := range uint64(40) {
-		r.Take(report(seq+1), codes(&got))
+		r.Forward(report(seq+1), codes(&got))
 	}
 	if len(got) != 37 || r.Shed != 37 {
 		t.Errorf("%d reports shed at once", len(got))
@@ -197,7 +199,7 @@
 	router := NewRouter(h, 7, 2)
 	var got []store.Outcome
 	send := func() ask {
-		router.Order("carrier", "10.0.0.1:9", &wire.Orders{Token: 7, Session: 1}, func(o store.Outcome, _ *wire.Report) { got = append(got, o) })
+		router.SendOrders("carrier", "10.0.0.1:9", &wire.Orders{Token: 7, Session: 1}, func(o store.Outcome, _ *wire.Report) { got = append(got, o) })
 		return h.next(t)
 	}
 	expect := func(what string, want ...store.Outcome) {
@@ -208,18 +210,18 @@
 	}
 	a := send()
 	id := a.m.Orders[0].ID
-	router.Results([]peer.OrderResult{{ID: id + 1}, {ID: id, Outcome: uint8(store.OK)}, {ID: id, Outcome: uint8(store.Failed)}})
+	router.HandleResults([]peer.OrderResult{{ID: id + 1}, {ID: id, Outcome: uint8(store.OK)}, {ID: id, Outcome: uint8(store.Failed)}})
 	expect("answered, once", store.OK)
 	a = send()
-	router.Results([]peer.OrderResult{{ID: a.m.Orders[0].ID, Outcome: 250}})
+	router.HandleResults([]peer.OrderResult{{ID: a.m.Orders[0].ID, Outcome: 250}})
 	expect("an outcome that makes no sense", store.OK, store.Unknown)
 	a = send()
 	a.done(nil) // the batch may have arrived all the same
-	h.run(OrderWithin / 2)
+	h.run(OrderTimeout / 2)
 	expect("the batch unanswered", store.OK, store.Unknown)
-	h.run(OrderWithin)
+	h.run(OrderTimeout)
 	expect("no result", store.OK, store.Unknown, store.Unknown)
-	router.Results([]peer.OrderResult{{ID: a.m.Orders[0].ID, Outcome: uint8(store.OK)}})
+	router.HandleResults([]peer.OrderResult{{ID: a.m.Orders[0].ID, Outcome: uint8(store.OK)}})
 	expect("a result too late", store.OK, store.Unknown, store.Unknown)
 }
 
@@ -229,22 +231,22 @@
 	router := NewRouter(h, 7, 100)
 	refused := 0
 	for range 8 {
-		router.Order("carrier", "10.0.0.1:9", &wire.Orders{Token: 7}, func(o store.Outcome, _ *wire.Report) {
+		router.SendOrders("carrier", "10.0.0.1:9", &wire.Orders{Token: 7}, func(o store.Outcome, _ *wire.Report) {
 			if o == store.Refused {
 				refused++
 			}
 		})
 		h.run(2 * batchDelay)
 	}
-	if len(h.asked) != batchBounds(1).InFlight {
+	if len(h.asked) != batchLimits(1).MaxInFlight {
 		t.Fatalf("%d batches in flight", len(h.asked))
 	}
 	sent := len(h.asked)
-	h.run(waitAtMost * 3 / 2)
+	h.run(maxQueueTime * 3 / 2)
 	if refused != 8-sent {
 		t.Errorf("%d refused in time", refused)
 	}
-	h.run(OrderWithin)
+	h.run(OrderTimeout)
 	if len(h.asked) != sent {
 		t.Errorf("%d batches sent after all", len(h.asked)-sent)
 	}
@@ -256,17 +258,17 @@
 	h := newHost()
 	r := testRelay(h, 10)
 	body := wire.Encode(&wire.Orders{Token: 7, Session: 1})
-	r.OnOrders("leader", []peer.Order{{ID: 1, Addr: "a", Body: body}, {ID: 2, Addr: "a", Body: []byte{0xc1}}, {ID: 3, Body: body},
+	r.HandleOrders("leader", []peer.Order{{ID: 1, Addr: "a", Body: body}, {ID: 2, Addr: "a", Body: []byte{0xc1}}, {ID: 3, Body: body},
 		{ID: 4, Addr: "a", Body: body}, {ID: 5, Addr: "a", Body: body}})
 	h.orders[0](store.OK, report(2))
 	a := h.next(t)
 	outcome := map[uint64]store.Outcome{}
-	for _, x := range a.m.Results {
+	for _, x := range a.m.OrderResults {
 		outcome[x.ID] = store.Outcome(x.Outcome)
 	}
 	if a.m.Kind != fb.KindResults || len(h.orders) != 2 || outcome[1] != store.OK || outcome[2] != store.Refused ||
-		outcome[3] != store.Refused || outcome[5] != store.Refused || r.Malformed != 2 || r.Refused != 1 {
-		t.Errorf("%d sent, outcomes %v, %d malformed, %d refused", len(h.orders), outcome, r.Malformed, r.Refused)
+		outcome[3] != store.Refused || outcome[5] != store.Refused || r.Malformed != 2 || r.RefusedOrders != 1 {
+		t.Errorf("%d sent, outcomes %v, %d malformed, %d refused", len(h.orders), outcome, r.Malformed, r.RefusedOrders)
 	}
 }
 
@@ -275,9 +277,9 @@
 	router := NewRouter(newHost(), 7, 10)
 	other := report(1)
 	other.Machine = "m-2"
-	answers := router.Reports("carrier", []peer.RelayedReport{{Machine: "m-1", Body: []byte{0xc1}},
+	answers := router.HandleReports("carrier", []peer.RelayedReport{{Machine: "m-1", Body: []byte{0xc1}},
 		{Machine: "m-1", Body: wire.Encode(other)}, {Machine: "m-2", Body: wire.Encode(other)}},
-		func(*wire.Report) Answer { return Answer{Code: 200, Body: wire.ReportAnswer{Token: 7}} })
+		func(*wire.Report) ReportAnswer { return ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: 7}} })
 	if answers[0].Code != codeMalformed || answers[1].Code != codeMalformed || answers[2].Code != 200 || router.Malformed != 2 {
 		t.Errorf("%+v, %d malformed", answers, router.Malformed)
 	}
--- a/internal/carrier/relay.go
+++ b/internal/carrier/relay.go
@@ -26,7 +26,7 @@
 	sending int // orders under way
 	moves   float64
 	moved   Micros
-	Counts
+	Counters
 }
 
 // worker is what a controller knows of a worker that reports to it.
@@ -46,7 +46,7 @@
 	since  Micros
 	whole  bool // the leader asked for all of it
 	item   peer.RelayedReport
-	reply  func(Answer)
+	reply  func(ReportAnswer)
 }
 
 // Limits of a relay.
@@ -66,13 +66,13 @@
 func NewRelay(host Host, self string, lease Micros, waiting, orders int) *Relay {
 	r := &Relay{host: host, self: self, lease: lease, orders: orders, told: -clock.Forever,
 		results: map[string]*queue[peer.OrderResult]{}, workers: map[string]*worker{}}
-	r.reports = &queue[*pending]{host: host, batch: relay.NewBatcher[*pending](batchBounds(waiting)), send: r.send,
-		drop: func(p *pending) { p.reply(Answer{Code: codeBusy}) }}
+	r.reports = &queue[*pending]{host: host, batcher: relay.NewBatcher[*pending](batchLimits(waiting)), send: r.send,
+		onExpired: func(p *pending) { p.reply(ReportAnswer{Code: codeBusy}) }}
 	return r
 }
 
 // Put takes over the table that a leader tells, or confirms; it reports whether it changed.
-func (r *Relay) Put(t relay.Table) bool {
+func (r *Relay) ApplyTable(t relay.Table) bool {
 	if t.Newer(&r.table) {
 		changed := !slices.Equal(t.Members, r.table.Members)
 		r.table, r.told = t, r.host.Now()
@@ -85,13 +85,13 @@
 }
 
 // InForce reports whether workers' reports are relayed, as far as this node knows.
-func (r *Relay) InForce() bool { return r.table.InForce() && r.host.Now()-r.told <= tableLife }
+func (r *Relay) Active() bool { return r.table.Active() && r.host.Now()-r.told <= tableLife }
 
 // Table is the latest that was told.
 func (r *Relay) Table() relay.Table { return r.table }
 
 // Workers is how many workers report to this node.
-func (r *Relay) Workers() int {
+func (r *Relay) WorkerCount() int {
 	n := 0
 	for _, w := range r.workers {
 		if r.host.Now()-w.heard < r.lease/2 && w.sent < w.heard {
@@ -102,10 +102,10 @@
 }
 
 // Waiting is how many reports wait for their batch.
-func (r *Relay) Waiting() int { return r.reports.batch.Len() }
+func (r *Relay) QueuedReports() int { return r.reports.batcher.Len() }
 
 // Tidy forgets workers that have not reported for long.
-func (r *Relay) Tidy() {
+func (r *Relay) PruneWorkers() {
 	now := r.host.Now()
 	for id, w := range r.workers {
 		if now-w.heard > 2*r.lease {
@@ -115,7 +115,7 @@
 }
 
 // Redirect is the controller that a worker should report to instead, or "".
-func (r *Relay) Redirect(report *wire.Report) string {
+func (r *Relay) RedirectTarget(report *wire.Report) string {
 	now := r.host.Now()
 	w := r.workers[report.Machine]
 	if w == nil {
@@ -124,7 +124,7 @@
 	}
 	stranger := w.heard == 0 || now-w.heard > r.lease
 	w.heard = now
-	to := r.table.Carrier(report.Machine)
+	to := r.table.RelayFor(report.Machine)
 	if to == r.self {
 		w.kept = 0
 		return ""
@@ -132,7 +132,7 @@
 	if w.kept == 0 && (stranger && report.Token >= r.table.Term || w.to == to && w.sent > 0 && now-w.sent < r.lease) {
 		w.kept = now // it comes from there, or was sent there and is back: it does not reach it
 	}
-	if !r.host.Reaches(to) || w.kept > 0 && now-w.kept < keepFor || !r.mayMove(now) {
+	if !r.host.Reachable(to) || w.kept > 0 && now-w.kept < keepFor || !r.mayMove(now) {
 		return ""
 	}
 	w.sent, w.to, w.kept = now, to, 0
@@ -153,7 +153,7 @@
 }
 
 // Take hands a worker's report on to the leader, and the answer back.
-func (r *Relay) Take(report *wire.Report, reply func(Answer)) {
+func (r *Relay) Forward(report *wire.Report, reply func(ReportAnswer)) {
 	r.add(&pending{report: report, since: r.host.Now(), reply: reply})
 }
 
@@ -161,7 +161,7 @@
 	p.item = r.item(p)
 	if !r.reports.add(p, p.item.Size()) {
 		r.Shed++
-		p.reply(Answer{Code: codeBusy})
+		p.reply(ReportAnswer{Code: codeBusy})
 	}
 }
 
@@ -170,7 +170,7 @@
 	report := p.report
 	item := peer.RelayedReport{Machine: report.Machine, Session: report.Session, Seq: report.Seq, Token: report.Token}
 	if w := r.workers[report.Machine]; !p.whole && w != nil && repeats(report, w.answered) && report.Token == w.term {
-		item.Base = w.answered.Seq
+		item.BaseSeq = w.answered.Seq
 		return item
 	}
 	item.Body = wire.Encode(report)
@@ -181,39 +181,39 @@
 func repeats(r, before *wire.Report) bool {
 	return before != nil && r.Session == before.Session && r.Seq > before.Seq && r.Addr == before.Addr &&
 		r.Type == before.Type && r.Zone == before.Zone && r.Spot == before.Spot &&
-		r.Notice == nil && before.Notice == nil && slices.Equal(r.Tasks, before.Tasks)
+		r.ReclaimNoticeSeconds == nil && before.ReclaimNoticeSeconds == nil && slices.Equal(r.Tasks, before.Tasks)
 }
 
 // send asks the leader about a batch of reports.
 func (r *Relay) send(batch []*pending, done func()) {
 	leader := r.host.Leader()
-	if leader == "" || leader == r.self || !r.host.Reaches(leader) {
+	if leader == "" || leader == r.self || !r.host.Reachable(leader) {
 		r.host.After(0, func() {
 			done()
 			r.again(batch, leader)
 		})
 		return
 	}
-	m := r.host.Message(fb.KindReports)
+	m := r.host.NewMessage(fb.KindReports)
 	for _, p := range batch {
 		if p.item.Body == nil {
 			r.Repeated++
 		}
-		m.Relayed = append(m.Relayed, p.item)
+		m.RelayedReports = append(m.RelayedReports, p.item)
 	}
 	r.Batches++
 	r.Relayed += uint64(len(batch))
 	asked := r.host.Now()
-	r.host.Ask(leader, m, answerWithin, func(a *peer.Msg) {
-		r.Delay = r.host.Now() - asked
+	r.host.Call(leader, m, answerTimeout, func(a *peer.Msg) {
+		r.BatchLatency = r.host.Now() - asked
 		done()
-		if a == nil || len(a.Answers) != len(batch) {
-			r.Counts.Unanswered++
+		if a == nil || len(a.ReportAnswers) != len(batch) {
+			r.Counters.Unanswered++
 			r.again(batch, leader)
 			return
 		}
 		for i, p := range batch {
-			r.answer(p, &a.Answers[i], leader)
+			r.answer(p, &a.ReportAnswers[i], leader)
 		}
 	})
 }
@@ -224,14 +224,14 @@
 func (r *Relay) again(batch []*pending, leader string) {
 	now := r.host.Now()
 	for _, p := range batch {
-		if now-p.since <= retryWithin && (leader == "" || r.host.Leader() != leader) && r.host.Leader() != r.self {
-			r.host.After(retryWithin/10, func() { r.add(p) })
+		if now-p.since <= maxRetryAge && (leader == "" || r.host.Leader() != leader) && r.host.Leader() != r.self {
+			r.host.After(maxRetryAge/10, func() { r.add(p) })
 			continue
 		}
 		if w := r.workers[p.report.Machine]; w != nil {
 			w.answered = nil
 		}
-		p.reply(Answer{Code: codeBusy})
+		p.reply(ReportAnswer{Code: codeBusy})
 	}
 }
 
@@ -239,7 +239,7 @@
 func (r *Relay) answer(p *pending, a *peer.RelayedAnswer, leader string) {
 	w := r.workers[p.report.Machine]
 	switch a.Code {
-	case codeWhole:
+	case codeNeedFullReport:
 		if !p.whole {
 			p.whole = true
 			r.add(p)
@@ -249,7 +249,7 @@
 		r.again([]*pending{p}, leader)
 		return
 	case 200:
-		answer := Answer{Code: 200, Body: wire.ReportAnswer{Token: a.Token, Commands: []wire.Command{}}}
+		answer := ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: a.Token, Commands: []wire.Command{}}}
 		if a.Body != nil && wire.Decode(a.Body, &answer.Body) != nil {
 			r.Malformed++
 			break
@@ -263,12 +263,12 @@
 	if w != nil {
 		w.answered = nil
 	}
-	p.reply(Answer{Code: codeBusy})
+	p.reply(ReportAnswer{Code: codeBusy})
 }
 
 // OnOrders sends the orders of a leader to their workers. Each is sent at once or not at
 // all; what became of it goes back in batches.
-func (r *Relay) OnOrders(from string, orders []peer.Order) {
+func (r *Relay) HandleOrders(from string, orders []peer.Order) {
 	for _, o := range orders {
 		var body wire.Orders
 		if o.Addr == "" || wire.Decode(o.Body, &body) != nil {
@@ -278,13 +278,13 @@
 			continue
 		}
 		if r.sending >= r.orders {
-			r.Refused++
+			r.RefusedOrders++
 			r.result(from, peer.OrderResult{ID: o.ID, Outcome: uint8(store.Refused)})
 			continue
 		}
 		r.sending++
 		r.Orders++
-		r.host.Order(o.Addr, &body, func(outcome store.Outcome, report *wire.Report) {
+		r.host.SendOrders(o.Addr, &body, func(outcome store.Outcome, report *wire.Report) {
 			r.sending--
 			result := peer.OrderResult{ID: o.ID, Outcome: uint8(outcome)}
 			if report != nil {
@@ -299,8 +299,8 @@
 func (r *Relay) result(to string, result peer.OrderResult) {
 	q := r.results[to]
 	if q == nil {
-		q = newOneWay(r.host, to, 4*r.orders, fb.KindResults,
-			func(m *peer.Msg, items []peer.OrderResult) { m.Results = items }, func(peer.OrderResult) {})
+		q = newOneWayQueue(r.host, to, 4*r.orders, fb.KindResults,
+			func(m *peer.Msg, items []peer.OrderResult) { m.OrderResults = items }, func(peer.OrderResult) {})
 		r.results[to] = q
 	}
 	q.add(result, result.Size())
--- a/internal/carrier/router.go
+++ b/internal/carrier/router.go
@@ -45,9 +45,9 @@
 }
 
 // Judge decides who relays; it reports whether that changed.
-func (r *Router) Judge(self string, workers, from int, candidates []relay.Candidate) bool {
+func (r *Router) UpdateMembership(self string, workers, from int, candidates []relay.Candidate) bool {
 	r.judged = true
-	return r.members.Judge(r.host.Now(), self, workers, from, candidates)
+	return r.members.Update(r.host.Now(), self, workers, from, candidates)
 }
 
 // Table is what the leader tells the others; nil before it has decided for the first
@@ -61,7 +61,7 @@
 }
 
 // Carried counts the workers by the controller that carries them.
-func (r *Router) Carried() map[string]int {
+func (r *Router) WorkersPerRelay() map[string]int {
 	count := map[string]int{}
 	for _, x := range r.routes {
 		count[x.via]++
@@ -70,22 +70,22 @@
 }
 
 // Direct notes that a worker reports to the leader itself, or is gone.
-func (r *Router) Direct(machine string) { delete(r.routes, machine) }
+func (r *Router) RemoveRoute(machine string) { delete(r.routes, machine) }
 
 // Via is the controller through which a worker can be told something, or "".
-func (r *Router) Via(machine string) string {
-	if x := r.routes[machine]; x != nil && r.host.Reaches(x.via) {
+func (r *Router) RelayFor(machine string) string {
+	if x := r.routes[machine]; x != nil && r.host.Reachable(x.via) {
 		return x.via
 	}
 	return ""
 }
 
 // MayOrder reports whether one more order may go through a controller.
-func (r *Router) MayOrder(via string) bool { return r.underway[via] < r.limit }
+func (r *Router) CanSendOrders(via string) bool { return r.underway[via] < r.limit }
 
 // Reports answers a batch that a controller relays; decide is the leader's own decision on
 // one report.
-func (r *Router) Reports(from string, batch []peer.RelayedReport, decide func(*wire.Report) Answer) []peer.RelayedAnswer {
+func (r *Router) HandleReports(from string, batch []peer.RelayedReport, decide func(*wire.Report) ReportAnswer) []peer.RelayedAnswer {
 	answers := make([]peer.RelayedAnswer, len(batch))
 	for i := range batch {
 		answers[i] = r.report(from, &batch[i], decide)
@@ -93,7 +93,7 @@
 	return answers
 }
 
-func (r *Router) report(from string, item *peer.RelayedReport, decide func(*wire.Report) Answer) peer.RelayedAnswer {
+func (r *Router) report(from string, item *peer.RelayedReport, decide func(*wire.Report) ReportAnswer) peer.RelayedAnswer {
 	report, code := r.restore(item)
 	if report == nil {
 		return peer.RelayedAnswer{Code: code}
@@ -122,8 +122,8 @@
 		return report, 0
 	}
 	x := r.routes[item.Machine]
-	if x == nil || x.last.Session != item.Session || x.last.Seq != item.Base {
-		return nil, codeWhole
+	if x == nil || x.last.Session != item.Session || x.last.Seq != item.BaseSeq {
+		return nil, codeNeedFullReport
 	}
 	report := *x.last
 	report.Seq, report.Token = item.Seq, item.Token
@@ -132,7 +132,7 @@
 
 // Order sends commands to a worker through another controller. Without a result in time
 // the outcome is unknown: the order may yet be carried out.
-func (r *Router) Order(via, addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
+func (r *Router) SendOrders(via, addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	r.sent++
 	id := r.term<<32 | r.sent&0xffffffff
 	item := peer.Order{ID: id, Addr: addr, Body: wire.Encode(orders)}
@@ -142,13 +142,13 @@
 		r.settle(id, store.Refused, nil)
 		return
 	}
-	r.host.After(OrderWithin, func() { r.settle(id, store.Unknown, nil) })
+	r.host.After(OrderTimeout, func() { r.settle(id, store.Unknown, nil) })
 }
 
 func (r *Router) queueTo(via string) *queue[peer.Order] {
 	q := r.orders[via]
 	if q == nil {
-		q = newOneWay(r.host, via, r.limit, fb.KindOrders, func(m *peer.Msg, items []peer.Order) { m.Orders = items },
+		q = newOneWayQueue(r.host, via, r.limit, fb.KindOrders, func(m *peer.Msg, items []peer.Order) { m.Orders = items },
 			func(o peer.Order) { r.settle(o.ID, store.Refused, nil) }) // it was never sent
 		r.orders[via] = q
 	}
@@ -168,7 +168,7 @@
 
 // Results takes in what became of orders. What is not of this term, or was given up, is
 // ignored.
-func (r *Router) Results(results []peer.OrderResult) {
+func (r *Router) HandleResults(results []peer.OrderResult) {
 	for _, x := range results {
 		var report *wire.Report
 		if x.Body != nil {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -16,19 +16,19 @@
 
 // HTTP is the cloud over the network; post runs a function on the owner
 // goroutine.
-type HTTP struct {
+type HTTPClient struct {
 	client *rpc.Client
 	post   func(func())
 }
 
 // NewHTTP makes a client of the cloud at addr.
-func NewHTTP(addr string, post func(func())) *HTTP {
-	return &HTTP{client: rpc.New(addr), post: post}
+func NewHTTPClient(addr string, post func(func())) *HTTPClient {
+	return &HTTPClient{client: rpc.New(addr), post: post}
 }
 
 const timeout = 5 * time.Second
 
-func call[T any](h *HTTP, method, path string, in any, done func(store.Outcome, *T)) {
+func call[T any](h *HTTPClient, method, path string, in any, done func(store.Outcome, *T)) {
 	go func() {
 		out := new(T)
 		status, raw, _, err := h.client.Call(method, path, in, out, timeout)
@@ -56,24 +56,24 @@
 }
 
 // Catalog reads the machine types.
-func (h *HTTP) Catalog(done func(store.Outcome, *wire.Catalog)) {
+func (h *HTTPClient) Catalog(done func(store.Outcome, *wire.Catalog)) {
 	call(h, http.MethodGet, "/catalog", nil, done)
 }
 
 // Rent rents machines.
-func (h *HTTP) Rent(r *wire.RentRequest, done func(store.Outcome, []string)) {
-	call(h, http.MethodPost, "/machines", r, func(o store.Outcome, n *wire.MachineNames) { done(o, n.Machines) })
+func (h *HTTPClient) Rent(r *wire.RentRequest, done func(store.Outcome, []string)) {
+	call(h, http.MethodPost, "/machines", r, func(o store.Outcome, n *wire.MachineIDs) { done(o, n.Machines) })
 }
 
 // Release returns machines.
-func (h *HTTP) Release(ids []string, done func(store.Outcome)) {
+func (h *HTTPClient) Release(ids []string, done func(store.Outcome)) {
 	type none struct{}
-	call(h, http.MethodPost, "/machines/release", &wire.MachineNames{Machines: ids},
+	call(h, http.MethodPost, "/machines/release", &wire.MachineIDs{Machines: ids},
 		func(o store.Outcome, _ *none) { done(o) })
 }
 
 // List reads a page of machines.
-func (h *HTTP) List(after string, limit int, done func(store.Outcome, *wire.MachineList)) {
+func (h *HTTPClient) List(after string, limit int, done func(store.Outcome, *wire.MachineList)) {
 	q := url.Values{"limit": {strconv.Itoa(limit)}}
 	if after != "" {
 		q.Set("since", after)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -40,7 +40,7 @@
 // State is the limits of the state service. Next, if given, holds those that
 // it will have from some moment after an upgrade; a limit that is missing there
 // stays as it is.
-type State struct {
+type StateLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
 	ValueKB  float64 `json:"value_kb"`
@@ -54,7 +54,7 @@
 }
 
 // Lowest is the smaller of the present and the next limits, each for itself.
-func (s State) Lowest() State {
+func (s StateLimits) Lowest() StateLimits {
 	if n := s.Next; n != nil {
 		lower(&s.RPS, n.RPS)
 		lower(&s.WriteRPS, n.WriteRPS)
@@ -72,7 +72,7 @@
 }
 
 // ValueBytes is the size of the largest value.
-func (s State) ValueBytes() int { return int(s.ValueKB * 1024) }
+func (s StateLimits) ValueBytes() int { return int(s.ValueKB * 1024) }
 
 // Config is the platform's settings file.
 type Config struct {
@@ -97,7 +97,7 @@
 			GangPeer float64 `json:"gang_peer_s"`
 			Cancel   float64 `json:"cancel_s"`
 		} `json:"workers"`
-		State State `json:"state"`
+		State StateLimits `json:"state"`
 		Cloud struct {
 			RPS     float64 `json:"rps"`
 			ListLag float64 `json:"list_lag_s"`
@@ -233,18 +233,18 @@
 }
 
 // ReportEvery is the workers' report interval.
-func (c *Config) ReportEvery() clock.Micros { return clock.FromSeconds(c.Params.Workers.Report) }
+func (c *Config) ReportInterval() clock.Micros { return clock.FromSeconds(c.Params.Workers.Report) }
 
 // WorkerLease is the lease of a worker.
 func (c *Config) WorkerLease() clock.Micros { return clock.FromSeconds(c.Params.Workers.Lease) }
 
 // OrderLimit is how many orders to workers may be under way at once; so many
 // sockets are kept for them.
-func (c *Config) OrderLimit() int { return max(c.Params.Resources.FDLimit/16, 8) }
+func (c *Config) MaxCommandBatches() int { return max(c.Params.Resources.FDLimit/16, 8) }
 
 // OwnAddr is the address that only a process on this machine can listen at, and so only
 // one at a time; empty if the settings name no machine (0.0.0.0).
-func (c *Config) OwnAddr() string {
+func (c *Config) HostAddr() string {
 	if a, err := netip.ParseAddrPort(c.Listen); err != nil || a.Addr().IsUnspecified() {
 		return ""
 	}
@@ -253,15 +253,17 @@
 
 // Reserved is how many sockets are kept back for the state service and the cloud, whose
 // clients keep 16 open each, and for the peers, two each way.
-func (c *Config) Reserved() int { return 44 + 4*len(c.Peers) }
+func (c *Config) ReservedConns() int { return 44 + 4*len(c.Peers) }
 
 // Served is how many connections of users and workers a node takes.
-func (c *Config) Served() int { return c.Params.Resources.FDLimit - c.OrderLimit() - c.Reserved() }
+func (c *Config) MaxClientConns() int {
+	return c.Params.Resources.FDLimit - c.MaxCommandBatches() - c.ReservedConns()
+}
 
 // MaxWaiting is how many submissions may wait at a node for the state service: what it
 // takes in four seconds, after which users ask again.
-func (c *Config) MaxWaiting() int { return max(int(4*c.Params.State.WriteRPS), 200) }
+func (c *Config) MaxQueuedSubmissions() int { return max(int(4*c.Params.State.WriteRPS), 200) }
 
 // MaxFinals is how many final states a node remembers; all are in the state service. They
 // take a fiftieth of its memory or so.
-func (c *Config) MaxFinals() int { return max(int(64*c.Params.Resources.MemoryMB), 1000) }
+func (c *Config) MaxFinalStates() int { return max(int(64*c.Params.Resources.MemoryMB), 1000) }
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -22,9 +22,9 @@
 	for _, t := range cfg.Params.Teams {
 		teams = append(teams, t.Name)
 	}
-	var aims []admit.Aim
+	var aims []admit.Objective
 	for _, o := range cfg.Params.Objectives {
-		aims = append(aims, admit.Aim{Class: o.Class, Within: clock.FromSeconds(o.Within)})
+		aims = append(aims, admit.Objective{Class: o.Class, Within: clock.FromSeconds(o.Within)})
 	}
 	return admit.NewAccountIndex(teams, aims)
 }
@@ -38,34 +38,34 @@
 }
 
 // shareKind is what a peer takes of the state service's changes for submissions.
-type shareKind int
+type writeShareKind int
 
 const (
-	unheard   shareKind = iota // never greeted: counted as the next
-	admitting                  // its base, and its part of the table
-	fixed                      // the share of a node without admission
+	unheard   writeShareKind = iota // never greeted: counted as the next
+	admitting                       // its base, and its part of the table
+	fixed                           // the share of a node without admission
 )
 
 // submitLimits divides the changes that the state service takes.
 func (c *Core) submitLimits() admit.Limits {
-	return admit.LimitsOf(c.limits().WriteRPS, len(c.cfg.Peers)+1)
+	return admit.LimitsOf(c.stateLimits().WriteRPS, len(c.cfg.Peers)+1)
 }
 
 // writeRate is how many changes a second this node may make now. A leader takes what
 // the bases of the others and the parts that are out leave; the sum over all nodes
 // stays within what the state service takes, whoever leads and whoever is cut off.
 func (c *Core) writeRate(now Micros) float64 {
-	all := c.limits().WriteRPS
-	if !c.pol.Admission.On {
-		return all * c.share()
+	all := c.stateLimits().WriteRPS
+	if !c.policy.Admission.Enabled {
+		return all * c.writeShare()
 	}
-	if c.lead == nil || c.allocator == nil || !c.lead.Authority() {
+	if c.elector == nil || c.allocator == nil || !c.elector.HoldsValidLease() {
 		return c.allowance.Rate(now)
 	}
 	limits := c.submitLimits()
-	rate := all - float64(c.allocator.Out(now))/1000
+	rate := all - float64(c.allocator.Outstanding(now))/1000
 	for _, p := range c.peers {
-		if p.admits == fixed {
+		if p.writeShareKind == fixed {
 			rate -= all * followerShare
 		} else {
 			rate -= float64(limits.Base) / 1000
@@ -76,35 +76,35 @@
 
 // electAdmission begins a term. What the last table said of the machines holds on: the
 // cloud's refusals, by which a leader sees an overload begin, are not handed down.
-func (c *Core) electAdmission(now Micros) {
+func (c *Core) initAdmission(now Micros) {
 	c.allocator = admit.NewAllocator(c.accountIndex, c.cfg.Name, c.term, now, c.submitLimits())
-	c.shares = admit.NewShares(c.accountIndex, admitTeams(c.cfg), c.pol.Admission)
-	c.shares.Over = c.allowance.WasOver(now)
+	c.shares = admit.NewTeamShares(c.accountIndex, admitTeams(c.cfg), c.policy.Admission)
+	c.shares.Overloaded = c.allowance.WasOverloaded(now)
 	c.served = c.newServed()
-	c.demands, c.dues = make([]admit.Demand, c.accountIndex.Len()), nil
-	c.waits.start, c.waits.served = nil, make([]served, c.accountIndex.Len())
+	c.demands, c.fairShares = make([]admit.Demand, c.accountIndex.Len()), nil
+	c.waitStats.start, c.waitStats.served = nil, make([]served, c.accountIndex.Len())
 }
 
 // newServed counts nothing yet.
-func (c *Core) newServed() *admit.Served {
-	return admit.NewServed(c.pol.Admission.Floors(c.accountIndex))
+func (c *Core) newServed() *admit.ObjectiveTracker {
+	return admit.NewObjectiveTracker(c.policy.Admission.AccountMinServedShares(c.accountIndex))
 }
 
 // tendAdmission runs once a second: it gives the notice for the peers and, on the
 // leader, makes the next table. Without admission there is neither.
-func (c *Core) tendAdmission(now Micros) *admit.Notice {
-	if !c.pol.Admission.On {
+func (c *Core) maintainAdmission(now Micros) *admit.Notice {
+	if !c.policy.Admission.Enabled {
 		return nil
 	}
 	c.allowance.SetLimits(c.submitLimits())
-	notice := c.allowance.Notice(c.intake.queue.Queued, now)
+	notice := c.allowance.Notice(c.submissions.queue.QueuedCost, now)
 	if c.Serving() && c.allocator != nil {
 		c.allocator.SetLimits(c.submitLimits())
-		c.allocator.Hear(c.cfg.Name, notice, now)
-		c.allocator.Next(now, c.shares.Over, c.demands, c.dues)
-		c.allowance.Put(c.allocator.Give(c.cfg.Name, now), now)
+		c.allocator.RecordNotice(c.cfg.Name, notice, now)
+		c.allocator.BuildTable(now, c.shares.Overloaded, c.demands, c.fairShares)
+		c.allowance.ApplyTable(c.allocator.TableFor(c.cfg.Name, now), now)
 	}
-	c.setWriteShare()
+	c.updateWriteRate()
 	return notice
 }
 
@@ -112,57 +112,57 @@
 // the leader has a use for, and with hundreds of teams they are most of what idle controllers
 // say to each other.
 func (c *Core) noticeFor(name string, n *admit.Notice) *admit.Notice {
-	if leader := c.lead.Leader(); n == nil || leader == "" || leader == name {
+	if leader := c.elector.Leader(); n == nil || leader == "" || leader == name {
 		return n
 	}
 	return &admit.Notice{Digest: n.Digest, Refusals: n.Refusals}
 }
 
 // hearNotice takes a peer's notice in and gives it its table, if this node leads.
-func (c *Core) hearNotice(m *peer.Msg) *admit.Table {
+func (c *Core) handleNotice(m *peer.Msg) *admit.Table {
 	now := c.env.Now()
 	if p := c.peers[m.Node]; p != nil {
-		p.admits = fixed
-		if m.Notice != nil {
-			p.admits = admitting
+		p.writeShareKind = fixed
+		if m.AdmissionNotice != nil {
+			p.writeShareKind = admitting
 		}
 	}
-	if m.Notice == nil || !c.pol.Admission.On {
+	if m.AdmissionNotice == nil || !c.policy.Admission.Enabled {
 		return nil
 	}
-	c.allowance.HearRefusals(m.Notice, now)
+	c.allowance.MergeRefusals(m.AdmissionNotice, now)
 	if !c.Serving() || c.allocator == nil {
 		return nil
 	}
-	c.allocator.Hear(m.Node, m.Notice, now)
-	t := c.allocator.Give(m.Node, now)
-	c.setWriteShare()
+	c.allocator.RecordNotice(m.Node, m.AdmissionNotice, now)
+	t := c.allocator.TableFor(m.Node, now)
+	c.updateWriteRate()
 	return t
 }
 
 // putTable takes a table over that came with the answer to a greeting.
-func (c *Core) putTable(t *admit.Table, asked Micros) {
-	if c.pol.Admission.On && !c.Serving() && c.allowance.Put(t, asked) {
-		c.setWriteShare()
+func (c *Core) applyAdmissionTable(t *admit.Table, asked Micros) {
+	if c.policy.Admission.Enabled && !c.Serving() && c.allowance.ApplyTable(t, asked) {
+		c.updateWriteRate()
 	}
 }
 
 // rank is a submission's place among those of its account.
 func (c *Core) rank(job *wire.Job) admit.Rank {
 	switch {
-	case c.allowance.Returns(job.ID, c.env.Now()):
-		return admit.Returning
-	case len(job.Awaits) > 0:
-		return admit.Chained
+	case c.allowance.WasRefused(job.ID, c.env.Now()):
+		return admit.RankRetry
+	case len(job.DependsOn) > 0:
+		return admit.RankDependent
 	}
-	return admit.Newcomer
+	return admit.RankNew
 }
 
 // turn is in how many seconds the table has a submission come again, alike on all nodes;
 // 0 if now. A later stage of a pipeline that was accepted is not made to wait by it.
-func (c *Core) turn(job *wire.Job, account int, now Micros) int {
-	if t := c.allowance.Table(now); c.pol.Admission.On && t != nil && len(job.Awaits) == 0 {
-		return t.Turn(account, job.ID)
+func (c *Core) tableRetryAfter(job *wire.Job, account int, now Micros) int {
+	if t := c.allowance.Table(now); c.policy.Admission.Enabled && t != nil && len(job.DependsOn) == 0 {
+		return t.SlotsUntil(account, job.ID)
 	}
 	return 0
 }
@@ -170,13 +170,13 @@
 // mustWait says in how many seconds a submission should come again for the sake of this
 // node's own queue, where it would wait so long: what would not be answered soon is
 // refused now; 0 if it is taken.
-func (c *Core) mustWait(job *wire.Job, account int, wait Micros) int {
-	q := c.intake.queue
-	if q.Len() > 0 && wait > c.pol.Admission.Answer {
-		return admit.Spread(wait, job.ID)
+func (c *Core) queueRetryAfter(job *wire.Job, account int, wait Micros) int {
+	q := c.submissions.queue
+	if q.Len() > 0 && wait > c.policy.Admission.MaxQueueWait {
+		return admit.RetryAfterSeconds(wait, job.ID)
 	}
 	if !q.Fits(account, wire.MaxBody/8) {
-		return admit.Spread(clock.FromSeconds(float64(q.Cost())/max(c.submitRate(), 0.1)), job.ID)
+		return admit.RetryAfterSeconds(clock.FromSeconds(float64(q.Cost())/max(c.submitRate(), 0.1)), job.ID)
 	}
 	return 0
 }
@@ -184,25 +184,25 @@
 // submitRate is the changes a second that submissions surely get.
 func (c *Core) submitRate() float64 {
 	if c.Serving() {
-		return c.writes.Floor(admit.Submits)
+		return c.writeBudget.MinRate(admit.SubmissionWrites)
 	}
-	return c.writes.Rate()
+	return c.writeBudget.Rate()
 }
 
 // noteRefused remembers a job that was told to come back.
-func (c *Core) noteRefused(account int, job *wire.Job) {
+func (c *Core) recordRefusal(account int, job *wire.Job) {
 	j := &sched.Job{Spec: job}
-	j.Measure(c.catalog)
-	c.allowance.Refused(account, 1, job.ID, j.Whole(), c.env.Now())
+	j.ComputeSize(c.catalog)
+	c.allowance.RecordRefusal(account, 1, job.ID, j.TotalCPUs(), c.env.Now())
 }
 
 // expected is what refused jobs will ask for when they come back, each account's like the
 // job of its class that came last.
-func (c *Core) expected(now Micros) []sched.Unplaced {
+func (c *Core) expectedRetryDemand(now Micros) []sched.Unplaced {
 	var out []sched.Unplaced
-	for a, cpus := range c.allowance.Expected(now) {
-		if arr := c.arrivals[c.accountIndex.Accounts[a].Class]; cpus > 0 && arr != nil && arr.last != nil {
-			out = append(out, sched.Unplaced{Job: arr.last, Count: int(math.Ceil(cpus / arr.last.Size()))})
+	for a, cpus := range c.allowance.ExpectedCPUs(now) {
+		if arr := c.arrivals[c.accountIndex.Accounts[a].Class]; cpus > 0 && arr != nil && arr.lastJob != nil {
+			out = append(out, sched.Unplaced{Job: arr.lastJob, Count: int(math.Ceil(cpus / arr.lastJob.TaskCPUs()))})
 		}
 	}
 	return out
@@ -211,29 +211,29 @@
 // turnAway refuses a submission, unless the job is known: what was accepted is never
 // refused. Only memory is asked, here or at the leader: under overload the state
 // service's requests are needed for what it can do about it.
-func (c *Core) turnAway(job *wire.Job, account, wait int, reply func(Answer)) {
+func (c *Core) refuseForOverload(job *wire.Job, account, wait int, reply func(Answer)) {
 	refuse := func() {
-		c.noteRefused(account, job)
+		c.recordRefusal(account, job)
 		reply(Answer{Code: 429, RetryAfter: wait})
 	}
-	if a, ok := c.remembered(job.ID); ok {
-		c.allowance.Took(account, true)
+	if a, ok := c.answerFromMemory(job.ID); ok {
+		c.allowance.CountAccepted(account, true)
 		reply(a)
 		return
 	}
-	leader := c.lead.Leader()
-	if p := c.peers[leader]; p == nil || !p.heard(c.env.Now()) {
+	leader := c.elector.Leader()
+	if p := c.peers[leader]; p == nil || !p.seenRecently(c.env.Now()) {
 		refuse()
 		return
 	}
-	m := c.self(fb.KindStatus)
-	m.Job, m.InMemory = job.ID, true
-	c.env.Ask(leader, m, 150*clock.Millisecond, func(r *peer.Msg) {
+	m := c.newMessage(fb.KindStatus)
+	m.Job, m.InMemoryOnly = job.ID, true
+	c.env.Call(leader, m, 150*clock.Millisecond, func(r *peer.Msg) {
 		if r == nil || r.Code != 200 {
 			refuse()
 			return
 		}
-		c.allowance.Took(account, true)
+		c.allowance.CountAccepted(account, true)
 		reply(answerOf(r))
 	})
 }
@@ -241,15 +241,15 @@
 // remembered answers for a job from the leader's memory alone. It is the one place where
 // memory is told to users, and tells what is committed and known to be: nothing of a job
 // whose end is in doubt, since another node may have read and told it (users' trials and
-// scenario meet_answer_lost_at_end: done, then running).
-func (c *Core) remembered(id string) (Answer, bool) {
+// scenario answer_lost_at_job_end: done, then running).
+func (c *Core) answerFromMemory(id string) (Answer, bool) {
 	if c.Serving() {
-		if j := c.jobs[id]; j != nil && (j.InDoubt() || c.old(j.Submitted) && c.uncertain(j)) {
+		if j := c.jobs[id]; j != nil && (j.InDoubt() || c.cancellationMayBeDue(j.Submitted) && c.mayBeCancelled(j)) {
 			return unavailable, true
 		} else if j != nil {
 			return Answer{Code: 200, Status: statusOf(j)}, true
 		}
-		if f, ok := c.finals[id]; ok {
+		if f, ok := c.finalRecords[id]; ok {
 			return Answer{Code: 200, Status: f.JobStatus}, true
 		}
 	}
@@ -257,13 +257,13 @@
 }
 
 // took notes a submission that was answered.
-func (c *Core) took(s *submission, known bool) {
-	c.allowance.Took(s.account, known)
-	c.waits.note(&c.waits.accept, s.account, c.accountIndex.Len(), c.env.Now()-s.since)
+func (c *Core) recordSubmission(s *submission, known bool) {
+	c.allowance.CountAccepted(s.account, known)
+	c.waitStats.note(&c.waitStats.accept, s.account, c.accountIndex.Len(), c.env.Now()-s.receivedAt)
 }
 
 // waits are what users and jobs waited, by account.
-type waits struct {
+type waitStats struct {
 	accept []*hdrhistogram.Histogram // from a submission to its answer, at this node
 	start  []*hdrhistogram.Histogram // of the leader: until a job's first task ran
 	served []served                  // of the leader, in its term
@@ -273,7 +273,7 @@
 type served struct{ jobs, inTime uint64 }
 
 // note enters a wait, in milliseconds.
-func (w *waits) note(list *[]*hdrhistogram.Histogram, account, accounts int, wait Micros) {
+func (w *waitStats) note(list *[]*hdrhistogram.Histogram, account, accounts int, wait Micros) {
 	if account < 0 {
 		return
 	}
@@ -289,50 +289,50 @@
 }
 
 // noteOver counts a job that is over: in time means within the widest aim of its class.
-func (c *Core) noteOver(j *sched.Job) {
-	a := c.account(j.Spec)
-	if a < 0 || j.Service() || j.Cancelled || c.waits.served == nil {
+func (c *Core) recordJobEnd(j *sched.Job) {
+	a := c.accountNumber(j.Spec)
+	if a < 0 || j.Service() || j.Cancelled || c.waitStats.served == nil {
 		return
 	}
-	s := &c.waits.served[a]
+	s := &c.waitStats.served[a]
 	s.jobs++
-	widest := c.accountIndex.Widest[a]
-	good := widest == 0 || j.Over-j.Ready <= widest
+	widest := c.accountIndex.LongestTargets[a]
+	good := widest == 0 || j.EndedAt-j.ReadyAt <= widest
 	if good {
 		s.inTime++
 	}
-	c.served.Over(a, good && (j.StartBy == 0 || j.Began <= j.StartBy), c.env.Now())
-	if j.Began > 0 {
-		c.waits.note(&c.waits.start, a, c.accountIndex.Len(), j.Began-j.Ready)
+	c.served.RecordFinished(a, good && (j.LastStartTarget == 0 || j.StartedAt <= j.LastStartTarget), c.env.Now())
+	if j.StartedAt > 0 {
+		c.waitStats.note(&c.waitStats.start, a, c.accountIndex.Len(), j.StartedAt-j.ReadyAt)
 	}
 }
 
 // Admission tells how submissions and machines are shared, as this node sees it.
-func (c *Core) Admission() *wire.Admission {
+func (c *Core) Admission() *wire.AdmissionStatus {
 	now := c.env.Now()
-	out := &wire.Admission{Node: c.cfg.Name, On: c.pol.Admission.On, Leads: c.Serving(), Rate: c.writes.Rate(),
-		Waiting: c.intake.queue.Len(), Oldest: (now - c.intake.queue.Oldest(now)).Seconds()}
+	out := &wire.AdmissionStatus{Node: c.cfg.Name, Enabled: c.policy.Admission.Enabled, IsLeader: c.Serving(), Rate: c.writeBudget.Rate(),
+		Waiting: c.submissions.queue.Len(), OldestSeconds: (now - c.submissions.queue.Oldest(now)).Seconds()}
 	t := c.allowance.Table(now)
 	if t != nil {
-		out.Term, out.Number, out.Over = t.Term, t.Number, t.Over
+		out.Term, out.Number, out.Overloaded = t.Term, t.Number, t.Overloaded
 	}
 	for i, account := range c.accountIndex.Accounts {
 		n := c.allowance.Counts(i)
-		a := wire.AdmissionAccount{Team: account.Team, Class: account.Class, Queued: c.intake.queue.Queued(i),
-			Taken: n.Taken, Refused: n.Refused, Known: n.Known}
+		a := wire.AdmissionAccount{Team: account.Team, Class: account.Class, Queued: c.submissions.queue.QueuedCost(i),
+			Accepted: n.Accepted, Refused: n.Refused, Duplicates: n.Duplicates}
 		if t != nil {
 			e := t.Accounts[i]
-			a.Held, a.Waiting, a.Floor, a.Share = e.Held, e.Waiting, e.Floor, e.Share
-			a.Rate, a.Part, a.Slots = float64(e.Rate)/1000, float64(e.Part)/1000, e.Slots
+			a.Held, a.Waiting, a.MinShare, a.Share = e.Held, e.Waiting, e.MinShare, e.Share
+			a.Rate, a.NodeRate, a.Slots = float64(e.Rate)/1000, float64(e.NodeRate)/1000, e.Slots
 		}
-		if w := c.waits.accept; w != nil && w[i] != nil {
-			a.Accept50, a.Accept99 = w[i].ValueAtQuantile(50), w[i].ValueAtQuantile(99)
+		if w := c.waitStats.accept; w != nil && w[i] != nil {
+			a.AcceptP50Millis, a.AcceptP99Millis = w[i].ValueAtQuantile(50), w[i].ValueAtQuantile(99)
 		}
-		if w := c.waits.start; w != nil && w[i] != nil {
-			a.Start50, a.Start99 = w[i].ValueAtQuantile(50), w[i].ValueAtQuantile(99)
+		if w := c.waitStats.start; w != nil && w[i] != nil {
+			a.StartP50Millis, a.StartP99Millis = w[i].ValueAtQuantile(50), w[i].ValueAtQuantile(99)
 		}
-		if s := c.waits.served; out.Leads && s != nil {
-			a.Over, a.InTime = s[i].jobs, s[i].inTime
+		if s := c.waitStats.served; out.IsLeader && s != nil {
+			a.FinishedJobs, a.FinishedInTime = s[i].jobs, s[i].inTime
 		}
 		out.Accounts = append(out.Accounts, a)
 	}
@@ -340,64 +340,66 @@
 }
 
 // account numbers the account of a job.
-func (c *Core) account(spec *wire.Job) int { return c.accountIndex.Of(spec.Team, spec.Class) }
+func (c *Core) accountNumber(spec *wire.Job) int {
+	return c.accountIndex.IndexOf(spec.Team, spec.Class)
+}
 
 // judgeShares works out what each account is due in the pass that begins, from all
 // that is unfinished; nil unless there is more to do than the machines can take.
-func (c *Core) judgeShares(now Micros) func(*sched.Job) *sched.Due {
-	if !c.pol.Admission.On {
+func (c *Core) computeShares(now Micros) func(*sched.Job) *sched.FairShare {
+	if !c.policy.Admission.Enabled {
 		return nil
 	}
 	clear(c.demands)
 	var jobs []*sched.Job
 	for _, j := range c.jobs {
-		a := c.account(j.Spec)
-		if a < 0 || j.Service() || j.Priority >= wire.PriorityProduction || j.Placed+len(j.Queue) == 0 {
+		a := c.accountNumber(j.Spec)
+		if a < 0 || j.Service() || j.Priority >= wire.PriorityProduction || j.PlacedCount+len(j.Queue) == 0 {
 			continue
 		}
 		d := &c.demands[a]
-		d.Held += float64(j.Placed) * j.Size()
+		d.Held += float64(j.PlacedCount) * j.TaskCPUs()
 		if j.Active() {
-			d.Waiting += float64(len(j.Queue)) * j.Size()
-			d.Work += j.Work()
+			d.Waiting += float64(len(j.Queue)) * j.TaskCPUs()
+			d.RemainingWork += j.RemainingWork()
 			jobs = append(jobs, j)
 		}
 	}
-	was := c.shares.Over
-	shares := c.shares.Judge(now, c.batchRoom(), c.cloudHas(now), c.demands)
-	if was != c.shares.Over {
-		slog.Info("admission mode", "overload", c.shares.Over, "term", c.term)
+	was := c.shares.Overloaded
+	shares := c.shares.Evaluate(now, c.batchCapacity(), c.cloudHas(now), c.demands)
+	if was != c.shares.Overloaded {
+		slog.Info("admission mode", "overload", c.shares.Overloaded, "term", c.term)
 	}
 	if shares == nil {
-		c.dues = nil
+		c.fairShares = nil
 		return nil
 	}
 	// Between teams the shares hold. Within a team, what its accounts lack for their floors
 	// goes first, and then its jobs in the users' order.
-	teams := map[string]*sched.Due{}
+	teams := map[string]*sched.FairShare{}
 	for i, t := range c.cfg.Params.Teams {
-		teams[t.Name] = &sched.Due{Share: shares[i]}
+		teams[t.Name] = &sched.FairShare{Share: shares[i]}
 	}
 	for i, d := range c.demands {
-		teams[c.accountIndex.Accounts[i].Team].Held += d.Held
+		teams[c.accountIndex.Accounts[i].Team].Allocated += d.Held
 	}
-	cases := make([]admit.Case, len(jobs))
+	cases := make([]admit.UnfinishedJob, len(jobs))
 	for i, j := range jobs {
-		cases[i] = admit.Case{Account: c.account(j.Spec), Prospect: j.Prospect(now), Rest: j.Work(), Since: j.Ready, ID: j.ID}
+		cases[i] = admit.UnfinishedJob{Account: c.accountNumber(j.Spec), Feasibility: j.Feasibility(now), RemainingWork: j.RemainingWork(), ReadyAt: j.ReadyAt, ID: j.ID}
 	}
-	c.dues = make([]admit.Due, len(c.demands))
-	for i := range c.dues {
-		c.dues[i].Share = teams[c.accountIndex.Accounts[i].Team].Share
+	c.fairShares = make([]admit.Entitlement, len(c.demands))
+	for i := range c.fairShares {
+		c.fairShares[i].Share = teams[c.accountIndex.Accounts[i].Team].Share
 	}
-	for i, turn := range c.served.Turns(now, cases) {
+	for i, turn := range c.served.Evaluate(now, cases) {
 		j := jobs[i]
-		j.Turn = turn
+		j.MinShareStatus = turn
 		if turn.Needed {
-			c.dues[cases[i].Account].Floor += float64(j.Placed+len(j.Queue)) * j.Size()
+			c.fairShares[cases[i].Account].MinShare += float64(j.PlacedCount+len(j.Queue)) * j.TaskCPUs()
 		}
 	}
-	none := &sched.Due{} // for what has no account
-	return func(j *sched.Job) *sched.Due {
+	none := &sched.FairShare{} // for what has no account
+	return func(j *sched.Job) *sched.FairShare {
 		if d := teams[j.Spec.Team]; d != nil {
 			return d
 		}
@@ -406,11 +408,11 @@
 }
 
 // batchRoom is the CPUs that are up or on their way for work that is not production.
-func (c *Core) batchRoom() float64 {
+func (c *Core) batchCapacity() float64 {
 	sum := 0.0
-	for _, m := range c.order {
-		if !m.Releasing && !m.Failed && !m.Draining && m.Notice == 0 && (m.Up || !m.Inherited()) {
-			sum += m.Type.CPUs - m.Production()
+	for _, m := range c.sortedMachines {
+		if !m.Releasing && !m.Failed && !m.Draining && m.ReclaimAt == 0 && (m.Up || !m.Inherited()) {
+			sum += m.Type.CPUs - m.ProductionCPUs()
 		}
 	}
 	return sum
@@ -425,7 +427,7 @@
 	for _, t := range c.catalog {
 		for _, zone := range t.Zones {
 			kinds++
-			if now < c.refused[fleet.Kind{Type: t.Name, Zone: zone}] {
+			if now < c.refusedUntil[fleet.MachineKind{Type: t.Name, Zone: zone}] {
 				refused++
 			}
 		}
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -13,22 +13,22 @@
 // whole snapshot of its keys, so writes of one record merge and a transaction
 // can be sent again; one transaction is in flight at a time.
 type committer struct {
-	core    *Core
-	keys    map[string]*record
-	queue   []*record // urgent: first come first served
-	soon    []*record // somebody waits, but not for this very write
-	lazy    []*record
-	busy    bool
-	paused  bool
-	squeeze int // how often in a row the state service refused what was sent
-	limited int // 429s in a row
+	core           *Core
+	pending        map[string]*pendingWrite
+	urgent         []*pendingWrite // urgent: first come first served
+	delayed        []*pendingWrite // somebody waits, but not for this very write
+	background     []*pendingWrite
+	busy           bool
+	paused         bool
+	sizeReductions int // how often in a row the state service refused what was sent
+	limited        int // 429s in a row
 }
 
 // render gives a record's changes, or false if it has to wait.
 type render func() ([]wire.Change, bool)
 
 // record is what waits to be written: one key, or several that change together.
-type record struct {
+type pendingWrite struct {
 	key    string
 	render render
 	done   []func()
@@ -38,9 +38,9 @@
 
 // Classes of records.
 const (
-	whenIdle = iota
-	merged
-	atOnce
+	classBackground = iota
+	classDelayed
+	classUrgent
 )
 
 // How long records of the lower classes may stay unwritten, so that more writes
@@ -55,7 +55,7 @@
 // at all while the budget is as good as untouched.
 func (w *committer) wait() Micros {
 	c := w.core
-	if left := c.writes.Left(stdTime(c.env.Now())); left < 0.75*float64(c.writes.Burst()) {
+	if left := c.writeBudget.Remaining(stdTime(c.env.Now())); left < 0.75*float64(c.writeBudget.Burst()) {
 		return soonAfter
 	}
 	return 0
@@ -64,27 +64,27 @@
 // put queues the record of one key; a nil value deletes it. done, if any, runs
 // once it is committed, and makes it urgent.
 func (w *committer) put(key string, value func() []byte, done func()) {
-	class := whenIdle
+	class := classBackground
 	if done != nil {
-		class = atOnce
+		class = classUrgent
 	}
-	w.add(key, class, func() ([]wire.Change, bool) { return []wire.Change{change(key, value())}, true }, done)
+	w.add(key, class, func() ([]wire.Change, bool) { return []wire.Change{putOrDelete(key, value())}, true }, done)
 }
 
 // change puts a value, or deletes the key if there is none.
-func change(key string, value []byte) wire.Change {
+func putOrDelete(key string, value []byte) wire.Change {
 	if value == nil {
-		return wire.Change{Delete: key}
+		return wire.Change{DeleteKey: key}
 	}
-	return wire.Change{Put: key, Value: value}
+	return wire.Change{PutKey: key, Value: value}
 }
 
 // add queues a record of any class.
 func (w *committer) add(key string, class int, f render, done func()) {
-	r := w.keys[key]
+	r := w.pending[key]
 	if r == nil {
-		r = &record{key: key, since: w.core.env.Now(), class: -1}
-		w.keys[key] = r
+		r = &pendingWrite{key: key, since: w.core.env.Now(), class: -1}
+		w.pending[key] = r
 	}
 	r.render = f
 	if done != nil {
@@ -95,21 +95,21 @@
 	}
 	r.class = class
 	switch class {
-	case atOnce:
-		w.queue = append(w.queue, r)
-	case merged:
-		w.soon = append(w.soon, r)
+	case classUrgent:
+		w.urgent = append(w.urgent, r)
+	case classDelayed:
+		w.delayed = append(w.delayed, r)
 	default:
-		w.lazy = append(w.lazy, r)
+		w.background = append(w.background, r)
 	}
 }
 
-func (w *committer) abandon() { *w = committer{core: w.core, keys: map[string]*record{}} }
+func (w *committer) reset() { *w = committer{core: w.core, pending: map[string]*pendingWrite{}} }
 
 // head gives the first record of a list that still belongs to it.
-func (w *committer) head(list *[]*record, class int) *record {
+func (w *committer) head(list *[]*pendingWrite, class int) *pendingWrite {
 	for len(*list) > 0 {
-		if r := (*list)[0]; w.keys[r.key] == r && r.class == class {
+		if r := (*list)[0]; w.pending[r.key] == r && r.class == class {
 			return r
 		}
 		*list = (*list)[1:]
@@ -118,8 +118,8 @@
 }
 
 // age is how long the first of the urgent records has waited.
-func (w *committer) age() Micros {
-	if r := w.head(&w.queue, atOnce); r != nil {
+func (w *committer) oldestUrgentAge() Micros {
+	if r := w.head(&w.urgent, classUrgent); r != nil {
 		return w.core.env.Now() - r.since
 	}
 	return 0
@@ -127,23 +127,23 @@
 
 // batch is a transaction being filled.
 type batch struct {
-	putOff  map[*record]bool // not to be rendered yet
-	records []*record
+	putOff  map[*pendingWrite]bool // not to be rendered yet
+	records []*pendingWrite
 	changes []wire.Change
-	spent   [atOnce + 1]int // changes by class
+	spent   [classUrgent + 1]int // changes by class
 	size    int
 }
 
 // Sizes of a transaction's JSON form beside its changes' keys and values.
 const (
-	txnRest    = 512
-	changeRest = 48
+	txnOverhead    = 512
+	changeOverhead = 48
 )
 
 func changesSize(changes []wire.Change) int {
 	n := 0
 	for _, ch := range changes {
-		n += changeRest + len(ch.Put) + len(ch.Delete)
+		n += changeOverhead + len(ch.PutKey) + len(ch.DeleteKey)
 		if ch.Value != nil {
 			n += wire.JSONSize(ch.Value)
 		}
@@ -154,33 +154,33 @@
 // pump starts a transaction if there is something to write. While the lease is
 // in doubt nothing is sent: the guard would catch it, but the budget is better
 // kept.
-func (w *committer) pump() {
+func (w *committer) startTransaction() {
 	c := w.core
-	if w.busy || w.paused || !c.lead.Leading() || c.env.Now() >= c.lead.Deadline() {
+	if w.busy || w.paused || !c.elector.Leading() || c.env.Now() >= c.elector.LeaseDeadline() {
 		return
 	}
 	now := c.env.Now()
-	due := func(r *record, after Micros) bool { return r != nil && now-r.since >= after }
-	if w.head(&w.queue, atOnce) == nil && !due(w.head(&w.soon, merged), w.wait()) && !due(w.head(&w.lazy, whenIdle), lazyAfter) {
+	due := func(r *pendingWrite, after Micros) bool { return r != nil && now-r.since >= after }
+	if w.head(&w.urgent, classUrgent) == nil && !due(w.head(&w.delayed, classDelayed), w.wait()) && !due(w.head(&w.background, classBackground), lazyAfter) {
 		return
 	}
-	urgent, at := w.head(&w.queue, atOnce) != nil, stdTime(now)
-	c.writes.Want(admit.Urgent, urgent)
-	c.writes.Want(admit.Ends, due(w.head(&w.soon, merged), soonAfter))
-	c.writes.Want(admit.Idle, due(w.head(&w.lazy, whenIdle), 2*lazyAfter))
-	budget := c.writes.Room(at, admit.Urgent)
+	urgent, at := w.head(&w.urgent, classUrgent) != nil, stdTime(now)
+	c.writeBudget.SetWaiting(admit.UrgentWrites, urgent)
+	c.writeBudget.SetWaiting(admit.TaskEndWrites, due(w.head(&w.delayed, classDelayed), soonAfter))
+	c.writeBudget.SetWaiting(admit.BackgroundWrites, due(w.head(&w.background, classBackground), 2*lazyAfter))
+	budget := c.writeBudget.Available(at, admit.UrgentWrites)
 	if !urgent {
-		budget = max(c.writes.Room(at, admit.Ends), c.writes.Room(at, admit.Idle))
+		budget = max(c.writeBudget.Available(at, admit.TaskEndWrites), c.writeBudget.Available(at, admit.BackgroundWrites))
 	}
-	room := min(c.limits().TxnOps>>min(w.squeeze, 16), int(budget))
-	if room < 1 && (w.squeeze == 0 || budget < 1) {
+	room := min(c.stateLimits().TxnOps>>min(w.sizeReductions, 16), int(budget))
+	if room < 1 && (w.sizeReductions == 0 || budget < 1) {
 		w.pauseFor(50 * clock.Millisecond)
 		return
 	}
-	b := &batch{putOff: map[*record]bool{}}
-	full := w.fill(b, &w.queue, atOnce, max(room, 1), func(*record) bool { return true }) ||
-		w.fill(b, &w.soon, merged, w.spare(admit.Ends, room, len(b.changes), 4), func(r *record) bool { return due(r, w.wait()/2) }) ||
-		w.fill(b, &w.lazy, whenIdle, w.spare(admit.Idle, room, len(b.changes), 2), func(r *record) bool { return due(r, lazyAfter/2) })
+	b := &batch{putOff: map[*pendingWrite]bool{}}
+	full := w.fill(b, &w.urgent, classUrgent, max(room, 1), func(*pendingWrite) bool { return true }) ||
+		w.fill(b, &w.delayed, classDelayed, w.spare(admit.TaskEndWrites, room, len(b.changes), 4), func(r *pendingWrite) bool { return due(r, w.wait()/2) }) ||
+		w.fill(b, &w.background, classBackground, w.spare(admit.BackgroundWrites, room, len(b.changes), 2), func(r *pendingWrite) bool { return due(r, lazyAfter/2) })
 	if len(b.records) == 0 {
 		if full || len(b.putOff) > 0 { // the budget has no room for the first record, or all have to wait
 			w.pauseFor(50 * clock.Millisecond)
@@ -189,28 +189,28 @@
 	}
 	w.busy = true
 	for class, n := range b.spent {
-		c.writes.Spend(at, useOf[class], n)
+		c.writeBudget.Spend(at, useOf[class], n)
 	}
-	c.writes.Want(admit.Urgent, w.head(&w.queue, atOnce) != nil)
+	c.writeBudget.SetWaiting(admit.UrgentWrites, w.head(&w.urgent, classUrgent) != nil)
 	w.send(c.term, b)
 }
 
 // useOf tells what the records of a class are spent on.
-var useOf = [...]admit.Use{whenIdle: admit.Idle, merged: admit.Ends, atOnce: admit.Urgent}
+var useOf = [...]admit.RequestClass{classBackground: admit.BackgroundWrites, classDelayed: admit.TaskEndWrites, classUrgent: admit.UrgentWrites}
 
 // spare is how many changes a transaction may hold once records join it that are
 // not urgent: they leave a part of a second's budget to those that are, but for
 // their own floor.
-func (w *committer) spare(use admit.Use, room, used, part int) int {
+func (w *committer) spare(use admit.RequestClass, room, used, part int) int {
 	c := w.core
 	at := stdTime(c.env.Now())
-	left := int(c.writes.Left(at)) - c.writes.Burst()/part
-	return min(room, max(left, used+int(c.writes.Own(at, use)), used))
+	left := int(c.writeBudget.Remaining(at)) - c.writeBudget.Burst()/part
+	return min(room, max(left, used+int(c.writeBudget.Reserved(at, use)), used))
 }
 
 // fill moves records of one list into the batch; it reports whether the next one
 // found no room.
-func (w *committer) fill(b *batch, list *[]*record, class, room int, want func(*record) bool) bool {
+func (w *committer) fill(b *batch, list *[]*pendingWrite, class, room int, want func(*pendingWrite) bool) bool {
 	for {
 		r := w.head(list, class)
 		if r == nil || !want(r) {
@@ -229,16 +229,16 @@
 			continue
 		}
 		size := changesSize(changes)
-		if len(b.records) > 0 && b.size+size > wire.MaxBody-txnRest {
+		if len(b.records) > 0 && b.size+size > wire.MaxBody-txnOverhead {
 			return true
 		}
 		// A record of several changes goes whole or not at all; alone it may wait
 		// for the budget, but not for ever.
-		if len(b.changes)+len(changes) > room && (len(b.records) > 0 || len(changes) <= w.core.limits().TxnOps && !w.enough(len(changes))) {
+		if len(b.changes)+len(changes) > room && (len(b.records) > 0 || len(changes) <= w.core.stateLimits().TxnOps && !w.enough(len(changes))) {
 			return true
 		}
 		*list = (*list)[1:]
-		delete(w.keys, r.key)
+		delete(w.pending, r.key)
 		b.records, b.changes, b.size = append(b.records, r), append(b.changes, changes...), b.size+size
 		b.spent[class] += len(changes)
 	}
@@ -247,14 +247,14 @@
 // enough reports whether the budget covers n changes, as far as it ever can.
 func (w *committer) enough(n int) bool {
 	c := w.core
-	return c.writes.Left(stdTime(c.env.Now())) >= float64(min(n, c.writes.Burst()))
+	return c.writeBudget.Remaining(stdTime(c.env.Now())) >= float64(min(n, c.writeBudget.Burst()))
 }
 
 func (w *committer) pauseFor(d Micros) {
 	w.paused = true
 	w.core.env.After(d, func() {
 		w.paused = false
-		w.pump()
+		w.startTransaction()
 	})
 }
 
@@ -262,13 +262,13 @@
 // queue, to be rendered again. Their order among each other stays: a cascade of
 // cancellations depends on it.
 func (w *committer) requeue(b *batch) {
-	var front []*record
+	var front []*pendingWrite
 	for _, r := range b.records {
 		r = w.again(r)
-		r.class = atOnce
+		r.class = classUrgent
 		front = append(front, r)
 	}
-	w.queue = append(front, w.queue...)
+	w.urgent = append(front, w.urgent...)
 }
 
 // putBack is requeue where the state service had enough to do: each record goes back to
@@ -276,22 +276,22 @@
 // to stand alone before all others, where the service took two and a half a second, would
 // otherwise never be taken, nor anything behind it: found by the scenario throttled.
 func (w *committer) putBack(b *batch) {
-	var lists [atOnce + 1][]*record
+	var lists [classUrgent + 1][]*pendingWrite
 	for _, r := range b.records {
 		r = w.again(r)
 		lists[r.class] = append(lists[r.class], r)
 	}
-	w.queue = append(lists[atOnce], w.queue...)
-	w.soon = append(lists[merged], w.soon...)
-	w.lazy = append(lists[whenIdle], w.lazy...)
+	w.urgent = append(lists[classUrgent], w.urgent...)
+	w.delayed = append(lists[classDelayed], w.delayed...)
+	w.background = append(lists[classBackground], w.background...)
 }
 
 // again takes a record that was sent back in, with what was put under its key since.
-func (w *committer) again(r *record) *record {
-	if newer := w.keys[r.key]; newer != nil {
+func (w *committer) again(r *pendingWrite) *pendingWrite {
+	if newer := w.pending[r.key]; newer != nil {
 		r.render, r.done, r.class = newer.render, append(r.done, newer.done...), max(r.class, newer.class)
 	}
-	w.keys[r.key] = r
+	w.pending[r.key] = r
 	return r
 }
 
@@ -300,36 +300,36 @@
 // values back.
 func (w *committer) send(term uint64, b *batch) {
 	c := w.core
-	ours := func() bool { return c.lead.Leading() && c.term == term && c.commit.busy }
+	ours := func() bool { return c.elector.Leading() && c.term == term && c.committer.busy }
 	again := func(ok bool) {
 		if ok && ours() {
 			w.send(term, b)
 		}
 	}
-	txn := &wire.Txn{If: []wire.Guard{c.lead.Guard()}, Then: b.changes}
+	txn := &wire.Txn{If: []wire.Guard{c.elector.Guard()}, Then: b.changes}
 	c.env.State().Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
 		if !ours() {
 			return
 		}
 		switch o {
 		case store.OK:
-			c.stateSeen = c.env.Now()
-			w.busy, w.squeeze, w.limited = false, 0, 0
+			c.lastStateContact = c.env.Now()
+			w.busy, w.sizeReductions, w.limited = false, 0, 0
 			for _, r := range b.records {
 				for _, f := range r.done {
 					f()
 				}
 			}
 			c.sendOrders()
-			w.pump()
+			w.startTransaction()
 		case store.Failed:
-			c.lead.Recheck(again)
+			c.elector.VerifyLeadership(again)
 		case store.Refused:
 			c.env.After(150*clock.Millisecond, func() { again(true) })
-		case store.Limited:
-			if w.limited++; w.limited%4 == 0 && (len(b.records) > 1 || b.records[0].class != atOnce) {
+		case store.RateLimited:
+			if w.limited++; w.limited%4 == 0 && (len(b.records) > 1 || b.records[0].class != classUrgent) {
 				// So many changes at once may be more than it ever takes.
-				w.busy, w.squeeze = false, min(w.squeeze+1, 3)
+				w.busy, w.sizeReductions = false, min(w.sizeReductions+1, 3)
 				w.putBack(b)
 				w.pauseFor(250 * clock.Millisecond)
 				return
@@ -339,7 +339,7 @@
 			w.refused(b)
 		default:
 			slog.Info("transaction without an answer, fencing", "records", len(b.records))
-			c.lead.Fence(again)
+			c.elector.Fence(again)
 		}
 	})
 }
@@ -353,15 +353,15 @@
 func (w *committer) refused(b *batch) {
 	c := w.core
 	w.busy = false
-	raised := c.refusedForSize(b.changes)
+	raised := c.raiseLevelOnSizeRefusal(b.changes)
 	w.requeue(b)
 	if !raised {
-		if w.squeeze++; w.squeeze > maxSqueeze {
-			r := w.queue[0]
+		if w.sizeReductions++; w.sizeReductions > maxSqueeze {
+			r := w.urgent[0]
 			slog.Error("record given up: the state service refuses it", "key", r.key)
-			w.queue = w.queue[1:]
-			delete(w.keys, r.key)
-			w.squeeze = 0
+			w.urgent = w.urgent[1:]
+			delete(w.pending, r.key)
+			w.sizeReductions = 0
 		}
 	}
 	w.pauseFor(50 * clock.Millisecond)
--- a/internal/controller/production_test.go
+++ b/internal/controller/compatibility_test.go
@@ -22,17 +22,17 @@
 func (still) Wall() Micros { return 1_700_000_010 * clock.Second }
 
 // loading makes a core as a new leader is while it reads its records.
-func loading(level int, state config.State) *Core {
+func newLoadingCore(level int, state config.StateLimits) *Core {
 	cfg := new(config.Config)
 	cfg.Params.State = state
-	c := &Core{accountIndex: newAccountIndex(cfg), served: admit.NewServed(nil), env: still{}, cfg: cfg, pol: policy.Default(), up: upgrade{speaks: LevelTasks, level: level},
-		jobs: map[string]*sched.Job{}, finals: map[string]finalRecord{}, machines: map[string]*sched.Machine{}, groups: map[string]*group{}, allowance: admit.NewAllowance(newAccountIndex(cfg), admit.Limits{}),
-		teams: map[string]*sched.Team{"core": {Name: "core"}}, rates: map[string]float64{}, arrivals: map[string]*arrival{}}
-	c.commit = committer{core: c, keys: map[string]*record{}}
+	c := &Core{accountIndex: newAccountIndex(cfg), served: admit.NewObjectiveTracker(nil), env: still{}, cfg: cfg, policy: policy.Default(), format: formatState{maxLevel: LevelTasks, level: level},
+		jobs: map[string]*sched.Job{}, finalRecords: map[string]finalRecord{}, machines: map[string]*sched.Machine{}, machineGroups: map[string]*machineGroup{}, allowance: admit.NewAllowance(newAccountIndex(cfg), admit.Limits{}),
+		teams: map[string]*sched.Team{"core": {Name: "core"}}, fetchRates: map[string]float64{}, arrivals: map[string]*arrivalStats{}}
+	c.committer = committer{core: c, pending: map[string]*pendingWrite{}}
 	return c
 }
 
-func production(t *testing.T) map[string][]byte {
+func productionRecords(t *testing.T) map[string][]byte {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/production.txt")
 	if err != nil {
@@ -51,7 +51,7 @@
 	return out
 }
 
-func load(t *testing.T, c *Core, records map[string][]byte) {
+func loadRecords(t *testing.T, c *Core, records map[string][]byte) {
 	t.Helper()
 	c.setCatalog(readCatalog([]wire.Item{{Key: catalogKey, Value: records[catalogKey]}}))
 	var jobs, tasks []wire.Item
@@ -64,55 +64,55 @@
 		}
 	}
 	progress := map[string]*progressRecord{}
-	c.addRecords(jobs, progress)
+	c.addJobRecords(jobs, progress)
 	for id, p := range progress {
-		c.restore(c.jobs[id], p)
+		c.restoreProgress(c.jobs[id], p)
 	}
-	found := c.readTasks(tasks)
+	found := c.restoreDoneTasks(tasks)
 	for key, value := range records {
 		if strings.HasPrefix(key, machinePrefix) {
 			c.restoreMachine(&wire.Item{Key: key, Value: value})
 		}
 	}
 	for _, f := range found {
-		c.restorePlaces(f)
+		c.restorePlacements(f)
 	}
 	c.sortMachines()
 }
 
 // written renders what waits to be written.
-func written(c *Core, t *testing.T) map[string][]byte {
+func renderPending(c *Core, t *testing.T) map[string][]byte {
 	t.Helper()
 	out := map[string][]byte{}
-	for _, r := range c.commit.keys {
+	for _, r := range c.committer.pending {
 		changes, ok := r.render()
 		for _, ch := range changes {
-			if ok && ch.Put != "" {
-				out[ch.Put] = ch.Value
+			if ok && ch.PutKey != "" {
+				out[ch.PutKey] = ch.Value
 			}
 		}
 	}
 	return out
 }
 
-func check(t *testing.T, c *Core) {
+func checkRestored(t *testing.T, c *Core) {
 	t.Helper()
 	j, m := c.jobs["req-000001"], c.machines["m-000001"]
 	if j == nil || m == nil || len(c.machines) != 2 || len(c.jobs) != 3 {
 		t.Fatalf("%d jobs, %d machines", len(c.jobs), len(c.machines))
 	}
-	if j.DoneCount != 3 || j.Tasks[9].State != sched.Done || j.Placed != 3 || j.Estimate != 42*clock.Second || !j.Succeeded ||
+	if j.DoneCount != 3 || j.Tasks[9].State != sched.Done || j.PlacedCount != 3 || j.Estimate != 42*clock.Second || !j.AnyTaskSucceeded ||
 		j.Deadline != 301*clock.Second {
 		t.Errorf("job: %+v", j)
 	}
-	p := j.Tasks[4].Place
+	p := j.Tasks[4].Placement
 	if p == nil || p.Machine.ID != "m-000002" || p.Attempt != 2<<32|9 || p.Session != 2 || p.Team != "core" || p.Need.CPUs != 2 {
 		t.Errorf("placement: %+v", p)
 	}
-	if s := c.jobs["req-000003"]; s.Shown != wire.PhaseCancelled {
-		t.Errorf("cancelled job: %q", s.Shown)
+	if s := c.jobs["req-000003"]; s.CommittedPhase != wire.PhaseCancelled {
+		t.Errorf("cancelled job: %q", s.CommittedPhase)
 	}
-	if m.Sizes["img-2"] != 1.2 || !m.Recorded || c.teams["core"].Held.CPUs < 8 {
+	if m.ImageSizes["img-2"] != 1.2 || !m.Recorded || c.teams["core"].Allocated.CPUs < 8 {
 		t.Errorf("machine: %+v, team %+v", m, c.teams["core"])
 	}
 }
@@ -122,18 +122,18 @@
 // readers accept it. At the next level the same state is kept in the new records,
 // within the lowest limits.
 func TestProductionRecords(t *testing.T) {
-	records := production(t)
-	c := loading(LevelPlaces, config.State{ValueKB: 32, TxnOps: 32, WriteRPS: 100})
-	load(t, c, records)
-	check(t, c)
+	records := productionRecords(t)
+	c := newLoadingCore(LevelPlacements, config.StateLimits{ValueKB: 32, TxnOps: 32, WriteRPS: 100})
+	loadRecords(t, c, records)
+	checkRestored(t, c)
 	for _, m := range c.machines {
 		c.saveMachine(m, nil)
 	}
 	for _, id := range []string{"req-000001", "req-000003"} {
-		c.saveProgress(c.jobs[id], atOnce, nil)
+		c.saveProgress(c.jobs[id], classUrgent, nil)
 	}
 	c.saveCatalog()
-	got := written(c, t)
+	got := renderPending(c, t)
 	for _, key := range []string{"m/m-000001", "m/m-000002", "j/req-000001/s", "j/req-000003/s", "catalog"} {
 		if !bytes.Equal(got[key], records[key]) {
 			t.Errorf("%s: written %x\nproduction %x", key, got[key], records[key])
@@ -145,40 +145,40 @@
 		t.Errorf("job record: %s, %v, %d bytes", why, err, len(changes[0].Value))
 	}
 
-	c.up.level = LevelTasks
+	c.format.level = LevelTasks
 	m := new(machineRecord)
-	if err := wire.Decode(written(c, t)["m/m-000001"], m); err != nil || len(m.Places) != 4 {
+	if err := wire.Decode(renderPending(c, t)["m/m-000001"], m); err != nil || len(m.Placements) != 4 {
 		t.Errorf("a machine's record dropped places that no job's record holds yet: %+v", m)
 	}
 	c.cfg.Params.State.ValueKB = 1
-	c.convert()
-	for _, r := range c.commit.keys { // as if committed: the jobs' records first
+	c.migrateRecords()
+	for _, r := range c.committer.pending { // as if committed: the jobs' records first
 		r.render()
 	}
 	for _, m := range c.machines {
-		for _, p := range m.Places {
-			p.InJob = true
+		for _, p := range m.Placements {
+			p.InJobRecord = true
 		}
 	}
-	for key, value := range written(c, t) {
+	for key, value := range renderPending(c, t) {
 		if n := wire.JSONSize(value); n > 1024 {
 			t.Errorf("%s takes %d bytes", key, n)
 		}
 		records[key] = value
 	}
-	records["j/req-000001/s"] = wire.Encode(c.progressOf(c.jobs["req-000001"]))
-	again := loading(LevelTasks, c.cfg.Params.State)
-	load(t, again, records)
-	check(t, again)
-	if m := again.machines["m-000002"]; len(m.Places) != 1 || !m.Places["req-000001/4"].InJob {
-		t.Errorf("placements of m-000002: %v", m.Places)
+	records["j/req-000001/s"] = wire.Encode(c.progressRecordOf(c.jobs["req-000001"]))
+	again := newLoadingCore(LevelTasks, c.cfg.Params.State)
+	loadRecords(t, again, records)
+	checkRestored(t, again)
+	if m := again.machines["m-000002"]; len(m.Placements) != 1 || !m.Placements["req-000001/4"].InJobRecord {
+		t.Errorf("placements of m-000002: %v", m.Placements)
 	}
 	var f finalRecord
 	if err := wire.Decode(records["f/req-000004"], &f); err != nil || f.Phase != wire.PhaseDone || f.Done != 7 {
 		t.Errorf("final state: %+v, %v", f, err)
 	}
-	c.restoreLearnt(records[learntKey])
-	if c.arrivals["check"].rate != 3.25 || c.rates["t"] != 0.21 {
+	c.restoreLearned(records[learnedKey])
+	if c.arrivals["check"].rate != 3.25 || c.fetchRates["t"] != 0.21 {
 		t.Errorf("learnt: %+v", c.arrivals["check"])
 	}
 }
@@ -186,21 +186,21 @@
 // FuzzRecords: whatever a record of tasks holds, reading it does not panic and
 // enters no place that the job does not have.
 func FuzzRecords(f *testing.F) {
-	f.Add(wire.Encode(&tasksRecord{Done: 5, Base: 7, Machines: []string{"m-000001"}, Places: []uint64{1, 0, 2, 3}}))
-	f.Add(wire.Encode(&tasksRecord{Machines: []string{"m-000001"}, Places: []uint64{1, 9, 2, 3, 99, 0, 0, 1}}))
+	f.Add(wire.Encode(&tasksRecord{Done: 5, BaseAttempt: 7, Machines: []string{"m-000001"}, Placements: []uint64{1, 0, 2, 3}}))
+	f.Add(wire.Encode(&tasksRecord{Machines: []string{"m-000001"}, Placements: []uint64{1, 9, 2, 3, 99, 0, 0, 1}}))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		if wire.Check(value) != nil {
 			return
 		}
-		c := loading(LevelTasks, config.State{ValueKB: 2, TxnOps: 8, WriteRPS: 42})
+		c := newLoadingCore(LevelTasks, config.StateLimits{ValueKB: 2, TxnOps: 8, WriteRPS: 42})
 		c.catalog = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64}}
 		m := c.addMachine("m-000001", "", "t", "a", false, 0)
-		c.addRecord(wire.Encode(&jobRecord{Job: wire.Job{ID: "req-000001", Team: "core", Tasks: 70}}), nil)
-		for _, r := range c.readTasks([]wire.Item{{Key: tasksKey("req-000001", taskSpan, 0), Value: value}}) {
-			c.restorePlaces(r)
+		c.addJobRecord(wire.Encode(&jobRecord{Job: wire.Job{ID: "req-000001", Team: "core", Tasks: 70}}), nil)
+		for _, r := range c.restoreDoneTasks([]wire.Item{{Key: tasksKey("req-000001", tasksPerRecord, 0), Value: value}}) {
+			c.restorePlacements(r)
 		}
-		for _, p := range m.Places {
-			if p.Index < taskSpan || p.Index >= 70 {
+		for _, p := range m.Placements {
+			if p.Index < tasksPerRecord || p.Index >= 70 {
 				t.Fatalf("place of task %d", p.Index)
 			}
 		}
--- a/internal/controller/namesakes.go
+++ b/internal/controller/duplicate_names.go
@@ -10,7 +10,7 @@
 // mistake, which no restart looks like. A process that was replaced never speaks again
 // but for what a cut held back, so one that is heard again and again after another was
 // is alive.
-type namesakes struct {
+type duplicateNameDetector struct {
 	now     uint64   // who spoke last
 	before  []uint64 // who spoke before, the latest last
 	returns int      // how often one of those spoke again
@@ -25,7 +25,7 @@
 )
 
 // hear takes in who speaks; it reports whether that is to be told now.
-func (n *namesakes) hear(incarnation uint64, now Micros) bool {
+func (n *duplicateNameDetector) observe(incarnation uint64, now Micros) bool {
 	if incarnation == 0 || incarnation == n.now {
 		return false
 	}
--- a/internal/controller/namesakes_test.go
+++ b/internal/controller/duplicate_names_test.go
@@ -9,23 +9,23 @@
 // TestNamesakes: restarts, however many and quick, are no second process, nor is what a
 // cut held back; two that speak in turn are told of, and not with each message.
 func TestNamesakes(t *testing.T) {
-	var n namesakes
+	var n duplicateNameDetector
 	now := Micros(0)
 	for i := range uint64(1000) {
 		now += 50 * clock.Millisecond
 		for range 2 { // a process speaks more than once
-			if n.hear(i+1, now) {
+			if n.observe(i+1, now) {
 				t.Fatalf("restart %d told of", i)
 			}
 		}
 	}
-	if n.hear(999, now) || n.hear(1000, now) || n.hear(998, now) {
+	if n.observe(999, now) || n.observe(1000, now) || n.observe(998, now) {
 		t.Error("what a cut held back is told of")
 	}
-	n, told := namesakes{}, 0
+	n, told := duplicateNameDetector{}, 0
 	for i := range 600 { // ten minutes
 		now += clock.Second
-		if n.hear(uint64(1+i%2), now) {
+		if n.observe(uint64(1+i%2), now) {
 			told++
 		}
 	}
--- a/internal/controller/level.go
+++ b/internal/controller/format_level.go
@@ -22,7 +22,7 @@
 const (
 	// LevelPlaces is version 0.1: placements lie in their machine's record,
 	// finished tasks in their job's progress.
-	LevelPlaces = 1
+	LevelPlacements = 1
 	// LevelTasks keeps both in records of a job's tasks, small enough for the
 	// next limits of the state service.
 	LevelTasks = 2
@@ -34,7 +34,7 @@
 	// before.
 	LevelRelay = 5
 	// Highest is what this version speaks.
-	Highest = LevelRelay
+	HighestLevel = LevelRelay
 )
 
 // Keys of the upgrade, which version 0.1 neither reads nor writes.
@@ -49,26 +49,26 @@
 }
 
 // upgrade is what a node knows of the format levels.
-type upgrade struct {
-	speaks  int            // what this process reads and writes at most
-	level   int            // in force
-	peers   map[string]int // what the nodes are known to speak
-	raising bool           // the record of the new level is on its way
-	told    bool           // the state service has this node's announcement
+type formatState struct {
+	maxLevel      int            // what this process reads and writes at most
+	level         int            // in force
+	peerMaxLevels map[string]int // what the nodes are known to speak
+	raising       bool           // the record of the new level is on its way
+	told          bool           // the state service has this node's announcement
 }
 
 // Level is the format level in force, as far as this node knows.
-func (c *Core) Level() int { return c.up.level }
+func (c *Core) FormatLevel() int { return c.format.level }
 
 // limits are those of the state service in force: the present ones until the
 // upgrade is over, from then on the smaller of the present and the next.
-func (c *Core) limits() config.State {
+func (c *Core) stateLimits() config.StateLimits {
 	s := c.cfg.Params.State
-	if c.up.level >= LevelTasks {
+	if c.format.level >= LevelTasks {
 		s = s.Lowest()
 	}
 	// A transaction of a single record that is refused all the same: shrink it.
-	if n := c.commit.squeeze - 3; n > 0 {
+	if n := c.committer.sizeReductions - 3; n > 0 {
 		s.ValueKB *= math.Pow(0.75, float64(n))
 	}
 	return s
@@ -79,19 +79,19 @@
 //
 // A process before this one may have said the same: then nothing is written, so that a
 // loop of crashes costs no changes.
-func (c *Core) announce() {
-	if c.up.speaks < LevelTasks || c.up.told {
+func (c *Core) announceLevel() {
+	if c.format.maxLevel < LevelTasks || c.format.told {
 		return
 	}
-	again := func() { c.env.After(clock.Second, c.announce) }
+	again := func() { c.env.After(clock.Second, c.announceLevel) }
 	at := stdTime(c.env.Now())
-	if c.writes.Room(at, admit.Idle) < 1 {
+	if c.writeBudget.Available(at, admit.BackgroundWrites) < 1 {
 		again()
 		return
 	}
-	c.writes.Spend(at, admit.Idle, 1)
+	c.writeBudget.Spend(at, admit.BackgroundWrites, 1)
 	c.env.State().Txn(&wire.Txn{Then: []wire.Change{
-		{Put: nodePrefix + c.cfg.Name, Value: wire.Encode(&levelRecord{c.up.speaks})},
+		{PutKey: nodePrefix + c.cfg.Name, Value: wire.Encode(&levelRecord{c.format.maxLevel})},
 	}}, func(o store.Outcome, _ *wire.TxnAnswer) {
 		if o != store.OK {
 			again()
@@ -100,19 +100,19 @@
 }
 
 // hearLevel takes in what is known of another node's process.
-func (c *Core) hearLevel(node string, speaks, level int) {
-	if c.up.speaks < LevelTasks {
+func (c *Core) recordNodeLevel(node string, speaks, level int) {
+	if c.format.maxLevel < LevelTasks {
 		return
 	}
-	c.up.peers[node] = max(c.up.peers[node], speaks)
-	if level = min(level, c.up.speaks); level > c.up.level {
+	c.format.peerMaxLevels[node] = max(c.format.peerMaxLevels[node], speaks)
+	if level = min(level, c.format.maxLevel); level > c.format.level {
 		c.raise(level, "another node says so")
 	}
 }
 
 // readLevels reads the announcements and the level in force.
 func (c *Core) readLevels(done func(ok bool)) {
-	if c.up.speaks < LevelTasks {
+	if c.format.maxLevel < LevelTasks {
 		done(true)
 		return
 	}
@@ -126,13 +126,13 @@
 			if msgpack.Unmarshal(l.Items[i].Value, &r) != nil {
 				continue
 			}
-			if l.Items[i].Key == nodePrefix+c.cfg.Name && r.Level == c.up.speaks {
-				c.up.told = true
+			if l.Items[i].Key == nodePrefix+c.cfg.Name && r.Level == c.format.maxLevel {
+				c.format.told = true
 			}
 			if l.Items[i].Key == levelKey {
-				c.hearLevel("", 0, r.Level)
+				c.recordNodeLevel("", 0, r.Level)
 			} else {
-				c.hearLevel(strings.TrimPrefix(l.Items[i].Key, nodePrefix), r.Level, 0)
+				c.recordNodeLevel(strings.TrimPrefix(l.Items[i].Key, nodePrefix), r.Level, 0)
 			}
 		}
 		done(true)
@@ -141,67 +141,67 @@
 
 // tendLevel has the leader raise the level once every node speaks it. The level
 // is recorded first, and used after.
-func (c *Core) tendLevel(now Micros) {
-	if c.up.level >= c.up.speaks || c.up.raising {
+func (c *Core) maintainFormatLevel(now Micros) {
+	if c.format.level >= c.format.maxLevel || c.format.raising {
 		return
 	}
-	all := c.up.speaks
+	all := c.format.maxLevel
 	for name := range c.peers {
-		all = min(all, c.up.peers[name])
+		all = min(all, c.format.peerMaxLevels[name])
 	}
-	if all < c.up.speaks && now-c.levelsRead > 2*clock.Second {
-		c.levelsRead = now
+	if all < c.format.maxLevel && now-c.levelsReadAt > 2*clock.Second {
+		c.levelsReadAt = now
 		c.readLevels(func(bool) {})
 	}
-	if all > c.up.level {
+	if all > c.format.level {
 		c.recordLevel(all, func() { c.raise(all, "every node speaks it") })
 	}
 }
 
 // recordLevel writes a level for good.
 func (c *Core) recordLevel(level int, then func()) {
-	c.up.raising = true
-	c.commit.put(levelKey, func() []byte { return wire.Encode(&levelRecord{max(level, c.up.level)}) }, c.during(func() {
-		c.up.raising = false
+	c.format.raising = true
+	c.committer.put(levelKey, func() []byte { return wire.Encode(&levelRecord{max(level, c.format.level)}) }, c.whileInTerm(func() {
+		c.format.raising = false
 		then()
 	}))
 }
 
 // raise begins to write a new level and to keep the next limits.
 func (c *Core) raise(level int, why string) {
-	if c.up.level >= level {
+	if c.format.level >= level {
 		return
 	}
-	c.up.level = level
-	slog.Info("format level raised", "level", c.up.level, "why", why)
-	c.setWriteShare()
-	c.reads.Set(stdTime(c.env.Now()), c.limits().RPS*readShare)
-	if c.lead.Leading() && c.loaded {
-		c.convert()
+	c.format.level = level
+	slog.Info("format level raised", "level", c.format.level, "why", why)
+	c.updateWriteRate()
+	c.readBudget.SetRate(stdTime(c.env.Now()), c.stateLimits().RPS*readShare)
+	if c.elector.Leading() && c.loaded {
+		c.migrateRecords()
 	}
 }
 
 // convert writes the placements that lie in their machines' records into those
 // of their jobs. A machine's record drops a placement only when that is done.
-func (c *Core) convert() {
-	for _, m := range c.order {
-		for _, p := range places(m) {
+func (c *Core) migrateRecords() {
+	for _, m := range c.sortedMachines {
+		for _, p := range sortedPlacements(m) {
 			switch {
-			case p.InJob:
+			case p.InJobRecord:
 			case p.Job == nil: // over, or replaced after its absence was proven
-				p.InJob = true
+				p.InJobRecord = true
 			default:
-				c.savePlace(p)
+				c.savePlacement(p)
 			}
 		}
-		if c.up.level < LevelGroups {
+		if c.format.level < LevelGroups {
 			c.saveMachine(m, nil)
 		}
 	}
-	if c.up.level >= LevelGroups {
-		c.groupAll(c.order)
-		for _, m := range c.order {
-			if m.Own {
+	if c.format.level >= LevelGroups {
+		c.groupMachines(c.sortedMachines)
+		for _, m := range c.sortedMachines {
+			if m.MayHaveOwnRecord {
 				c.saveMachine(m, nil)
 			}
 		}
@@ -211,17 +211,17 @@
 // refusedForSize is told of changes that the state service called invalid. A
 // refusal of what the present limits allow and the next ones don't proves that
 // the upgrade is over.
-func (c *Core) refusedForSize(changes []wire.Change) bool {
+func (c *Core) raiseLevelOnSizeRefusal(changes []wire.Change) bool {
 	low := c.cfg.Params.State.Lowest()
 	over := len(changes) > low.TxnOps
 	for _, ch := range changes {
 		over = over || ch.Value != nil && wire.JSONSize(ch.Value) > low.ValueBytes()
 	}
-	if !over || c.up.level >= LevelTasks || c.up.speaks < LevelTasks {
+	if !over || c.format.level >= LevelTasks || c.format.maxLevel < LevelTasks {
 		return false
 	}
 	c.raise(LevelTasks, "the state service has its next limits")
-	if c.lead.Leading() && c.loaded {
+	if c.elector.Leading() && c.loaded {
 		c.recordLevel(LevelTasks, func() {})
 	}
 	return true
@@ -230,12 +230,12 @@
 // savePlace writes a placement ahead of its launch, or converts it. The machine's
 // own record goes before the first one: a new leader takes a machine without a
 // record for returned, and all that was on it for gone.
-func (c *Core) savePlace(p *sched.Placement) {
+func (c *Core) savePlacement(p *sched.Placement) {
 	if !p.Machine.Recorded {
 		c.saveMachine(p.Machine, func() {})
 	}
-	c.saveTasks(p.Job, p.Index, atOnce, c.during(func() {
-		p.InJob, p.Committed = true, true
-		c.orderSoon(p.Machine)
+	c.saveTasks(p.Job, p.Index, classUrgent, c.whileInTerm(func() {
+		p.InJobRecord, p.Committed = true, true
+		c.queueOrder(p.Machine)
 	}))
 }
--- a/internal/controller/forward.go
+++ b/internal/controller/forward_reports.go
@@ -14,11 +14,11 @@
 // answer with its token from any node, and none later than 4 s.
 
 // visitor is a worker that reported here while this node did not lead.
-type visitor struct {
-	at        Micros // last
-	sent      Micros // when it was last sent to the leader; 0: never
-	leader    string // which
-	forwarded Micros // since when its reports are handed on; 0: they are not
+type reportingWorker struct {
+	lastReportAt    Micros // last
+	sent            Micros // when it was last sent to the leader; 0: never
+	leader          string // which
+	forwardingSince Micros // since when its reports are handed on; 0: they are not
 }
 
 const (
@@ -29,19 +29,19 @@
 )
 
 // visitorOf is what is known of a worker that reports here while this node does not lead.
-func (c *Core) visitorOf(machine string) *visitor {
-	s := c.visitors[machine]
+func (c *Core) reportingWorkerOf(machine string) *reportingWorker {
+	s := c.reportingWorkers[machine]
 	if s == nil {
-		s = new(visitor)
-		c.visitors[machine] = s
+		s = new(reportingWorker)
+		c.reportingWorkers[machine] = s
 	}
 	return s
 }
 
 // TakeReport handles a worker's report at whichever node it comes to.
-func (c *Core) TakeReport(r *wire.Report, reply func(ReportAnswer)) {
-	if c.relays() {
-		c.takeCarried(r, reply)
+func (c *Core) HandleReport(r *wire.Report, reply func(ReportAnswer)) {
+	if c.relaying() {
+		c.handleReportWithRelays(r, reply)
 	} else {
 		c.takeStraight(r, reply)
 	}
@@ -49,29 +49,29 @@
 
 // takeStraight handles a report while workers report to the leader.
 func (c *Core) takeStraight(r *wire.Report, reply func(ReportAnswer)) {
-	if c.lead.Leading() && !c.loaded {
-		c.awaitLoad(func() { reply(c.OnReport(r)) })
+	if c.elector.Leading() && !c.loaded {
+		c.deferUntilLoaded(func() { reply(c.ProcessReport(r)) })
 		return
 	}
-	leader := c.lead.Leader()
-	if c.lead.Leading() || leader == "" || !c.forwards(r, leader) {
-		a := c.OnReport(r)
-		if s := c.visitors[r.Machine]; s != nil && a.Code == 421 {
-			s.sent, s.leader, s.forwarded = c.env.Now(), a.Leader, 0
+	leader := c.elector.Leader()
+	if c.elector.Leading() || leader == "" || !c.forwards(r, leader) {
+		a := c.ProcessReport(r)
+		if s := c.reportingWorkers[r.Machine]; s != nil && a.Code == 421 {
+			s.sent, s.leader, s.forwardingSince = c.env.Now(), a.Leader, 0
 		}
 		reply(a)
 		return
 	}
-	c.visitors[r.Machine].at = c.env.Now()
-	m := c.self(fb.KindReport)
+	c.reportingWorkers[r.Machine].lastReportAt = c.env.Now()
+	m := c.newMessage(fb.KindReport)
 	m.Body = wire.Encode(r)
-	c.env.Ask(leader, m, forwardTime, func(a *peer.Msg) {
+	c.env.Call(leader, m, forwardTime, func(a *peer.Msg) {
 		answer := ReportAnswer{Code: 503}
 		if a != nil && a.Code == 200 && wire.Decode(a.Body, &answer.Body) == nil {
 			answer.Code = 200
 		}
-		if s := c.visitors[r.Machine]; s != nil && answer.Code != 200 {
-			s.forwarded = 0
+		if s := c.reportingWorkers[r.Machine]; s != nil && answer.Code != 200 {
+			s.forwardingSince = 0
 		}
 		reply(answer)
 	})
@@ -82,30 +82,30 @@
 // lease ago, and is here all the same.
 func (c *Core) forwards(r *wire.Report, leader string) bool {
 	now, p := c.env.Now(), c.peers[leader]
-	if p == nil || !p.heard(now) || c.up.peers[leader] < LevelGroups {
+	if p == nil || !p.seenRecently(now) || c.format.peerMaxLevels[leader] < LevelGroups {
 		return false
 	}
-	s := c.visitorOf(r.Machine)
+	s := c.reportingWorkerOf(r.Machine)
 	switch {
-	case s.forwarded > 0:
+	case s.forwardingSince > 0:
 	case p.term > 0 && r.Token == p.term && (s.sent == 0 || now-s.sent > forwardFor), s.leader == leader && s.sent > 0 && now-s.sent < c.cfg.WorkerLease():
-		s.forwarded = now
+		s.forwardingSince = now
 	default:
 		return false
 	}
-	return now-s.forwarded < forwardFor
+	return now-s.forwardingSince < forwardFor
 }
 
 // onForwarded answers a report that a peer hands on.
-func (c *Core) onForwarded(m *peer.Msg, reply func(*peer.Msg)) {
+func (c *Core) handleForwardedReport(m *peer.Msg, reply func(*peer.Msg)) {
 	a := ReportAnswer{Code: 400}
 	if r, err := wire.DecodeReport(m.Body); err == nil {
 		a = ReportAnswer{Code: 503}
-		if c.lead.Leading() {
-			a = c.OnReport(r)
+		if c.elector.Leading() {
+			a = c.ProcessReport(r)
 		}
 	}
-	out := c.self(fb.KindAnswer)
+	out := c.newMessage(fb.KindAnswer)
 	if out.Code = a.Code; a.Code == 200 {
 		out.Body = wire.Encode(&a.Body)
 	}
--- a/internal/controller/passing.go
+++ b/internal/controller/forward_submissions.go
@@ -10,28 +10,28 @@
 // an eighth of the state service's changes, the leader has most of what is left, and the
 // load balancer gives each node the same number of users: in the opening second, with
 // hundreds of them, the leader stood idle while the others told theirs to come back.
-type passing struct {
+type submissionForwarding struct {
 	out   int    // handed on and not answered yet, at most a quarter of what may wait
 	held  int    // kept until there is a leader
 	until Micros // the leader refused: nothing is handed on before
 }
 
 const (
-	passAfter  = 60 * clock.Millisecond // a submission that would wait this long here is handed on
-	passPause  = clock.Second           // after a refusal
-	openingEnd = clock.Second           // of a process's life; a first election takes less
-	holdFor    = 40 * clock.Millisecond
+	submissionForwardAfter = 60 * clock.Millisecond // a submission that would wait this long here is handed on
+	passPause              = clock.Second           // after a refusal
+	openingEnd             = clock.Second           // of a process's life; a first election takes less
+	holdFor                = 40 * clock.Millisecond
 )
 
 // waitHere is how long a submission would wait for its changes at this node; without
 // admission nobody asks.
-func (c *Core) waitHere(job *wire.Job, account int, now Micros) Micros {
-	if !c.pol.Admission.On {
+func (c *Core) localWait(job *wire.Job, account int, now Micros) Micros {
+	if !c.policy.Admission.Enabled {
 		return 0
 	}
-	q := c.intake.queue
-	cost := 1 + len(job.Awaits)/64
-	short := float64(q.Ahead(account, c.rank(job), cost)+cost) - c.writes.Room(stdTime(now), admit.Submits)
+	q := c.submissions.queue
+	cost := 1 + len(job.DependsOn)/64
+	short := float64(q.CostAhead(account, c.rank(job), cost)+cost) - c.writeBudget.Available(stdTime(now), admit.SubmissionWrites)
 	if short <= 0 {
 		return 0
 	}
@@ -40,37 +40,37 @@
 
 // passOn hands a submission to the leader, or keeps it for a moment while the first
 // leader is being elected; it reports whether it did.
-func (c *Core) passOn(job *wire.Job, account int, reply func(Answer)) bool {
+func (c *Core) forwardSubmission(job *wire.Job, account int, reply func(Answer)) bool {
 	now := c.env.Now()
-	if c.lead.Leading() {
+	if c.elector.Leading() {
 		return false
 	}
-	leader := c.lead.Leader()
+	leader := c.elector.Leader()
 	if leader == "" {
-		if now-c.born > openingEnd || c.pass.held >= c.cfg.MaxWaiting() {
+		if now-c.startedAt > openingEnd || c.forwarding.held >= c.cfg.MaxQueuedSubmissions() {
 			return false
 		}
-		c.pass.held++
+		c.forwarding.held++
 		c.env.After(holdFor, func() {
-			c.pass.held--
+			c.forwarding.held--
 			c.enqueue(job, true, reply)
 		})
 		return true
 	}
-	if c.peers[leader] == nil || c.pass.out >= c.cfg.MaxWaiting()/4 || now < c.pass.until {
+	if c.peers[leader] == nil || c.forwarding.out >= c.cfg.MaxQueuedSubmissions()/4 || now < c.forwarding.until {
 		return false
 	}
-	c.pass.out++
-	c.submitTo(leader, job, func(a Answer) {
-		c.pass.out--
+	c.forwarding.out++
+	c.submitToPeer(leader, job, func(a Answer) {
+		c.forwarding.out--
 		switch a.Code {
 		case 200, 201:
-			c.allowance.Took(account, a.Code == 200)
+			c.allowance.CountAccepted(account, a.Code == 200)
 		case 429:
-			c.noteRefused(account, job)
+			c.recordRefusal(account, job)
 		}
 		if a.Code >= 429 { // it has enough to do, or is gone
-			c.pass.until = c.env.Now() + passPause
+			c.forwarding.until = c.env.Now() + passPause
 		}
 		reply(a)
 	})
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -33,75 +33,75 @@
 }
 
 // returning is machines that are returned by one call.
-type returning struct {
+type releaseBatch struct {
 	name string
 	ids  []string
 }
 
 // intend acts once the intent is committed, at once where it is.
-func (c *Core) intend(name string, rec intentRecord, act func()) {
-	if c.up.level < LevelIntents || c.intended[name] {
+func (c *Core) commitIntent(name string, rec intentRecord, act func()) {
+	if c.format.level < LevelIntents || c.openIntents[name] {
 		act()
 		return
 	}
-	rec.At = c.wall(c.env.Now())
-	c.commit.put(intentPrefix+name, func() []byte { return wire.Encode(&rec) }, c.during(func() {
-		c.intended[name] = true
+	rec.At = c.toWallTime(c.env.Now())
+	c.committer.put(intentPrefix+name, func() []byte { return wire.Encode(&rec) }, c.whileInTerm(func() {
+		c.openIntents[name] = true
 		act()
 	}))
 }
 
 // settled deletes an intent whose outcome is known; what came of it is queued before.
-func (c *Core) settled(name string) {
-	delete(c.intended, name)
-	if c.up.level >= LevelIntents {
-		c.commit.put(intentPrefix+name, func() []byte { return nil }, nil)
+func (c *Core) closeIntent(name string) {
+	delete(c.openIntents, name)
+	if c.format.level >= LevelIntents {
+		c.committer.put(intentPrefix+name, func() []byte { return nil }, nil)
 	}
 }
 
 // returned notes that the machines of an intent are gone. The intent stays as long as the
 // cloud's list may name them: a new leader would take them for machines of its own.
-func (c *Core) returned(r returning) {
+func (c *Core) completeRelease(r releaseBatch) {
 	for _, id := range r.ids {
-		c.gone(id)
+		c.removeMachine(id)
 	}
-	c.linger(r.name, intentRecord{Machines: r.ids}, c.listLag())
+	c.retainIntent(r.name, intentRecord{Machines: r.ids}, c.listLag())
 }
 
 // linger keeps an intent that is done for a while.
-func (c *Core) linger(name string, rec intentRecord, span Micros) {
-	if c.up.level < LevelIntents {
+func (c *Core) retainIntent(name string, rec intentRecord, span Micros) {
+	if c.format.level < LevelIntents {
 		return
 	}
-	rec.Done, rec.At = true, c.wall(c.env.Now())
-	c.commit.put(intentPrefix+name, func() []byte { return wire.Encode(&rec) }, nil)
+	rec.Done, rec.At = true, c.toWallTime(c.env.Now())
+	c.committer.put(intentPrefix+name, func() []byte { return wire.Encode(&rec) }, nil)
 	c.settleAfter(name, span)
 }
 
 // settleAfter deletes an intent later.
 func (c *Core) settleAfter(name string, span Micros) {
-	c.env.After(span, c.during(func() { c.settled(name) }))
+	c.env.After(span, c.whileInTerm(func() { c.closeIntent(name) }))
 }
 
 // lateFor is how long a request to the cloud may be on its way. A rental for which the cloud
 // has no room, but that was sent before without an answer, may yet be carried out once there
 // is room: it is not sent again, and stays known for as long as that.
-const lateFor = 600 * clock.Second
+const maxCloudRequestDelay = 600 * clock.Second
 
 // mostReturned is how many machines one call returns.
 const mostReturned = 100
 
 // nextReturn takes the next machines to return off the queue, as many as a call and an
 // intent's record take.
-func (c *Core) nextReturn() returning {
-	n := min(len(c.toRelease), mostReturned)
-	limit := c.limits().ValueBytes() - 64
-	for n > 1 && wire.JSONSize(wire.Encode(c.toRelease[:n])) > limit {
+func (c *Core) nextReleaseBatch() releaseBatch {
+	n := min(len(c.releaseQueue), mostReturned)
+	limit := c.stateLimits().ValueBytes() - 64
+	for n > 1 && wire.JSONSize(wire.Encode(c.releaseQueue[:n])) > limit {
 		n /= 2
 	}
-	c.returns++
-	r := returning{"x-" + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.returns, 10), c.toRelease[:n:n]}
-	c.toRelease = c.toRelease[n:]
+	c.releaseCount++
+	r := releaseBatch{"x-" + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.releaseCount, 10), c.releaseQueue[:n:n]}
+	c.releaseQueue = c.releaseQueue[n:]
 	return r
 }
 
@@ -114,13 +114,13 @@
 			slog.Error("intent cannot be read", "intent", name, "err", err)
 			continue
 		}
-		c.intended[name] = true
+		c.openIntents[name] = true
 		switch {
 		case rec.Done && rec.Rent != nil:
-			c.settleAfter(name, max(c.steady(rec.At)+lateFor-c.env.Now(), 0))
+			c.settleAfter(name, max(c.toSteadyTime(rec.At)+maxCloudRequestDelay-c.env.Now(), 0))
 		case rec.Done:
 			for _, id := range rec.Machines {
-				c.released[id] = true
+				c.releasedMachines[id] = true
 			}
 			c.settleAfter(name, c.listLag())
 		case len(rec.Machines) > 0:
@@ -129,20 +129,20 @@
 				if m := c.machines[id]; m != nil {
 					m.Releasing = true
 				} else {
-					c.released[id] = true
+					c.releasedMachines[id] = true
 				}
 			}
-			c.returning = append(c.returning, returning{name, rec.Machines})
+			c.pendingReleases = append(c.pendingReleases, releaseBatch{name, rec.Machines})
 		case rec.Rent != nil:
 			slog.Info("rental taken up", "intent", name, "machines", rec.Rent.Count)
-			c.ordered[name] = fleet.Rental{Kind: kindOf(rec.Rent), Count: rec.Rent.Count}
-			c.rent(rec.Rent, c.steady(rec.At), true)
+			c.pendingRentals[name] = fleet.Rental{Kind: kindOf(rec.Rent), Count: rec.Rent.Count}
+			c.sendRental(rec.Rent, c.toSteadyTime(rec.At), true)
 		default:
-			c.settled(name)
+			c.closeIntent(name)
 		}
 	}
 }
 
-func kindOf(r *wire.RentRequest) fleet.Kind {
-	return fleet.Kind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+func kindOf(r *wire.RentRequest) fleet.MachineKind {
+	return fleet.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 }
--- a/internal/controller/groups.go
+++ b/internal/controller/machine_groups.go
@@ -37,7 +37,7 @@
 }
 
 // group is the machines of one record.
-type group struct {
+type machineGroup struct {
 	key     string
 	members []*sched.Machine
 }
@@ -51,21 +51,21 @@
 // form puts machines of one kind that have no group into groups of their own, and queues
 // those to be written.
 func (c *Core) form(machines []*sched.Machine) {
-	for part := range slices.Chunk(machines, groupSize(c.limits().ValueBytes())) {
+	for part := range slices.Chunk(machines, groupSize(c.stateLimits().ValueBytes())) {
 		// A name of its own: a machine that was returned may appear once more, and the group
 		// that was named after it would be written over. Found by chaos with late copies.
-		c.formed++
-		g := &group{key: groupPrefix + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.formed, 10), members: slices.Clone(part)}
+		c.groupCount++
+		g := &machineGroup{key: groupPrefix + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.groupCount, 10), members: slices.Clone(part)}
 		for _, m := range part {
-			c.groups[m.ID] = g
+			c.machineGroups[m.ID] = g
 		}
-		c.saveGroup(g, whenIdle, nil)
+		c.saveGroup(g, classBackground, nil)
 	}
 }
 
 // saveNew queues the records of machines of one kind that have just been entered.
-func (c *Core) saveNew(machines []*sched.Machine) {
-	if c.up.level >= LevelGroups {
+func (c *Core) saveNewMachines(machines []*sched.Machine) {
+	if c.format.level >= LevelGroups {
 		c.form(machines)
 		return
 	}
@@ -76,39 +76,39 @@
 
 // saveInGroup queues the record that holds a machine. Its own record of a lower level, if
 // there is one, goes when its group is written and its jobs' records hold its places.
-func (c *Core) saveInGroup(m *sched.Machine, class int, done func()) {
-	if c.groups[m.ID] == nil && c.machines[m.ID] == m {
+func (c *Core) saveMachineInGroup(m *sched.Machine, class int, done func()) {
+	if c.machineGroups[m.ID] == nil && c.machines[m.ID] == m {
 		c.form([]*sched.Machine{m})
 	}
-	if g := c.groups[m.ID]; g != nil {
+	if g := c.machineGroups[m.ID]; g != nil {
 		c.saveGroup(g, class, done)
 	}
-	if !m.Own {
+	if !m.MayHaveOwnRecord {
 		return
 	}
 	key := machinePrefix + m.ID
-	c.commit.add(key, whenIdle, func() ([]wire.Change, bool) {
+	c.committer.add(key, classBackground, func() ([]wire.Change, bool) {
 		here := c.machines[m.ID] == m
-		if here && (!m.Grouped || slices.ContainsFunc(places(m), func(p *sched.Placement) bool { return !p.InJob })) {
+		if here && (!m.InGroupRecord || slices.ContainsFunc(sortedPlacements(m), func(p *sched.Placement) bool { return !p.InJobRecord })) {
 			return nil, false
 		}
-		return []wire.Change{{Delete: key}}, true
-	}, c.during(func() { m.Own = false }))
+		return []wire.Change{{DeleteKey: key}}, true
+	}, c.whileInTerm(func() { m.MayHaveOwnRecord = false }))
 }
 
 // saveGroup queues a group's record.
-func (c *Core) saveGroup(g *group, class int, done func()) {
+func (c *Core) saveGroup(g *machineGroup, class int, done func()) {
 	var written []*sched.Machine
-	c.commit.add(g.key, class, func() ([]wire.Change, bool) {
+	c.committer.add(g.key, class, func() ([]wire.Change, bool) {
 		g.members = slices.DeleteFunc(g.members, func(m *sched.Machine) bool { return c.machines[m.ID] != m })
 		written = slices.Clone(g.members)
 		if len(g.members) == 0 {
-			return []wire.Change{{Delete: g.key}}, true
+			return []wire.Change{{DeleteKey: g.key}}, true
 		}
-		return []wire.Change{{Put: g.key, Value: c.renderGroup(g.members, c.limits().ValueBytes())}}, true
-	}, c.during(func() {
+		return []wire.Change{{PutKey: g.key, Value: c.renderGroup(g.members, c.stateLimits().ValueBytes())}}, true
+	}, c.whileInTerm(func() {
 		for _, m := range written {
-			m.Recorded, m.Grouped = true, true
+			m.Recorded, m.InGroupRecord = true, true
 		}
 		if done != nil {
 			done()
@@ -121,24 +121,24 @@
 func (c *Core) renderGroup(members []*sched.Machine, limit int) []byte {
 	first := members[0]
 	for _, m := range members {
-		if m.Since < first.Since {
+		if m.RequestedAt < first.RequestedAt {
 			first = m
 		}
 	}
-	rec := groupRecord{Type: first.Type.Name, Zone: first.Zone, Spot: first.Spot, At: c.wall(first.Since)}
+	rec := groupRecord{Type: first.Type.Name, Zone: first.Zone, Spot: first.Spot, At: c.toWallTime(first.RequestedAt)}
 	count, size := map[string]int{}, map[string]float64{}
 	for _, m := range members {
 		rec.Machines = append(rec.Machines, m.ID)
 		for image := range m.Images {
 			count[image]++
-			size[image] = m.Sizes[image]
+			size[image] = m.ImageSizes[image]
 		}
-		if m.Since != first.Since {
+		if m.RequestedAt != first.RequestedAt {
 			rec.After = make([]int64, len(members))
 		}
 	}
 	for i := range rec.After {
-		rec.After[i] = int64((members[i].Since - first.Since).Seconds())
+		rec.After[i] = int64((members[i].RequestedAt - first.RequestedAt).Seconds())
 	}
 	images := slices.SortedFunc(maps.Keys(count), func(a, b string) int { return cmp.Or(cmp.Compare(count[b], count[a]), strings.Compare(a, b)) })
 	for {
@@ -172,7 +172,7 @@
 		slog.Error("record of machines cannot be read", "key", it.Key, "err", err)
 		return
 	}
-	g := &group{key: it.Key}
+	g := &machineGroup{key: it.Key}
 	first := Micros(rec.At) - c.env.Wall() + c.env.Now()
 	for i, id := range rec.Machines {
 		since := first
@@ -189,31 +189,31 @@
 		if i < len(rec.Has) {
 			for _, k := range rec.Has[i] {
 				if k >= 0 && k < len(rec.Images) && k < len(rec.Sizes) {
-					m.Touch(rec.Images[k], rec.Sizes[k], c.env.Now())
+					m.TouchImage(rec.Images[k], rec.Sizes[k], c.env.Now())
 				}
 			}
 		}
-		m.Recorded, m.Grouped = true, true
+		m.Recorded, m.InGroupRecord = true, true
 		g.members = append(g.members, m)
-		c.groups[id] = g
+		c.machineGroups[id] = g
 	}
 }
 
 // groupAll brings machines that are in no group together, by kind.
-func (c *Core) groupAll(machines []*sched.Machine) {
-	kinds := map[fleet.Kind][]*sched.Machine{}
-	var order []fleet.Kind
+func (c *Core) groupMachines(machines []*sched.Machine) {
+	kinds := map[fleet.MachineKind][]*sched.Machine{}
+	var order []fleet.MachineKind
 	for _, m := range machines {
-		if c.groups[m.ID] != nil {
+		if c.machineGroups[m.ID] != nil {
 			continue
 		}
-		k := fleet.Kind{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}
+		k := fleet.MachineKind{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}
 		if kinds[k] == nil {
 			order = append(order, k)
 		}
 		kinds[k] = append(kinds[k], m)
 	}
 	for _, k := range order {
-		c.saveNew(kinds[k])
+		c.saveNewMachines(kinds[k])
 	}
 }
--- a/internal/controller/groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -14,18 +14,18 @@
 // limit; a machine's own record goes only when its group is written and the jobs hold its
 // places, and the next leader finds the same machines, places and images.
 func TestGroups(t *testing.T) {
-	records := production(t)
-	c := loading(LevelPlaces, config.State{ValueKB: 4, TxnOps: 32, WriteRPS: 100})
-	load(t, c, records)
-	c.up.level = LevelGroups
-	c.convert()
+	records := productionRecords(t)
+	c := newLoadingCore(LevelPlacements, config.StateLimits{ValueKB: 4, TxnOps: 32, WriteRPS: 100})
+	loadRecords(t, c, records)
+	c.format.level = LevelGroups
+	c.migrateRecords()
 	own := func(key string) bool { return strings.HasPrefix(key, machinePrefix) }
 	deletions := func() int {
 		n := 0
-		for _, r := range c.commit.keys {
+		for _, r := range c.committer.pending {
 			changes, ok := r.render()
 			for _, ch := range changes {
-				if ok && own(ch.Delete) {
+				if ok && own(ch.DeleteKey) {
 					n++
 				}
 			}
@@ -36,23 +36,23 @@
 		t.Errorf("%d machines' own records go before their groups are written", n)
 	}
 	for _, m := range c.machines {
-		m.Grouped = true
+		m.InGroupRecord = true
 	}
 	if n := deletions(); n != 0 {
 		t.Errorf("%d machines' own records go before the jobs hold their places", n)
 	}
 	for _, m := range c.machines {
-		for _, p := range m.Places {
-			p.InJob = true
+		for _, p := range m.Placements {
+			p.InJobRecord = true
 		}
 	}
 	if n := deletions(); n != 2 {
 		t.Errorf("%d machines' own records go when all is written, want 2", n)
 	}
-	for key, value := range written(c, t) {
+	for key, value := range renderPending(c, t) {
 		records[key] = value
 	}
-	again := loading(LevelGroups, c.cfg.Params.State)
+	again := newLoadingCore(LevelGroups, c.cfg.Params.State)
 	for key, value := range records {
 		if own(key) {
 			delete(records, key)
@@ -62,9 +62,9 @@
 			again.restoreGroup(&wire.Item{Key: key, Value: value})
 		}
 	}
-	load(t, again, records)
-	check(t, again)
-	if a, b := again.machines["m-000001"], c.machines["m-000001"]; a.Since/1e6 != b.Since/1e6 || a.Spot != b.Spot || a.Zone != b.Zone {
+	loadRecords(t, again, records)
+	checkRestored(t, again)
+	if a, b := again.machines["m-000001"], c.machines["m-000001"]; a.RequestedAt/1e6 != b.RequestedAt/1e6 || a.Spot != b.Spot || a.Zone != b.Zone {
 		t.Errorf("%+v, was %+v", a, b)
 	}
 }
@@ -72,23 +72,23 @@
 // TestGroupFits: a group of any size is written within the limit; images that find no room
 // are left out, those of the fewest machines first.
 func TestGroupFits(t *testing.T) {
-	c := loading(LevelGroups, config.State{ValueKB: 2, TxnOps: 8, WriteRPS: 42})
+	c := newLoadingCore(LevelGroups, config.StateLimits{ValueKB: 2, TxnOps: 8, WriteRPS: 42})
 	c.catalog = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, CacheGB: 1000}}
 	var all []*sched.Machine
 	for i := range 130 {
 		m := c.addMachine(fmt.Sprintf("m-%06d", i), "", "t", "a", true, 0)
-		m.Touch("everywhere", 1, 1)
-		m.Touch(fmt.Sprintf("a-long-name-of-an-image-%d", i), 1, 1)
+		m.TouchImage("everywhere", 1, 1)
+		m.TouchImage(fmt.Sprintf("a-long-name-of-an-image-%d", i), 1, 1)
 		all = append(all, m)
 	}
-	c.saveNew(all)
-	groups := written(c, t)
+	c.saveNewMachines(all)
+	groups := renderPending(c, t)
 	for key, value := range groups {
 		if n := wire.JSONSize(value); n > 2048 {
 			t.Errorf("%s takes %d bytes", key, n)
 		}
 	}
-	again := loading(LevelGroups, c.cfg.Params.State)
+	again := newLoadingCore(LevelGroups, c.cfg.Params.State)
 	again.catalog = c.catalog
 	for key, value := range groups {
 		again.restoreGroup(&wire.Item{Key: key, Value: value})
