--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -35,7 +35,7 @@
 				c.askCatalog()
 			}
 		})
-	} else if c.lead.Leading() {
+	} else if c.elector.Leading() {
 		c.askCatalog()
 	}
 	c.env.After(again, c.loadCatalog)
@@ -43,7 +43,7 @@
 
 // askCatalog reads the machine types from the cloud.
 func (c *Core) askCatalog() {
-	if !c.calls.AllowN(stdTime(c.env.Now()), 1) {
+	if !c.cloudLimiter.AllowN(stdTime(c.env.Now()), 1) {
 		return
 	}
 	c.env.Cloud().Catalog(func(o store.Outcome, cat *wire.Catalog) {
@@ -51,7 +51,7 @@
 			return
 		}
 		c.setCatalog(cat)
-		if c.lead.Leading() && c.loaded {
+		if c.elector.Leading() && c.loaded {
 			c.saveCatalog()
 		}
 	})
@@ -65,7 +65,7 @@
 
 // saveCatalog keeps the machine types in as many values as they need.
 func (c *Core) saveCatalog() {
-	limit := c.limits().ValueBytes()
+	limit := c.stateLimits().ValueBytes()
 	parts := []catalogRecord{{}}
 	for _, t := range c.catalog {
 		last := &parts[len(parts)-1]
@@ -85,7 +85,7 @@
 		if i > 0 {
 			key += "/" + strconv.Itoa(i)
 		}
-		c.commit.put(key, func() []byte { return wire.Encode(&parts[i]) }, nil)
+		c.committer.put(key, func() []byte { return wire.Encode(&parts[i]) }, nil)
 	}
 }
 
@@ -115,7 +115,7 @@
 func (c *Core) setCatalog(cat *wire.Catalog) {
 	var types []wire.MachineType
 	for _, t := range cat.Types {
-		if t.Name != "" && t.CPUs > 0 && t.MemoryGB > 0 && t.Price > 0 && t.Boot >= 0 {
+		if t.Name != "" && t.CPUs > 0 && t.MemoryGB > 0 && t.Price > 0 && t.BootTime >= 0 {
 			types = append(types, t)
 		}
 	}
@@ -125,7 +125,7 @@
 	slices.SortFunc(types, func(a, b wire.MachineType) int { return strings.Compare(a.Name, b.Name) })
 	c.catalog = types
 	for _, j := range c.jobs {
-		j.Measure(types)
+		j.ComputeSize(types)
 	}
 	for _, m := range c.machines {
 		if t := c.typeNamed(m.Type.Name); t != nil {
@@ -149,29 +149,29 @@
 	if t == nil {
 		return nil
 	}
-	m := &sched.Machine{ID: id, Addr: addr, Type: t, Zone: zone, Spot: spot, Since: since, Known: c.env.Now(),
-		Places: map[string]*sched.Placement{}, Images: map[string]Micros{}, Sizes: map[string]float64{},
-		IdleSince: c.env.Now(), Heard: -clock.Forever, Away: -clock.Forever}
+	m := &sched.Machine{ID: id, Addr: addr, Type: t, Zone: zone, Spot: spot, RequestedAt: since, KnownSince: c.env.Now(),
+		Placements: map[string]*sched.Placement{}, Images: map[string]Micros{}, ImageSizes: map[string]float64{},
+		IdleSince: c.env.Now(), LastReportAt: -clock.Forever, LastRedirectAt: -clock.Forever}
 	c.machines[id] = m
 	return m
 }
 
 func (c *Core) sortMachines() {
-	c.order = c.order[:0]
+	c.sortedMachines = c.sortedMachines[:0]
 	for _, m := range c.machines {
-		c.order = append(c.order, m)
+		c.sortedMachines = append(c.sortedMachines, m)
 	}
-	slices.SortFunc(c.order, func(a, b *sched.Machine) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(c.sortedMachines, func(a, b *sched.Machine) int { return strings.Compare(a.ID, b.ID) })
 }
 
 // tendMachines returns the machines that are of no use: idle, silent, failed,
 // drained, or never up.
-func (c *Core) tendMachines(now Micros) {
+func (c *Core) maintainMachines(now Micros) {
 	up, silent, partitioned, spot := 0, 0, 0, 0
 	// After a takeover no machine has reported yet, and none is late for that:
 	// a new leader that judged by silence alone would return the whole fleet.
 	settled := now-c.electedAt > 3*c.cfg.WorkerLease()/2
-	for _, m := range c.order {
+	for _, m := range c.sortedMachines {
 		if m.Up && !m.Releasing {
 			up++
 			if m.Spot {
@@ -185,16 +185,16 @@
 			}
 		}
 	}
-	c.spot.observe(spot, now)
-	c.judgeSick(now)
+	c.spotLosses.observe(spot, now)
+	c.drainUnhealthyMachines(now)
 	in := c.fleetInput(now)
-	spare := in.Spare()
-	for _, m := range c.order {
+	spare := in.SpareCPUs()
+	for _, m := range c.sortedMachines {
 		if m.Releasing {
 			continue
 		}
-		boot := clock.FromSeconds(m.Type.Boot)
-		some, loose := c.unanswered(m, now)
+		boot := clock.FromSeconds(m.Type.BootTime)
+		some, loose := c.unansweredLaunches(m, now)
 		if some && !m.Draining {
 			c.drain(m)
 		}
@@ -202,21 +202,21 @@
 		switch {
 		case m.Failed:
 			why = "failed"
-		case m.Anew:
+		case m.Restarted:
 			why = "started anew"
-		case m.Unlisted && now-m.Heard > 3*c.cfg.ReportEvery()/2:
+		case m.Unlisted && now-m.LastReportAt > 3*c.cfg.ReportInterval()/2:
 			// Taken by the cloud, or returned by a leader whose own record of that was
 			// lost with it: returning it again proves that all on it is gone.
 			why = "not listed"
-		case !m.Up && settled && now-m.Since > Micros(float64(boot)*c.pol.BootFactor)+clock.FromSeconds(c.cfg.Params.Cloud.ListLag):
+		case !m.Up && settled && now-m.RequestedAt > Micros(float64(boot)*c.policy.BootTimeoutFactor)+clock.FromSeconds(c.cfg.Params.Cloud.ListLag):
 			why = "never came up"
 		case m.Up && c.silent(m, now) && settled && (silent*4 <= up || silent == 1):
 			// Returning it proves at once that its tasks are gone; but when many
 			// are silent the fault is more likely ours.
 			why = "silent"
-		case m.Up && now-m.Heard > c.cfg.WorkerLease()+c.margin() && settled && !m.Busy():
+		case m.Up && now-m.LastReportAt > c.cfg.WorkerLease()+c.leaseMargin() && settled && !m.Busy():
 			why = "silent and empty"
-		case m.Downlink.Hopeless(now, c.cfg.WorkerLease()) && (partitioned*4 <= up || partitioned == 1):
+		case m.Downlink.Unrecoverable(now, c.cfg.WorkerLease()) && (partitioned*4 <= up || partitioned == 1):
 			// As with silent ones: many at once are more likely a fault of ours.
 			why = "one-way partition"
 		case !m.Acked && m.Busy() && settled:
@@ -224,16 +224,16 @@
 		case loose:
 			why = "holds only a launch that was never answered"
 		case m.Busy() || !m.Up:
-		case m.Draining || m.Notice != 0:
+		case m.Draining || m.ReclaimAt != 0:
 			why = "drained"
-		case now-m.IdleSince > c.pol.Idle && !c.wanted(in, m, spare):
+		case now-m.IdleSince > c.policy.IdleTimeout && !c.wanted(in, m, spare):
 			why = "idle"
 		}
 		if why != "" {
-			slog.Debug("returning machine", "machine", m.ID, "why", why, "age", (now - m.Since).Seconds())
-			spare -= in.SpareOn(m)
+			slog.Debug("returning machine", "machine", m.ID, "why", why, "age", (now - m.RequestedAt).Seconds())
+			spare -= in.SpareCPUsOn(m)
 			m.Releasing = true
-			c.toRelease = append(c.toRelease, m.ID)
+			c.releaseQueue = append(c.releaseQueue, m.ID)
 		}
 	}
 	c.consolidate(in, now)
@@ -248,7 +248,7 @@
 func (c *Core) consolidate(in *fleet.Input, now Micros) {
 	waiting := len(c.unplaced) > 0
 	retiring := 0
-	for _, m := range c.order {
+	for _, m := range c.sortedMachines {
 		if m.Retiring && waiting {
 			m.Retiring = false
 		}
@@ -259,34 +259,34 @@
 	replicas := 0
 	for _, j := range c.jobs {
 		if j.Service() {
-			replicas += j.Placed
+			replicas += j.PlacedCount
 		}
 	}
-	c.moves = min(c.moves+float64(replicas)*float64(now-c.moved)/float64(c.pol.MovePeriod), 1+float64(replicas)/100)
-	c.moved = now
+	c.moveBudget = min(c.moveBudget+float64(replicas)*float64(now-c.moveBudgetUpdatedAt)/float64(c.policy.ReplicaMoveInterval), 1+float64(replicas)/100)
+	c.moveBudgetUpdatedAt = now
 	if waiting || now-c.electedAt < 2*c.cfg.WorkerLease() {
 		return
 	}
-	limit := 2 + int(c.pol.Emptying*float64(len(c.order)))
-	for _, m := range in.Retire(limit - retiring) {
+	limit := 2 + int(c.policy.MaxDrainingShare*float64(len(c.sortedMachines)))
+	for _, m := range in.MachinesToRetire(limit - retiring) {
 		m.Retiring = true
 		slog.Debug("retiring machine", "machine", m.ID)
 	}
-	vacancies := fleet.NewVacancies(c.order, now, c.fresh())
-	for _, m := range c.order {
+	vacancies := fleet.NewVacancies(c.sortedMachines, now, c.maxReportAge())
+	for _, m := range c.sortedMachines {
 		if !m.Retiring || m.Releasing {
 			continue
 		}
-		for _, p := range places(m) {
-			if c.moves < 1 {
+		for _, p := range sortedPlacements(m) {
+			if c.moveBudget < 1 {
 				return
 			}
-			if p.Job != nil && p.Job.Service() && p.Running > 0 && now-p.Running > settleFor && !p.Stopping &&
-				p.Job.Placed == len(p.Job.Tasks) && vacancies.Claim(p) {
+			if p.Job != nil && p.Job.Service() && p.RunningSince > 0 && now-p.RunningSince > settleFor && !p.Stopping &&
+				p.Job.PlacedCount == len(p.Job.Tasks) && vacancies.Claim(p) {
 				slog.Debug("moving replica", "task", p.Task, "from", m.ID)
 				p.Stopping, p.Grace = true, 0
-				c.orderSoon(m)
-				c.moves--
+				c.queueOrder(m)
+				c.moveBudget--
 			}
 		}
 	}
@@ -303,54 +303,54 @@
 			return true
 		}
 	}
-	return !m.Spot && spare-in.SpareOn(m) < in.Headroom
+	return !m.Spot && spare-in.SpareCPUsOn(m) < in.Headroom
 }
 
 // release returns machines, one call at a time.
 func (c *Core) release() {
 	now := c.env.Now()
-	if c.releasing || len(c.returning)+len(c.toRelease) == 0 || now < c.cloudPause || !c.calls.AllowN(stdTime(now), 1) {
+	if c.releaseInFlight || len(c.pendingReleases)+len(c.releaseQueue) == 0 || now < c.cloudPausedUntil || !c.cloudLimiter.AllowN(stdTime(now), 1) {
 		return
 	}
-	c.releasing = true
-	if len(c.returning) == 0 {
-		c.returning = append(c.returning, c.nextReturn())
+	c.releaseInFlight = true
+	if len(c.pendingReleases) == 0 {
+		c.pendingReleases = append(c.pendingReleases, c.nextReleaseBatch())
 	}
-	r := c.returning[0]
-	c.intend(r.name, intentRecord{Machines: r.ids}, func() { c.callRelease(r) })
+	r := c.pendingReleases[0]
+	c.commitIntent(r.name, intentRecord{Machines: r.ids}, func() { c.callRelease(r) })
 }
 
 // callRelease returns the machines of an intent.
-func (c *Core) callRelease(r returning) {
+func (c *Core) callRelease(r releaseBatch) {
 	term := c.term
 	c.env.Cloud().Release(r.ids, func(o store.Outcome) {
-		if !c.lead.Leading() || c.term != term {
+		if !c.elector.Leading() || c.term != term {
 			return
 		}
-		c.releasing = false
+		c.releaseInFlight = false
 		if o != store.OK {
-			c.cloudPause = c.env.Now() + clock.Second
+			c.cloudPausedUntil = c.env.Now() + clock.Second
 			return
 		}
-		c.returning = c.returning[1:]
-		c.returned(r)
+		c.pendingReleases = c.pendingReleases[1:]
+		c.completeRelease(r)
 		c.sortMachines()
-		c.wake()
+		c.requestSchedulingPass()
 	})
 }
 
 // gone drops a machine that the cloud said is gone, with all on it.
-func (c *Core) gone(id string) {
-	c.released[id] = true
+func (c *Core) removeMachine(id string) {
+	c.releasedMachines[id] = true
 	m := c.machines[id]
 	if m == nil {
 		return
 	}
-	for _, p := range places(m) {
-		c.leave(p)
+	for _, p := range sortedPlacements(m) {
+		c.endPlacement(p)
 	}
 	delete(c.machines, id)
-	c.router.Direct(id)
+	c.router.RemoveRoute(id)
 	c.saveMachine(m, nil)
 }
 
@@ -358,13 +358,13 @@
 // move at once, batch work may finish.
 func (c *Core) drain(m *sched.Machine) {
 	m.Draining = true
-	c.orderSoon(m)
-	for _, p := range places(m) {
+	c.queueOrder(m)
+	for _, p := range sortedPlacements(m) {
 		if p.Job == nil || p.Exited {
 			continue
 		}
-		if p.Job.Service() || p.Job.Spec.Checkpoint > 0 {
-			p.Stopping, p.Grace = true, p.Job.Spec.Save+1
+		if p.Job.Service() || p.Job.Spec.CheckpointInterval > 0 {
+			p.Stopping, p.Grace = true, p.Job.Spec.SaveDuration+1
 		}
 	}
 }
@@ -372,72 +372,72 @@
 // drainForNotice saves what can be saved before the cloud takes a machine;
 // work without checkpoints runs on, it may yet finish.
 func (c *Core) drainForNotice(m *sched.Machine, now Micros) {
-	slog.Debug("spot notice", "machine", m.ID, "in", (m.Notice - now).Seconds())
-	c.spot.lost++
-	for _, p := range places(m) {
+	slog.Debug("spot notice", "machine", m.ID, "in", (m.ReclaimAt - now).Seconds())
+	c.spotLosses.lost++
+	for _, p := range sortedPlacements(m) {
 		j := p.Job
 		switch {
 		case j == nil || p.Exited:
 		case j.Gang(): // the whole gang must be told within gang_peer_s
 			for i := range j.Tasks {
-				if q := j.Tasks[i].Place; q != nil && !q.Stopping {
-					q.Stopping, q.Grace = true, j.Spec.Save+1
-					c.orderSoon(q.Machine)
+				if q := j.Tasks[i].Placement; q != nil && !q.Stopping {
+					q.Stopping, q.Grace = true, j.Spec.SaveDuration+1
+					c.queueOrder(q.Machine)
 				}
 			}
-		case j.Service() || j.Spec.Checkpoint > 0:
-			p.Stopping, p.Grace = true, j.Spec.Save+1
+		case j.Service() || j.Spec.CheckpointInterval > 0:
+			p.Stopping, p.Grace = true, j.Spec.SaveDuration+1
 		}
 	}
-	c.wake()
+	c.requestSchedulingPass()
 }
 
 // spotLosses smooths how often the cloud takes spot machines back. Only notices
 // count: silence has other causes too.
 type spotLosses struct {
-	lost, held float64 // machines taken, and seconds that machines were up, of late
-	at         Micros
+	lost, upSeconds float64 // machines taken, and seconds that machines were up, of late
+	updatedAt       Micros
 }
 
 // spotWindow is the memory of the losses; so long a time without any is taken
 // for granted at first.
 const spotWindow = 600 * clock.Second
 
-func (s *spotLosses) rate() float64 { return s.lost / (s.held + spotWindow.Seconds()) }
+func (s *spotLosses) rate() float64 { return s.lost / (s.upSeconds + spotWindow.Seconds()) }
 
 // observe adds that n spot machines were up since the last call.
 func (s *spotLosses) observe(n int, now Micros) {
-	fade := math.Exp(-float64(now-s.at) / float64(spotWindow))
+	fade := math.Exp(-float64(now-s.updatedAt) / float64(spotWindow))
 	s.lost *= fade
-	s.held = s.held*fade + float64(n)*(now-s.at).Seconds()
-	s.at = now
+	s.upSeconds = s.upSeconds*fade + float64(n)*(now-s.updatedAt).Seconds()
+	s.updatedAt = now
 }
 
-func (a *arrival) now(at Micros) float64 {
-	return a.rate * math.Exp(-float64(at-a.at)/float64(arrivalWindow))
+func (a *arrivalStats) rateAt(at Micros) float64 {
+	return a.rate * math.Exp(-float64(at-a.updatedAt)/float64(arrivalWindow))
 }
 
 func (c *Core) fleetInput(now Micros) *fleet.Input {
-	in := &fleet.Input{Now: now, Catalog: c.catalog, Refused: c.refused, Machines: c.order,
-		Unplaced: c.unplaced, SpotWait: c.pol.SpotWait, Rates: c.rates, Fresh: c.fresh()}
-	for _, bid := range slices.Sorted(maps.Keys(c.ordered)) {
-		in.Ordered = append(in.Ordered, c.ordered[bid])
+	in := &fleet.Input{Now: now, Catalog: c.catalog, RefusedUntil: c.refusedUntil, Machines: c.sortedMachines,
+		Unplaced: c.unplaced, SpotWait: c.policy.SpotWaitThreshold, FetchRates: c.fetchRates, MaxReportAge: c.maxReportAge()}
+	for _, bid := range slices.Sorted(maps.Keys(c.pendingRentals)) {
+		in.PendingRentals = append(in.PendingRentals, c.pendingRentals[bid])
 	}
 	boot := 0.0
 	for _, t := range c.catalog {
-		boot = max(boot, t.Boot)
+		boot = max(boot, t.BootTime)
 	}
 	for _, class := range slices.Sorted(maps.Keys(c.arrivals)) {
 		a := c.arrivals[class]
 		if a.batch {
 			// A young rate has not seen its whole window yet.
-			seen := max(now-a.since, arrivalWindow*2/3)
-			in.Load += a.now(now) / -math.Expm1(-float64(seen)/float64(arrivalWindow))
+			seen := max(now-a.firstArrival, arrivalWindow*2/3)
+			in.BatchLoad += a.rateAt(now) / -math.Expm1(-float64(seen)/float64(arrivalWindow))
 			continue
 		}
-		in.Headroom += a.now(now) * boot * c.pol.Headroom
-		if a.last != nil {
-			in.Service = a.last
+		in.Headroom += a.rateAt(now) * boot * c.policy.Headroom
+		if a.lastJob != nil {
+			in.Service = a.lastJob
 		}
 	}
 	if in.Service == nil { // after a takeover: any service stands for its class
@@ -447,48 +447,48 @@
 			}
 		}
 	}
-	if in.Service != nil && in.Headroom < in.Service.Size()/2 {
+	if in.Service != nil && in.Headroom < in.Service.TaskCPUs()/2 {
 		in.Headroom = 0 // services have all but stopped coming
 	}
 	return in
 }
 
 // buy rents what the fleet package asks for, as far as the cloud's rate allows.
-func (c *Core) buy(now Micros) {
-	if now < c.cloudPause || now-c.electedAt < clock.Second {
+func (c *Core) rentMachines(now Micros) {
+	if now < c.cloudPausedUntil || now-c.electedAt < clock.Second {
 		return
 	}
 	in := c.fleetInput(now)
-	in.Unplaced = append(slices.Clone(in.Unplaced), c.expected(now)...)
+	in.Unplaced = append(slices.Clone(in.Unplaced), c.expectedRetryDemand(now)...)
 	for _, b := range fleet.Plan(in) {
-		if !c.calls.AllowN(stdTime(now), 1) {
+		if !c.cloudLimiter.AllowN(stdTime(now), 1) {
 			return
 		}
-		c.bids++
-		bid := "r-" + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.bids, 10)
-		c.ordered[bid] = fleet.Rental(b)
-		r := &wire.RentRequest{Request: bid, Type: b.Kind.Type, Zone: b.Kind.Zone, Spot: b.Kind.Spot, Count: b.Count}
-		c.intend(bid, intentRecord{Rent: r}, func() { c.rent(r, now, false) })
+		c.rentalCount++
+		bid := "r-" + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.rentalCount, 10)
+		c.pendingRentals[bid] = fleet.Rental(b)
+		r := &wire.RentRequest{RequestID: bid, Type: b.Kind.Type, Zone: b.Kind.Zone, Spot: b.Kind.Spot, Count: b.Count}
+		c.commitIntent(bid, intentRecord{Rent: r}, func() { c.sendRental(r, now, false) })
 	}
 }
 
 // rent sends a rental. Without an answer the same name is sent again: it rents
 // nothing twice. sent tells that it may have been carried out before.
-func (c *Core) rent(r *wire.RentRequest, since Micros, sent bool) {
+func (c *Core) sendRental(r *wire.RentRequest, since Micros, sent bool) {
 	term, kind := c.term, kindOf(r)
 	again := func() {
 		c.env.After(clock.Second, func() {
-			if c.lead.Leading() && c.term == term { // perhaps the level has risen since
-				c.intend(r.Request, intentRecord{Rent: r}, func() { c.rent(r, since, true) })
+			if c.elector.Leading() && c.term == term { // perhaps the level has risen since
+				c.commitIntent(r.RequestID, intentRecord{Rent: r}, func() { c.sendRental(r, since, true) })
 			}
 		})
 	}
-	if sent && !c.calls.AllowN(stdTime(c.env.Now()), 1) {
+	if sent && !c.cloudLimiter.AllowN(stdTime(c.env.Now()), 1) {
 		again()
 		return
 	}
 	c.env.Cloud().Rent(r, func(o store.Outcome, ids []string) {
-		if !c.lead.Leading() || c.term != term {
+		if !c.elector.Leading() || c.term != term {
 			return
 		}
 		now := c.env.Now()
@@ -497,27 +497,27 @@
 			slog.Debug("rented", "kind", kind, "asked", r.Count, "got", len(ids))
 			var rented []*sched.Machine
 			for _, id := range ids {
-				if c.machines[id] == nil && !c.released[id] {
+				if c.machines[id] == nil && !c.releasedMachines[id] {
 					if m := c.addMachine(id, "", r.Type, r.Zone, r.Spot, since); m != nil {
 						rented = append(rented, m)
 					}
 				}
 			}
-			c.saveNew(rented)
+			c.saveNewMachines(rented)
 			c.sortMachines()
 			if len(ids) < r.Count {
-				c.refused[kind] = now + c.pol.Refused
+				c.refusedUntil[kind] = now + c.policy.RentRetryDelay
 			}
 		case store.Failed:
-			c.refused[kind] = now + c.pol.Refused
+			c.refusedUntil[kind] = now + c.policy.RentRetryDelay
 			if sent {
-				delete(c.ordered, r.Request)
-				c.linger(r.Request, intentRecord{Rent: r}, lateFor)
-				c.wake()
+				delete(c.pendingRentals, r.RequestID)
+				c.retainIntent(r.RequestID, intentRecord{Rent: r}, maxCloudRequestDelay)
+				c.requestSchedulingPass()
 				return
 			}
 		case store.Refused:
-			c.cloudPause = now + clock.Second
+			c.cloudPausedUntil = now + clock.Second
 			if sent {
 				again()
 				return
@@ -526,29 +526,31 @@
 			again()
 			return
 		}
-		delete(c.ordered, r.Request)
-		c.settled(r.Request)
-		c.wake()
+		delete(c.pendingRentals, r.RequestID)
+		c.closeIntent(r.RequestID)
+		c.requestSchedulingPass()
 	})
 }
 
 // list compares the cloud's list with what is known: unexpected machines are
 // adopted, failed ones returned, and those noted that are missing though the list
 // is new enough. named holds what the pages before this one list.
-func (c *Core) list(term uint64, after string, named map[string]bool, began Micros) {
-	if !c.lead.Leading() || c.term != term {
+func (c *Core) reconcileMachineList(term uint64, after string, named map[string]bool, began Micros) {
+	if !c.elector.Leading() || c.term != term {
 		return
 	}
 	if after == "" {
 		named, began = map[string]bool{}, c.env.Now()
 	}
-	again := func(d Micros, after string) { c.env.After(d, func() { c.list(term, after, named, began) }) }
-	if !c.calls.AllowN(stdTime(c.env.Now()), 1) {
+	again := func(d Micros, after string) {
+		c.env.After(d, func() { c.reconcileMachineList(term, after, named, began) })
+	}
+	if !c.cloudLimiter.AllowN(stdTime(c.env.Now()), 1) {
 		again(300*clock.Millisecond, after)
 		return
 	}
 	c.env.Cloud().List(after, 500, func(o store.Outcome, l *wire.MachineList) {
-		if !c.lead.Leading() || c.term != term {
+		if !c.elector.Leading() || c.term != term {
 			return
 		}
 		if o != store.OK {
@@ -561,8 +563,8 @@
 			e := &l.Machines[i]
 			named[e.ID] = true
 			m := c.machines[e.ID]
-			if m == nil && !c.released[e.ID] {
-				if m = c.addMachine(e.ID, e.Addr, e.Type, e.Zone, e.Spot, now-clock.FromSeconds(e.Age)); m != nil {
+			if m == nil && !c.releasedMachines[e.ID] {
+				if m = c.addMachine(e.ID, e.Addr, e.Type, e.Zone, e.Spot, now-clock.FromSeconds(e.AgeSeconds)); m != nil {
 					found = append(found, m)
 					slog.Info("machine found in the list", "machine", e.ID)
 				}
@@ -572,15 +574,15 @@
 			}
 		}
 		if len(found) > 0 {
-			c.groupAll(found)
+			c.groupMachines(found)
 			c.sortMachines()
 		}
 		if l.More && len(l.Machines) > 0 {
 			again(0, l.Machines[len(l.Machines)-1].ID)
 			return
 		}
-		for _, m := range c.order {
-			m.Unlisted = !named[m.ID] && began-m.Known > c.listLag()
+		for _, m := range c.sortedMachines {
+			m.Unlisted = !named[m.ID] && began-m.KnownSince > c.listLag()
 		}
 		c.logFleet()
 		again(5*clock.Second, "")
@@ -599,22 +601,22 @@
 	}
 	type sum struct{ booting, up, services, other, fetching float64 }
 	sums := map[bool]*sum{true: {}, false: {}}
-	for _, m := range c.order {
+	for _, m := range c.sortedMachines {
 		s := sums[m.Spot]
 		if !m.Up {
 			s.booting += m.Type.CPUs
 			continue
 		}
 		s.up += m.Type.CPUs
-		for _, p := range m.Places {
+		for _, p := range m.Placements {
 			switch {
 			case p.Exited:
-			case p.Running == 0:
-				s.fetching += p.Need.On(m.Type)
+			case p.RunningSince == 0:
+				s.fetching += p.Need.DominantCPUs(m.Type)
 			case p.Job != nil && p.Job.Service():
-				s.services += p.Need.On(m.Type)
+				s.services += p.Need.DominantCPUs(m.Type)
 			default:
-				s.other += p.Need.On(m.Type)
+				s.other += p.Need.DominantCPUs(m.Type)
 			}
 		}
 	}
@@ -624,6 +626,6 @@
 	}
 	in := c.fleetInput(c.env.Now())
 	slog.Debug("fleet", "ordinary", fmt.Sprintf("%+v", *sums[false]), "spot", fmt.Sprintf("%+v", *sums[true]),
-		"waiting", waiting, "room", c.batchRoom(), "headroom", in.Headroom, "load", in.Load,
-		"unwritten", fmt.Sprint(len(c.commit.queue), "+", len(c.commit.soon), "+", len(c.commit.lazy)), "oldest", c.commit.age().Seconds())
+		"waiting", waiting, "room", c.batchCapacity(), "headroom", in.Headroom, "load", in.BatchLoad,
+		"unwritten", fmt.Sprint(len(c.committer.urgent), "+", len(c.committer.delayed), "+", len(c.committer.background)), "oldest", c.committer.oldestUrgentAge().Seconds())
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -19,82 +19,82 @@
 // worker is not told to forget that attempt.
 
 // orderSoon notes that a machine has something to be told.
-func (c *Core) orderSoon(m *sched.Machine) { c.toOrder = append(c.toOrder, m) }
+func (c *Core) queueOrder(m *sched.Machine) { c.orderQueue = append(c.orderQueue, m) }
 
 // sendOrders tells the noted machines. What can't be sent now rides on the
 // answer to the machine's next report.
 func (c *Core) sendOrders() {
-	for _, m := range c.toOrder {
+	for _, m := range c.orderQueue {
 		c.sendOrder(m)
 	}
-	c.toOrder = c.toOrder[:0]
+	c.orderQueue = c.orderQueue[:0]
 }
 
 // mayOrder reports whether an order may be sent to the machine now.
 func (c *Core) mayOrder(m *sched.Machine) bool {
-	if m.Ordering || !c.Serving() || c.machines[m.ID] != m || m.Releasing || m.Addr == "" {
+	if m.CommandInFlight || !c.Serving() || c.machines[m.ID] != m || m.Releasing || m.Addr == "" {
 		return false
 	}
-	if via := c.router.Via(m.ID); via != "" {
-		return c.router.MayOrder(via)
+	if via := c.router.RelayFor(m.ID); via != "" {
+		return c.router.CanSendOrders(via)
 	}
-	return c.ordering < c.cfg.OrderLimit()
+	return c.ordersInFlight < c.cfg.MaxCommandBatches()
 }
 
 // sendTo sends an order, perhaps without commands, to a machine that may have one; done runs
 // if the machine and this term are still there then.
 //
 // It goes through the controller that carries the machine's connection, if one does.
-func (c *Core) sendTo(m *sched.Machine, commands []wire.Command, done func(store.Outcome, *wire.Report)) {
-	m.Ordering = true
+func (c *Core) sendCommands(m *sched.Machine, commands []wire.Command, done func(store.Outcome, *wire.Report)) {
+	m.CommandInFlight = true
 	term := c.term
 	orders := &wire.Orders{Token: term, Session: m.Session, Commands: commands}
-	via := c.router.Via(m.ID)
+	via := c.router.RelayFor(m.ID)
 	settled := func(o store.Outcome, r *wire.Report) {
-		if !c.lead.Leading() || c.term != term {
+		if !c.elector.Leading() || c.term != term {
 			return
 		}
 		if via == "" {
-			c.ordering--
+			c.ordersInFlight--
 		}
-		m.Ordering = false
+		m.CommandInFlight = false
 		if o == store.OK || o == store.Failed {
-			m.Lives = c.env.Now()
+			m.LastCommandAt = c.env.Now()
 		}
 		if c.machines[m.ID] == m {
 			done(o, r)
 		}
 	}
 	if via != "" {
-		c.router.Order(via, m.Addr, orders, settled)
+		c.router.SendOrders(via, m.Addr, orders, settled)
 		return
 	}
-	c.ordering++
-	c.env.Order(m.Addr, orders, settled)
+	c.ordersInFlight++
+	c.env.SendOrders(m.Addr, orders, settled)
 }
 
 func (c *Core) sendOrder(m *sched.Machine) {
 	now := c.env.Now()
-	if !c.mayOrder(m) || !m.Acked || m.Downlink.Partitioned || now-m.Heard > c.fresh() {
+	if !c.mayOrder(m) || !m.Acked || m.Downlink.Partitioned || now-m.LastReportAt > c.maxReportAge() {
 		return
 	}
-	stop, start := c.commands(m, places(m), now, true)
+	stop, start := c.commands(m, sortedPlacements(m), now, true)
 	if len(stop)+len(start) == 0 {
 		return
 	}
-	session, via := m.Session, c.router.Via(m.ID)
+	session, via := m.Session, c.router.RelayFor(m.ID)
 	if len(start) > 0 {
-		m.Lives = now
+		m.LastCommandAt = now
 		if via != "" {
-			m.Lives += carrier.OrderWithin // another controller may send it so much later
+			m.LastCommandAt += carrier.OrderTimeout // another controller may send it so much later
 		}
 	}
-	c.sendTo(m, append(stop, start...), func(o store.Outcome, r *wire.Report) {
+	c.sendCommands(m, append(stop, start...), func(o store.Outcome, r *wire.Report) {
 		if m.Session != session {
 			return // all that was on it has left
 		}
 		if o == store.Unknown {
-			m.LostOrder = true
+			m.LastCommandUnanswered = true
 			if via != "" { // most likely the carrier is gone, not the way to the worker
 				loseOrder(m, start)
 			}
@@ -102,11 +102,11 @@
 			return
 		}
 		if o != store.Refused {
-			m.Downlink.Proof()
+			m.Downlink.ConfirmReachable()
 		}
 		for _, cmd := range start {
-			if p := m.Places[cmd.Task]; p != nil && p.Attempt == cmd.Attempt && p.Direct {
-				p.Direct = false
+			if p := m.Placements[cmd.Task]; p != nil && p.Attempt == cmd.Attempt && p.DirectUnanswered {
+				p.DirectUnanswered = false
 				p.Sent = o != store.Refused
 			}
 		}
@@ -114,30 +114,30 @@
 			return
 		}
 		if r.Token > c.term {
-			c.lead.Yield()
+			c.elector.StepDown()
 			return
 		}
 		if o != store.OK || r.Session != session || r.Seq <= m.Seq {
 			return
 		}
-		m.OrderSeq = max(m.OrderSeq, r.Seq)
+		m.LastCommandSeq = max(m.LastCommandSeq, r.Seq)
 		// What the answer shows is so; what it lacks may still come with the
 		// answer to a report that is on its way.
 		for i := range r.Tasks {
 			t := &r.Tasks[i]
-			if p := m.Places[t.Task]; p != nil && p.Attempt == t.Attempt {
-				c.observe(m, p, t, c.env.Now())
+			if p := m.Placements[t.Task]; p != nil && p.Attempt == t.Attempt {
+				c.applyTaskReport(m, p, t, c.env.Now())
 			}
 		}
-		c.commit.pump()
+		c.committer.startTransaction()
 	})
 }
 
 // loseOrder notes that it will not be known what became of an order's launches.
 func loseOrder(m *sched.Machine, start []wire.Command) {
 	for _, cmd := range start {
-		if p := m.Places[cmd.Task]; p != nil && p.Attempt == cmd.Attempt && p.Direct {
-			p.Lost = true
+		if p := m.Placements[cmd.Task]; p != nil && p.Attempt == cmd.Attempt && p.DirectUnanswered {
+			p.OutcomeUnknown = true
 		}
 	}
 }
@@ -145,10 +145,10 @@
 // unanswered reports whether a machine holds a launch whose order was not
 // answered for so long that its session ought to have ended, and whether it
 // holds nothing else.
-func (c *Core) unanswered(m *sched.Machine, now Micros) (some, only bool) {
+func (c *Core) unansweredLaunches(m *sched.Machine, now Micros) (some, only bool) {
 	only = m.Busy()
-	for _, p := range m.Places {
-		if p.Direct && now-p.SentAt > 2*c.cfg.WorkerLease() {
+	for _, p := range m.Placements {
+		if p.DirectUnanswered && now-p.SentAt > 2*c.cfg.WorkerLease() {
 			some = true
 		} else {
 			only = false
@@ -160,12 +160,12 @@
 // holdsCancelled reports whether a launch that was never answered may yet start what a user
 // was told is cancelled, and would be given the time for it by another lease. No stop helps,
 // as an order may be executed as long as the session lasts: so that has to end. Found by the
-// scenario meet_order_held_past_cancel, where a cut between leader and machine lasts longer
+// scenario order_held_past_cancel, where a cut between leader and machine lasts longer
 // than cancel_s, the machine's reports are forwarded, and it is not empty.
-func (c *Core) holdsCancelled(m *sched.Machine, now Micros) bool {
-	bound := c.renewal()
-	for _, p := range m.Places {
-		if p.Direct && p.Job != nil && p.Job.Cancelled && p.Job.Over > 0 && bound.Outlives(now, p.Job.Over) {
+func (c *Core) mayStartCancelled(m *sched.Machine, now Micros) bool {
+	bound := c.renewalBound()
+	for _, p := range m.Placements {
+		if p.DirectUnanswered && p.Job != nil && p.Job.Cancelled && p.Job.EndedAt > 0 && bound.MayOutliveCancel(now, p.Job.EndedAt) {
 			return true
 		}
 	}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -22,20 +22,20 @@
 // leader, under the same prefix so that one list reads all at one instant. From
 // LevelTasks on, the records of a job's tasks have a prefix of their own.
 const (
-	jobPrefix     = "j/"
-	finalPrefix   = "f/"
-	machinePrefix = "m/"
-	taskPrefix    = "t/"
-	catalogKey    = "catalog"
-	learntKey     = "learnt"
-	progressTail  = "/s"
-	awaitsTail    = "/w" // and a number; sorts behind the progress
+	jobPrefix      = "j/"
+	finalPrefix    = "f/"
+	machinePrefix  = "m/"
+	taskPrefix     = "t/"
+	catalogKey     = "catalog"
+	learnedKey     = "learnt"
+	progressSuffix = "/s"
+	awaitsSuffix   = "/w" // and a number; sorts behind the progress
 )
 
 type jobRecord struct {
-	Job   wire.Job `msgpack:"job"`
-	At    int64    `msgpack:"at"`              // time of day of acceptance, microseconds
-	Parts int      `msgpack:"parts,omitempty"` // further keys with the rest of the awaits
+	Job        wire.Job `msgpack:"job"`
+	AcceptedAt int64    `msgpack:"at"`              // time of day of acceptance, microseconds
+	Parts      int      `msgpack:"parts,omitempty"` // further keys with the rest of the awaits
 }
 
 type awaitsRecord struct {
@@ -43,21 +43,21 @@
 }
 
 type progressRecord struct {
-	Phase    string `msgpack:"phase,omitempty"` // final phases only
-	Done     string `msgpack:"done"`            // bit per task, base64; LevelPlaces only
-	Count    int    `msgpack:"count"`
-	Estimate int64  `msgpack:"est"`
-	Good     bool   `msgpack:"good"`
+	Phase     string `msgpack:"phase,omitempty"` // final phases only
+	Done      string `msgpack:"done"`            // bit per task, base64; LevelPlaces only
+	DoneCount int    `msgpack:"count"`
+	Estimate  int64  `msgpack:"est"`
+	Good      bool   `msgpack:"good"`
 	// Times of day in microseconds; version 0.1 knows none of them.
-	Ready int64 `msgpack:"ready,omitempty"` // of a job that awaits others: when they were done
-	Start int64 `msgpack:"start,omitempty"` // of its pipeline
-	Over  int64 `msgpack:"over,omitempty"`  // when it ended
+	ReadyAt int64 `msgpack:"ready,omitempty"` // of a job that awaits others: when they were done
+	Start   int64 `msgpack:"start,omitempty"` // of its pipeline
+	Over    int64 `msgpack:"over,omitempty"`  // when it ended
 }
 
 // finalRecord is what is kept of a job for ever.
 type finalRecord struct {
 	wire.JobStatus `msgpack:",inline"`
-	Over           int64 `msgpack:"over,omitempty"`
+	EndedAt        int64 `msgpack:"over,omitempty"`
 	Service        bool  `msgpack:"service,omitempty"`
 }
 
@@ -74,17 +74,17 @@
 }
 
 type machineRecord struct {
-	Addr   string        `msgpack:"addr"`
-	Type   string        `msgpack:"type"`
-	Zone   string        `msgpack:"zone"`
-	Spot   bool          `msgpack:"spot"`
-	At     int64         `msgpack:"at"` // time of day of the rental
-	Images []string      `msgpack:"images"`
-	Sizes  []float64     `msgpack:"sizes"`
-	Places []placeRecord `msgpack:"places"`
+	Addr       string        `msgpack:"addr"`
+	Type       string        `msgpack:"type"`
+	Zone       string        `msgpack:"zone"`
+	Spot       bool          `msgpack:"spot"`
+	At         int64         `msgpack:"at"` // time of day of the rental
+	Images     []string      `msgpack:"images"`
+	Sizes      []float64     `msgpack:"sizes"`
+	Placements []placeRecord `msgpack:"places"`
 }
 
-type learntRecord struct {
+type learnedRecord struct {
 	At       int64              `msgpack:"at"`
 	Use      map[string]float64 `msgpack:"use"`
 	Rates    map[string]float64 `msgpack:"rates"`
@@ -102,48 +102,48 @@
 // saveMachine writes a machine's record: what it is, the images it has, and the
 // placements that their jobs' records don't hold.
 func (c *Core) saveMachine(m *sched.Machine, done func()) {
-	class := whenIdle
+	class := classBackground
 	if done != nil {
-		class = atOnce
+		class = classUrgent
 	}
-	if c.up.level >= LevelGroups {
-		c.saveInGroup(m, class, done)
+	if c.format.level >= LevelGroups {
+		c.saveMachineInGroup(m, class, done)
 		return
 	}
 	key := machinePrefix + m.ID
-	c.commit.add(key, class, func() ([]wire.Change, bool) {
+	c.committer.add(key, class, func() ([]wire.Change, bool) {
 		if c.machines[m.ID] != m {
-			return []wire.Change{{Delete: key}}, true
+			return []wire.Change{{DeleteKey: key}}, true
 		}
 		rec := machineRecord{Addr: m.Addr, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot,
-			At: c.wall(m.Since), Places: []placeRecord{}}
+			At: c.toWallTime(m.RequestedAt), Placements: []placeRecord{}}
 		for image := range m.Images {
 			rec.Images = append(rec.Images, image)
 		}
 		slices.Sort(rec.Images)
 		for _, image := range rec.Images {
-			rec.Sizes = append(rec.Sizes, m.Sizes[image])
+			rec.Sizes = append(rec.Sizes, m.ImageSizes[image])
 		}
-		for _, p := range m.Places {
-			if !p.InJob {
-				rec.Places = append(rec.Places, placeRecord{p.Task, p.Attempt, p.Session,
+		for _, p := range m.Placements {
+			if !p.InJobRecord {
+				rec.Placements = append(rec.Placements, placeRecord{p.Task, p.Attempt, p.Session,
 					p.Need.CPUs, p.Need.GPUs, p.Need.Memory, p.Team, p.Priority, p.Image})
 			}
 		}
-		slices.SortFunc(rec.Places, func(a, b placeRecord) int { return strings.Compare(a.Task, b.Task) })
-		value, limit := wire.Encode(&rec), c.limits().ValueBytes()
+		slices.SortFunc(rec.Placements, func(a, b placeRecord) int { return strings.Compare(a.Task, b.Task) })
+		value, limit := wire.Encode(&rec), c.stateLimits().ValueBytes()
 		for len(rec.Images) > 0 && wire.JSONSize(value) > limit {
 			// Images are fetched again where they are not known.
 			n := len(rec.Images) / 2
 			rec.Images, rec.Sizes = rec.Images[:n], rec.Sizes[:n]
 			value = wire.Encode(&rec)
 		}
-		if c.up.level >= LevelTasks && len(rec.Places) > 0 && wire.JSONSize(value) > limit {
+		if c.format.level >= LevelTasks && len(rec.Placements) > 0 && wire.JSONSize(value) > limit {
 			return nil, false // until the jobs' records hold the placements
 		}
-		return []wire.Change{{Put: key, Value: value}}, true
-	}, c.during(func() {
-		m.Recorded, m.Own = true, true
+		return []wire.Change{{PutKey: key, Value: value}}, true
+	}, c.whileInTerm(func() {
+		m.Recorded, m.MayHaveOwnRecord = true, true
 		if done != nil {
 			done()
 		}
@@ -151,53 +151,55 @@
 }
 
 func (c *Core) saveProgress(j *sched.Job, class int, done func()) {
-	key := jobPrefix + j.ID + progressTail
-	c.commit.add(key, class, func() ([]wire.Change, bool) {
+	key := jobPrefix + j.ID + progressSuffix
+	c.committer.add(key, class, func() ([]wire.Change, bool) {
 		// Of a job archived meanwhile the progress must stay as long as its record:
 		// alone, that would tell the world that the job is queued.
-		if c.jobs[j.ID] != j && c.commit.keys[finalPrefix+j.ID] == nil {
-			return []wire.Change{{Delete: key}}, true
+		if c.jobs[j.ID] != j && c.committer.pending[finalPrefix+j.ID] == nil {
+			return []wire.Change{{DeleteKey: key}}, true
 		}
-		rec := c.progressOf(j)
-		j.EndSent = j.EndSent || rec.Phase != ""
-		return []wire.Change{{Put: key, Value: wire.Encode(rec)}}, true
+		rec := c.progressRecordOf(j)
+		j.FinalPhaseSent = j.FinalPhaseSent || rec.Phase != ""
+		return []wire.Change{{PutKey: key, Value: wire.Encode(rec)}}, true
 	}, done)
 }
 
-func (c *Core) progressOf(j *sched.Job) *progressRecord {
-	if c.up.level < LevelTasks {
-		r := progressOf(j, c.limits().ValueBytes())
+func (c *Core) progressRecordOf(j *sched.Job) *progressRecord {
+	if c.format.level < LevelTasks {
+		r := renderProgress(j, c.stateLimits().ValueBytes())
 		c.times(j, r)
 		return r
 	}
-	r := progressOf(j, 0) // the tasks have records of their own
+	r := renderProgress(j, 0) // the tasks have records of their own
 	c.times(j, r)
-	if j.Shown == "" && r.Phase != "" && j.Over == 0 {
-		j.Over = c.env.Now()
+	if j.CommittedPhase == "" && r.Phase != "" && j.EndedAt == 0 {
+		j.EndedAt = c.env.Now()
 	}
-	if j.Over != 0 {
-		r.Over = c.wall(j.Over)
+	if j.EndedAt != 0 {
+		r.Over = c.toWallTime(j.EndedAt)
 	}
 	return r
 }
 
 // times adds when a job that awaits others became ready.
 func (c *Core) times(j *sched.Job, r *progressRecord) {
-	if len(j.Spec.Awaits) > 0 && !j.Waiting() && j.Ready > 0 {
-		r.Ready, r.Start = c.wall(j.Ready), c.wall(j.Start)
+	if len(j.Spec.DependsOn) > 0 && !j.HasUnmetDependencies() && j.ReadyAt > 0 {
+		r.ReadyAt, r.Start = c.toWallTime(j.ReadyAt), c.toWallTime(j.PipelineStart)
 	}
 }
 
 // wall and steady convert between the steady clock and the time of day.
-func (c *Core) wall(at Micros) int64   { return int64(at - c.env.Now() + c.env.Wall()) }
-func (c *Core) steady(at int64) Micros { return min(c.env.Now(), Micros(at)-c.env.Wall()+c.env.Now()) }
+func (c *Core) toWallTime(at Micros) int64 { return int64(at - c.env.Now() + c.env.Wall()) }
+func (c *Core) toSteadyTime(at int64) Micros {
+	return min(c.env.Now(), Micros(at)-c.env.Wall()+c.env.Now())
+}
 
 // progressOf renders a job's progress in at most limit bytes. Of a job whose
 // tasks are too many for that, the last ones are not remembered as done: the
 // next leader starts those again, and they exit with their result at once. A
 // record that the state service refuses would hold up all others.
-func progressOf(j *sched.Job, limit int) *progressRecord {
-	r := &progressRecord{Count: j.DoneCount, Estimate: int64(j.Estimate), Good: j.Succeeded}
+func renderProgress(j *sched.Job, limit int) *progressRecord {
+	r := &progressRecord{DoneCount: j.DoneCount, Estimate: int64(j.Estimate), Good: j.AnyTaskSucceeded}
 	switch {
 	case j.Cancelled:
 		r.Phase = wire.PhaseCancelled
@@ -222,55 +224,55 @@
 // archive moves an ended job out of the records that a takeover reads. A job
 // that others still wait for stays, so that a takeover need not look for it.
 func (c *Core) archive(j *sched.Job) {
-	if j.Shown == "" || j.Placed > 0 || len(j.After) > 0 || c.jobs[j.ID] != j {
+	if j.CommittedPhase == "" || j.PlacedCount > 0 || len(j.DirectDependents) > 0 || c.jobs[j.ID] != j {
 		return
 	}
-	final := finalRecord{JobStatus: wire.JobStatus{ID: j.ID, Phase: j.Shown, Done: j.DoneCount}, Service: j.Service()}
-	if j.Over != 0 {
-		final.Over = c.wall(j.Over)
+	final := finalRecord{JobStatus: wire.JobStatus{ID: j.ID, Phase: j.CommittedPhase, Done: j.DoneCount}, Service: j.Service()}
+	if j.EndedAt != 0 {
+		final.EndedAt = c.toWallTime(j.EndedAt)
 	}
 	delete(c.jobs, j.ID)
-	c.remember(&final)
+	c.cacheFinalRecord(&final)
 	// All at once, so that a reader sees the job or its final record.
-	c.commit.add(finalPrefix+j.ID, whenIdle, func() ([]wire.Change, bool) {
-		return []wire.Change{{Put: finalPrefix + j.ID, Value: wire.Encode(&final)},
-			{Delete: jobPrefix + j.ID}, {Delete: jobPrefix + j.ID + progressTail}}, true
+	c.committer.add(finalPrefix+j.ID, classBackground, func() ([]wire.Change, bool) {
+		return []wire.Change{{PutKey: finalPrefix + j.ID, Value: wire.Encode(&final)},
+			{DeleteKey: jobPrefix + j.ID}, {DeleteKey: jobPrefix + j.ID + progressSuffix}}, true
 	}, nil)
-	for first, parts := range j.Parts {
+	for first, parts := range j.TaskRecords {
 		c.deleteTasks(j.ID, first, parts)
 	}
-	for i := range j.AwaitsParts {
-		c.commit.put(awaitsKey(j.ID, i), func() []byte { return nil }, nil)
+	for i := range j.ExtraAwaitsKeys {
+		c.committer.put(awaitsKey(j.ID, i), func() []byte { return nil }, nil)
 	}
 }
 
-func (c *Core) remember(s *finalRecord) {
-	if _, ok := c.finals[s.ID]; !ok {
-		c.finalsOrder = append(c.finalsOrder, s.ID)
+func (c *Core) cacheFinalRecord(s *finalRecord) {
+	if _, ok := c.finalRecords[s.ID]; !ok {
+		c.finalRecordOrder = append(c.finalRecordOrder, s.ID)
 	}
-	c.finals[s.ID] = *s
-	if len(c.finalsOrder) > c.cfg.MaxFinals() {
-		delete(c.finals, c.finalsOrder[0])
-		c.finalsOrder = c.finalsOrder[1:]
+	c.finalRecords[s.ID] = *s
+	if len(c.finalRecordOrder) > c.cfg.MaxFinalStates() {
+		delete(c.finalRecords, c.finalRecordOrder[0])
+		c.finalRecordOrder = c.finalRecordOrder[1:]
 	}
 }
 
 // load reads everything at the beginning of a term.
 func (c *Core) load(term uint64) {
-	still := func() bool { return c.lead.Leading() && c.term == term }
+	still := func() bool { return c.elector.Leading() && c.term == term }
 	progress := map[string]*progressRecord{}
 	var groups, machines, tasks, intents []wire.Item
 	var since uint64
 	finish := func() {
 		for id, p := range progress {
 			if j := c.jobs[id]; j != nil {
-				c.restore(j, p)
+				c.restoreProgress(j, p)
 			} else {
-				c.commit.put(jobPrefix+id+progressTail, func() []byte { return nil }, nil)
+				c.committer.put(jobPrefix+id+progressSuffix, func() []byte { return nil }, nil)
 			}
 		}
 		// Results first: a record that holds a task's place may be older.
-		records := c.readTasks(tasks)
+		records := c.restoreDoneTasks(tasks)
 		for i := range machines {
 			c.restoreMachine(&machines[i])
 		}
@@ -278,37 +280,37 @@
 			c.restoreGroup(&groups[i])
 		}
 		for _, r := range records {
-			c.restorePlaces(r)
+			c.restorePlacements(r)
 		}
 		for _, j := range c.jobs {
-			c.requeue(j)
+			c.queuePendingTasks(j)
 		}
 		c.sortMachines()
 		c.resumeIntents(intents)
 		c.loaded = true
-		slog.Info("loaded", "term", term, "jobs", len(c.jobs), "machines", len(c.machines), "level", c.up.level)
-		if c.up.level >= LevelTasks {
-			c.convert()
+		slog.Info("loaded", "term", term, "jobs", len(c.jobs), "machines", len(c.machines), "level", c.format.level)
+		if c.format.level >= LevelTasks {
+			c.migrateRecords()
 		}
 		for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
-			if j := c.jobs[id]; j != nil && j.Waiting() {
-				c.link(j)
+			if j := c.jobs[id]; j != nil && j.HasUnmetDependencies() {
+				c.linkDependencies(j)
 			}
 		}
 		for _, j := range c.jobs {
 			c.archive(j)
 		}
 		c.watchJobs(term, since)
-		c.list(term, "", nil, 0)
+		c.reconcileMachineList(term, "", nil, 0)
 		c.saveLearnt(term)
-		c.takeEarly()
-		c.wake()
+		c.handleDeferredReports()
+		c.requestSchedulingPass()
 	}
 	read := func(prefix string, then func([]wire.Item, uint64)) { c.listAll(still, prefix, then) }
 	c.levelsAtLoad(still, func() {
 		read(jobPrefix, func(items []wire.Item, revision uint64) {
 			since = revision
-			c.addRecords(items, progress)
+			c.addJobRecords(items, progress)
 			read(taskPrefix, func(items []wire.Item, _ uint64) {
 				tasks = items
 				// A machine's own record goes after its group's is written, so own records first.
@@ -318,12 +320,12 @@
 						groups = items
 						read(intentPrefix, func(items []wire.Item, _ uint64) {
 							intents = items
-							c.env.State().Get(learntKey, func(o store.Outcome, it *wire.Item) {
+							c.env.State().Get(learnedKey, func(o store.Outcome, it *wire.Item) {
 								if !still() {
 									return
 								}
 								if o == store.OK {
-									c.restoreLearnt(it.Value)
+									c.restoreLearned(it.Value)
 								}
 								c.withCatalog(still, finish)
 							})
@@ -350,11 +352,11 @@
 
 // addRecords enters the jobs among the items; progress, if not nil, takes in
 // what lies beside them.
-func (c *Core) addRecords(items []wire.Item, progress map[string]*progressRecord) {
+func (c *Core) addJobRecords(items []wire.Item, progress map[string]*progressRecord) {
 	parts := map[string][][]byte{}
 	for i := range items {
 		key := strings.TrimPrefix(items[i].Key, jobPrefix)
-		if id, tail, found := strings.Cut(key, "/"); found && strings.HasPrefix("/"+tail, awaitsTail) {
+		if id, tail, found := strings.Cut(key, "/"); found && strings.HasPrefix("/"+tail, awaitsSuffix) {
 			parts[id] = append(parts[id], items[i].Value)
 		}
 	}
@@ -362,8 +364,8 @@
 		id, tail, found := strings.Cut(strings.TrimPrefix(items[i].Key, jobPrefix), "/")
 		switch {
 		case !found:
-			c.addRecord(items[i].Value, parts[id])
-		case "/"+tail == progressTail && progress != nil:
+			c.addJobRecord(items[i].Value, parts[id])
+		case "/"+tail == progressSuffix && progress != nil:
 			p := new(progressRecord)
 			if msgpack.Unmarshal(items[i].Value, p) == nil {
 				progress[id] = p
@@ -430,13 +432,13 @@
 		if err := msgpack.Unmarshal(raw, &more); err != nil {
 			return nil, err
 		}
-		rec.Job.Awaits = append(rec.Job.Awaits, more.Awaits...)
+		rec.Job.DependsOn = append(rec.Job.DependsOn, more.Awaits...)
 	}
 	return rec, nil
 }
 
 // addRecord enters a job from its record, unless it is known.
-func (c *Core) addRecord(value []byte, parts [][]byte) {
+func (c *Core) addJobRecord(value []byte, parts [][]byte) {
 	rec, err := decodeJobRecord(value, parts)
 	if err != nil {
 		slog.Error("job record cannot be read", "err", err)
@@ -445,61 +447,61 @@
 	if c.jobs[rec.Job.ID] != nil {
 		return
 	}
-	if _, over := c.finals[rec.Job.ID]; over {
+	if _, over := c.finalRecords[rec.Job.ID]; over {
 		return
 	}
 	spec := &rec.Job
-	if c.up.speaks < LevelTasks {
-		spec.Awaits = nil // version 0.1 does not know them
+	if c.format.maxLevel < LevelTasks {
+		spec.DependsOn = nil // version 0.1 does not know them
 	}
 	j := &sched.Job{
 		Spec: spec, ID: spec.ID,
-		Submitted:   c.steady(rec.At),
-		Estimate:    clock.FromSeconds(spec.Estimate),
-		Tasks:       make([]sched.Task, spec.Tasks),
-		FailedOn:    map[string]bool{},
-		Parts:       map[int]int{},
-		AwaitsParts: rec.Parts,
+		Submitted:       c.toSteadyTime(rec.AcceptedAt),
+		Estimate:        clock.FromSeconds(spec.Estimate),
+		Tasks:           make([]sched.Task, spec.Tasks),
+		FailedOn:        map[string]bool{},
+		TaskRecords:     map[int]int{},
+		ExtraAwaitsKeys: rec.Parts,
 	}
 	j.Init()
-	j.Measure(c.catalog)
-	c.allowance.Accepted(j.ID)
+	j.ComputeSize(c.catalog)
+	c.allowance.MarkAccepted(j.ID)
 	c.jobs[j.ID] = j
-	if len(spec.Awaits) == 0 {
+	if len(spec.DependsOn) == 0 {
 		c.setReady(j, j.Submitted)
 	} else {
-		j.Blocked = 1 // until it is linked
+		j.UnmetDependencies = 1 // until it is linked
 	}
 	if c.loaded {
-		c.link(j)
+		c.linkDependencies(j)
 	}
 }
 
 // setReady notes from when the job's aims are counted.
 func (c *Core) setReady(j *sched.Job, at Micros) {
-	j.Blocked, j.Ready, j.Targets, j.Starts, j.StartBy = 0, at, nil, nil, 0
+	j.UnmetDependencies, j.ReadyAt, j.FinishTargets, j.StartTargets, j.LastStartTarget = 0, at, nil, nil, 0
 	for _, o := range c.cfg.Params.Objectives {
 		if o.Class != j.Spec.Class {
 			continue
 		}
-		switch by := j.Ready + clock.FromSeconds(o.Within); o.Kind {
+		switch by := j.ReadyAt + clock.FromSeconds(o.Within); o.Kind {
 		case "finished":
-			j.Targets = append(j.Targets, by)
+			j.FinishTargets = append(j.FinishTargets, by)
 		case "wait":
-			j.Starts, j.StartBy = append(j.Starts, by), max(j.StartBy, by)
+			j.StartTargets, j.LastStartTarget = append(j.StartTargets, by), max(j.LastStartTarget, by)
 		}
 	}
-	slices.Sort(j.Targets)
-	slices.Sort(j.Starts)
-	if j.BeginBy = 0; c.pol.Begin > 0 {
-		j.BeginBy = at + c.pol.Begin
+	slices.Sort(j.FinishTargets)
+	slices.Sort(j.StartTargets)
+	if j.StarvationDeadline = 0; c.policy.StartWaitLimit > 0 {
+		j.StarvationDeadline = at + c.policy.StartWaitLimit
 	}
 }
 
 // requeue fills a job's queue with its pending tasks.
-func (c *Core) requeue(j *sched.Job) {
+func (c *Core) queuePendingTasks(j *sched.Job) {
 	j.Queue = j.Queue[:0]
-	if !j.Active() || j.Waiting() {
+	if !j.Active() || j.HasUnmetDependencies() {
 		return
 	}
 	for i := range j.Tasks {
@@ -509,8 +511,8 @@
 	}
 }
 
-func (c *Core) restore(j *sched.Job, p *progressRecord) {
-	j.Succeeded = p.Good
+func (c *Core) restoreProgress(j *sched.Job, p *progressRecord) {
+	j.AnyTaskSucceeded = p.Good
 	if p.Estimate > 0 {
 		j.Estimate = Micros(p.Estimate)
 	}
@@ -522,17 +524,17 @@
 		}
 	}
 	if p.Over != 0 {
-		j.Over = c.steady(p.Over)
+		j.EndedAt = c.toSteadyTime(p.Over)
 	}
-	if p.Ready != 0 {
-		j.Start = min(j.Start, c.steady(p.Start))
-		c.setReady(j, c.steady(p.Ready))
+	if p.ReadyAt != 0 {
+		j.PipelineStart = min(j.PipelineStart, c.toSteadyTime(p.Start))
+		c.setReady(j, c.toSteadyTime(p.ReadyAt))
 	}
 	switch p.Phase {
 	case wire.PhaseCancelled:
-		j.Cancelled, j.Ended, j.Shown, j.DoneCount = true, true, p.Phase, p.Count
+		j.Cancelled, j.Ended, j.CommittedPhase, j.DoneCount = true, true, p.Phase, p.DoneCount
 	case wire.PhaseDone:
-		j.Ended, j.Shown, j.DoneCount = true, p.Phase, p.Count
+		j.Ended, j.CommittedPhase, j.DoneCount = true, p.Phase, p.DoneCount
 	}
 }
 
@@ -549,14 +551,14 @@
 	}
 	for i, image := range rec.Images {
 		if i < len(rec.Sizes) {
-			m.Touch(image, rec.Sizes[i], c.env.Now())
+			m.TouchImage(image, rec.Sizes[i], c.env.Now())
 		}
 	}
-	m.Recorded, m.Own = true, true
-	for _, r := range rec.Places {
+	m.Recorded, m.MayHaveOwnRecord = true, true
+	for _, r := range rec.Placements {
 		if jobID, index, ok := wire.SplitTask(r.Task); ok {
-			c.restorePlace(c.jobs[jobID], &sched.Placement{Index: index, Task: r.Task, Attempt: r.Attempt, Machine: m,
-				Session: r.Session, Need: sched.Need{CPUs: r.CPUs, GPUs: r.GPUs, Memory: r.Memory}, Team: r.Team,
+			c.restorePlacement(c.jobs[jobID], &sched.Placement{Index: index, Task: r.Task, Attempt: r.Attempt, Machine: m,
+				Session: r.Session, Need: sched.Resources{CPUs: r.CPUs, GPUs: r.GPUs, Memory: r.Memory}, Team: r.Team,
 				Priority: r.Priority, Image: r.Image})
 		}
 	}
@@ -565,19 +567,19 @@
 // restorePlace enters a placement from a record. A record may still hold a task
 // that is done, or one that has since been placed elsewhere after its absence
 // was proven; the highest attempt is the current one.
-func (c *Core) restorePlace(j *sched.Job, pl *sched.Placement) {
-	if old := pl.Machine.Places[pl.Task]; old != nil && old.Attempt >= pl.Attempt {
-		old.InJob = old.InJob || pl.InJob && old.Attempt == pl.Attempt
+func (c *Core) restorePlacement(j *sched.Job, pl *sched.Placement) {
+	if old := pl.Machine.Placements[pl.Task]; old != nil && old.Attempt >= pl.Attempt {
+		old.InJobRecord = old.InJobRecord || pl.InJobRecord && old.Attempt == pl.Attempt
 		return
 	}
 	pl.Committed, pl.Sent, pl.Inherited = true, true, true
 	if j != nil && pl.Index < len(j.Tasks) && j.Tasks[pl.Index].State != sched.Done {
-		if other := j.Tasks[pl.Index].Place; other == nil {
+		if other := j.Tasks[pl.Index].Placement; other == nil {
 			pl.Job = j
 		} else if other.Attempt < pl.Attempt {
-			other.Job.Placed--
+			other.Job.PlacedCount--
 			other.Job = nil
-			j.Tasks[pl.Index].Place = nil
+			j.Tasks[pl.Index].Placement = nil
 			pl.Job = j
 		}
 		if pl.Job != nil && j.Gang() {
@@ -587,66 +589,66 @@
 	sched.Attach(pl, c.teams)
 }
 
-func (c *Core) restoreLearnt(value []byte) {
-	var rec learntRecord
+func (c *Core) restoreLearned(value []byte) {
+	var rec learnedRecord
 	if msgpack.Unmarshal(value, &rec) != nil {
 		return
 	}
 	now := c.env.Now()
-	at := c.steady(rec.At)
+	at := c.toSteadyTime(rec.At)
 	for name, use := range rec.Use {
 		if t := c.teams[name]; t != nil {
-			t.Use, t.UseAt = use, at
+			t.Usage, t.UsageUpdatedAt = use, at
 		}
 	}
 	for name, r := range rec.Rates {
 		if r > 0 {
-			c.rates[name] = r
+			c.fetchRates[name] = r
 		}
 	}
-	c.spot.lost, c.spot.held = rec.Lost, rec.Held
+	c.spotLosses.lost, c.spotLosses.upSeconds = rec.Lost, rec.Held
 	if rec.Digest == c.accountIndex.Digest {
 		c.served.Restore(rec.Served, at)
 	}
 	for class, r := range rec.Arrivals {
-		c.arrivals[class] = &arrival{rate: r, at: at, batch: rec.Batch[class],
-			since: min(at, Micros(rec.Since[class])-c.env.Wall()+now)}
+		c.arrivals[class] = &arrivalStats{rate: r, updatedAt: at, batch: rec.Batch[class],
+			firstArrival: min(at, Micros(rec.Since[class])-c.env.Wall()+now)}
 	}
 }
 
 // saveLearnt writes what was learnt every ten seconds.
 func (c *Core) saveLearnt(term uint64) {
-	if !c.lead.Leading() || c.term != term {
+	if !c.elector.Leading() || c.term != term {
 		return
 	}
-	c.commit.put(learntKey, func() []byte { return c.learnt(c.limits().ValueBytes()) }, nil)
+	c.committer.put(learnedKey, func() []byte { return c.renderLearned(c.stateLimits().ValueBytes()) }, nil)
 	c.env.After(10*clock.Second, func() { c.saveLearnt(term) })
 }
 
 // learnt renders what was learnt in at most limit bytes. Where that is too
 // little, the classes that ask for least are left out first; what is not there
 // is learnt again.
-func (c *Core) learnt(limit int) []byte {
-	rec := learntRecord{At: int64(c.env.Wall()), Use: map[string]float64{},
+func (c *Core) renderLearned(limit int) []byte {
+	rec := learnedRecord{At: int64(c.env.Wall()), Use: map[string]float64{},
 		Rates: map[string]float64{}, Arrivals: map[string]float64{}, Since: map[string]int64{}, Batch: map[string]bool{}}
 	now := c.env.Now()
-	rec.Lost, rec.Held = short(c.spot.lost), short(c.spot.held)
-	if c.pol.Admission.On {
+	rec.Lost, rec.Held = short(c.spotLosses.lost), short(c.spotLosses.upSeconds)
+	if c.policy.Admission.Enabled {
 		rec.Digest = c.accountIndex.Digest
 		for _, x := range c.served.Counts(now) {
 			rec.Served = append(rec.Served, short(x))
 		}
 	}
-	for name, r := range c.rates {
+	for name, r := range c.fetchRates {
 		rec.Rates[name] = short(r)
 	}
 	for name, t := range c.teams {
-		t.Decay(now, c.pol.UseWindow)
-		rec.Use[name] = short(t.Use)
+		t.DecayUsage(now, c.policy.UsageWindow)
+		rec.Use[name] = short(t.Usage)
 	}
 	for class, a := range c.arrivals {
-		rec.Arrivals[class], rec.Batch[class] = short(a.now(now)), a.batch
-		rec.Since[class] = c.wall(a.since)
+		rec.Arrivals[class], rec.Batch[class] = short(a.rateAt(now)), a.batch
+		rec.Since[class] = c.toWallTime(a.firstArrival)
 	}
 	value := wire.Encode(&rec)
 	for wire.JSONSize(value) > limit {
@@ -688,31 +690,31 @@
 
 // watchJobs follows the jobs that other nodes accept.
 func (c *Core) watchJobs(term, since uint64) {
-	if !c.lead.Leading() || c.term != term {
+	if !c.elector.Leading() || c.term != term {
 		return
 	}
 	c.env.State().Watch(jobPrefix, since, 10_000, func(o store.Outcome, a *wire.WatchAnswer) {
-		if !c.lead.Leading() || c.term != term {
+		if !c.elector.Leading() || c.term != term {
 			return
 		}
 		switch o {
 		case store.OK:
 			items := make([]wire.Item, 0, len(a.Events))
 			for _, e := range a.Events {
-				if e.Put != "" {
-					items = append(items, wire.Item{Key: e.Put, Value: e.Value})
+				if e.PutKey != "" {
+					items = append(items, wire.Item{Key: e.PutKey, Value: e.Value})
 				}
 			}
-			c.addRecords(items, nil)
+			c.addJobRecords(items, nil)
 			if len(a.Events) > 0 {
-				c.wake()
+				c.requestSchedulingPass()
 			}
 			c.watchJobs(term, a.Revision)
 		case store.Gone:
-			c.listAll(func() bool { return c.lead.Leading() && c.term == term }, jobPrefix,
+			c.listAll(func() bool { return c.elector.Leading() && c.term == term }, jobPrefix,
 				func(items []wire.Item, revision uint64) {
-					c.addRecords(items, nil)
-					c.wake()
+					c.addJobRecords(items, nil)
+					c.requestSchedulingPass()
 					c.watchJobs(term, revision)
 				})
 		default:
--- a/internal/controller/records_test.go
+++ b/internal/controller/records_test.go
@@ -18,12 +18,12 @@
 		for i := range j.Tasks {
 			j.Tasks[i].State = sched.Done
 		}
-		p := progressOf(j, c.limit)
+		p := renderProgress(j, c.limit)
 		if n := len(wire.Encode(p)); n > c.limit {
 			t.Errorf("%d tasks: %d bytes, limit %d", c.tasks, n, c.limit)
 		}
 		again := &sched.Job{Spec: &wire.Job{}, Tasks: make([]sched.Task, c.tasks)}
-		new(Core).restore(again, p)
+		new(Core).restoreProgress(again, p)
 		if again.DoneCount != c.want {
 			t.Errorf("%d tasks in %d bytes: %d done after a takeover, want %d", c.tasks, c.limit, again.DoneCount, c.want)
 		}
@@ -35,26 +35,26 @@
 // lost.
 func TestRecordsFit(t *testing.T) {
 	const limit = 1 << 10
-	c := loading(LevelTasks, config.State{ValueKB: 1, TxnOps: 4, WriteRPS: 100})
+	c := newLoadingCore(LevelTasks, config.StateLimits{ValueKB: 1, TxnOps: 4, WriteRPS: 100})
 	for i := range 200 {
-		c.arrivals[fmt.Sprint("class-", i)] = &arrival{rate: float64(i + 1)}
+		c.arrivals[fmt.Sprint("class-", i)] = &arrivalStats{rate: float64(i + 1)}
 	}
-	c.restoreLearnt(c.learnt(limit))
-	if n := wire.JSONSize(c.learnt(limit)); n > limit {
+	c.restoreLearned(c.renderLearned(limit))
+	if n := wire.JSONSize(c.renderLearned(limit)); n > limit {
 		t.Errorf("learnt takes %d bytes", n)
 	}
-	var rec learntRecord
-	if err := wire.Decode(c.learnt(limit), &rec); err != nil || rec.Arrivals["class-199"] == 0 || rec.Arrivals["class-0"] != 0 {
+	var rec learnedRecord
+	if err := wire.Decode(c.renderLearned(limit), &rec); err != nil || rec.Arrivals["class-199"] == 0 || rec.Arrivals["class-0"] != 0 {
 		t.Errorf("learnt keeps %v, %v", rec.Arrivals, err)
 	}
 
 	for i := range 40 {
 		c.catalog = append(c.catalog, wire.MachineType{Name: fmt.Sprint("type-", i), CPUs: 8, MemoryGB: 64, CacheGB: 50,
-			FetchRate: 0.3, Price: 0.51, SpotPrice: 0.13, Boot: 50, Zones: []string{"a", "b", "c"}})
+			FetchRate: 0.3, Price: 0.51, SpotPrice: 0.13, BootTime: 50, Zones: []string{"a", "b", "c"}})
 	}
 	c.saveCatalog()
 	var items []wire.Item
-	for key, value := range written(c, t) {
+	for key, value := range renderPending(c, t) {
 		if n := wire.JSONSize(value); n > limit {
 			t.Errorf("%s takes %d bytes", key, n)
 		}
@@ -72,9 +72,9 @@
 	j := &sched.Job{ID: "req-000001", Spec: &wire.Job{ID: "req-000001"}, Tasks: make([]sched.Task, 64)}
 	for i := range j.Tasks {
 		m := &sched.Machine{ID: fmt.Sprintf("m-%06d", i)}
-		j.Tasks[i] = sched.Task{State: sched.Placed, Place: &sched.Placement{Index: i, Machine: m, Session: 3, Attempt: uint64(1+i%2)<<32 | uint64(i)}}
+		j.Tasks[i] = sched.Task{State: sched.Placed, Placement: &sched.Placement{Index: i, Machine: m, Session: 3, Attempt: uint64(1+i%2)<<32 | uint64(i)}}
 	}
-	j.Tasks[0].State, j.Tasks[0].Place = sched.Done, nil
+	j.Tasks[0].State, j.Tasks[0].Placement = sched.Done, nil
 	places := map[uint64]string{}
 	parts := splitTasks(renderTasks(j, 0), limit)
 	for _, value := range parts {
@@ -82,15 +82,15 @@
 		if err := wire.Decode(value, &r); err != nil || wire.JSONSize(value) > limit {
 			t.Errorf("a part of %d bytes, %v", wire.JSONSize(value), err)
 		}
-		for p := r.Places; len(p) > 0; p = p[4:] {
-			places[p[0]] = fmt.Sprint(r.Machines[p[1]], r.Base+p[2], p[3])
+		for p := r.Placements; len(p) > 0; p = p[4:] {
+			places[p[0]] = fmt.Sprint(r.Machines[p[1]], r.BaseAttempt+p[2], p[3])
 		}
 	}
 	if len(parts) > 4 || len(places) != 63 {
 		t.Errorf("%d places in %d parts", len(places), len(parts))
 	}
 	for i := 1; i < 64; i++ {
-		p := j.Tasks[i].Place
+		p := j.Tasks[i].Placement
 		if want := fmt.Sprint(p.Machine.ID, p.Attempt, 3); places[uint64(i)] != want {
 			t.Errorf("place %d: %s, want %s", i, places[uint64(i)], want)
 		}
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -14,16 +14,16 @@
 
 // responseLife is how long a worker waits for the answer to a report; later,
 // commands in it are not executed any more.
-const responseLife = 4 * clock.Second
+const responseTimeout = 4 * clock.Second
 
 // earlyFor is how long a report that comes before the records are read waits for that: the
 // worker drops answers later than responseLife.
-const earlyFor = responseLife / 2
+const earlyFor = responseTimeout / 2
 
 // awaitLoad keeps reports until the records are read. Nothing may be renewed before: a
 // leader that knows of no cancellation would keep alive what an earlier one has told a user
-// is cancelled (scenario meet_successor_not_loaded).
-func (c *Core) awaitLoad(handle func()) {
+// is cancelled (scenario successor_lost_while_loading).
+func (c *Core) deferUntilLoaded(handle func()) {
 	waits := true
 	take := func() {
 		if waits {
@@ -31,14 +31,14 @@
 			handle()
 		}
 	}
-	c.early = append(c.early, take)
+	c.deferredReports = append(c.deferredReports, take)
 	c.env.After(earlyFor, take)
 }
 
 // takeEarly answers the reports that were kept: the records are read, or the lead is lost.
-func (c *Core) takeEarly() {
-	early := c.early
-	c.early = nil
+func (c *Core) handleDeferredReports() {
+	early := c.deferredReports
+	c.deferredReports = nil
 	for _, take := range early {
 		take()
 	}
@@ -46,16 +46,16 @@
 
 // OnReport handles a worker's report. Reports are ordered by session and seq:
 // a late one changes nothing.
-func (c *Core) OnReport(r *wire.Report) ReportAnswer {
+func (c *Core) ProcessReport(r *wire.Report) ReportAnswer {
 	now := c.env.Now()
-	if !c.lead.Leading() {
+	if !c.elector.Leading() {
 		return c.notLeading(r, now)
 	}
 	if r.Token > c.term {
-		c.lead.Yield()
+		c.elector.StepDown()
 		return ReportAnswer{Code: 503}
 	}
-	if !c.keeping() || c.released[r.Machine] {
+	if !c.mayRenewLeases() || c.releasedMachines[r.Machine] {
 		return ReportAnswer{Code: 503}
 	}
 	m := c.reporting(r, now)
@@ -65,22 +65,22 @@
 	// A worker's token never falls: what is under an older one than it has acknowledged was
 	// written before, whatever its numbers say.
 	if r.Session < m.Session || r.Session == m.Session && r.Seq <= m.Seq || m.Acked && r.Token < c.term {
-		c.older(m, r, now)
+		c.handleStaleReport(m, r, now)
 		return ReportAnswer{Code: 503}
 	}
-	if c.sendAway(m, now) || r.Session == m.Session && c.holdsCancelled(m, now) {
+	if c.sendAway(m, now) || r.Session == m.Session && c.mayStartCancelled(m, now) {
 		return ReportAnswer{Code: 503}
 	}
-	if !c.lead.Authority() {
+	if !c.elector.HoldsValidLease() {
 		c.lateRenewals++
 	}
 	// Only what is new shows that workers reach this node; late copies don't.
-	c.lastReport, m.Unanswered = now, 0
+	c.lastReport, m.UnansweredProbes = now, 0
 	renew := ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: c.term}}
-	if r.Session == m.Session && r.Seq < m.OrderSeq {
+	if r.Session == m.Session && r.Seq < m.LastCommandSeq {
 		// Written before the worker executed an order whose answer is known: what
 		// it lacks may have started since. It only shows that the worker lives.
-		m.Seq, m.Heard, m.Answered = r.Seq, now, now
+		m.Seq, m.LastReportAt, m.LastAnsweredReportAt = r.Seq, now, now
 		renew.Body.Commands = c.cancelledOn(m, r)
 		return renew
 	}
@@ -89,23 +89,23 @@
 		c.acknowledged(m)
 		renew.Body.Commands = c.digest(m, r, now)
 	} else {
-		if m.Greeted {
-			c.suspect(m, oneway.TokenLost, now)
+		if m.StaleTokenAnswered {
+			c.recordPartitionSign(m, oneway.TokenLost, now)
 		}
-		m.Greeted = true
+		m.StaleTokenAnswered = true
 		renew.Body.Commands = c.cancelledOn(m, r)
 	}
-	m.Answered = now
+	m.LastAnsweredReportAt = now
 	return renew
 }
 
 // notLeading sends a worker to the leader, if one is known.
 func (c *Core) notLeading(r *wire.Report, now Micros) ReportAnswer {
-	c.visitorOf(r.Machine).at = now
-	if c.lead.Leader() == "" {
+	c.reportingWorkerOf(r.Machine).lastReportAt = now
+	if c.elector.Leader() == "" {
 		return ReportAnswer{Code: 503}
 	}
-	return ReportAnswer{Code: 421, Leader: c.lead.Leader()}
+	return ReportAnswer{Code: 421, Leader: c.elector.Leader()}
 }
 
 // reporting is the machine that reports, entered if it was not known; nil if its type is
@@ -132,10 +132,10 @@
 // again: where the others can't be reached either, the search takes seconds for each of
 // them, and the lease would end over it.
 func (c *Core) sendAway(m *sched.Machine, now Micros) bool {
-	if !c.cutOff(now) || now-m.Away <= c.cfg.WorkerLease()/2 || m.Answered <= m.Away {
+	if !c.lostStateAndPeers(now) || now-m.LastRedirectAt <= c.cfg.WorkerLease()/2 || m.LastAnsweredReportAt <= m.LastRedirectAt {
 		return false
 	}
-	m.Away = now
+	m.LastRedirectAt = now
 	return true
 }
 
@@ -143,40 +143,40 @@
 func (c *Core) takeNews(m *sched.Machine, r *wire.Report, now Micros) {
 	if !m.Up {
 		m.Up, m.IdleSince = true, now
-		slog.Debug("machine up", "machine", m.ID, "age", (now - m.Since).Seconds())
+		slog.Debug("machine up", "machine", m.ID, "age", (now - m.RequestedAt).Seconds())
 	}
-	moved, was, heard := r.Session > m.Session, m.Session, m.Heard
-	m.Session, m.Seq, m.Heard, m.Addr = r.Session, r.Seq, now, r.Addr
+	moved, was, heard := r.Session > m.Session, m.Session, m.LastReportAt
+	m.Session, m.Seq, m.LastReportAt, m.Addr = r.Session, r.Seq, now, r.Addr
 	if moved {
 		c.beginSession(m, r, was, heard, now)
 	}
-	if r.Notice == nil {
-		m.Notice = 0 // what brought it was a late copy, or the cloud thought better of it
-	} else if m.Notice == 0 {
-		m.Notice = now + clock.FromSeconds(*r.Notice)
+	if r.ReclaimNoticeSeconds == nil {
+		m.ReclaimAt = 0 // what brought it was a late copy, or the cloud thought better of it
+	} else if m.ReclaimAt == 0 {
+		m.ReclaimAt = now + clock.FromSeconds(*r.ReclaimNoticeSeconds)
 		c.drainForNotice(m, now)
 	}
-	if m.LostOrder {
-		m.LostOrder = false
-		c.suspect(m, oneway.OrderLost, now)
+	if m.LastCommandUnanswered {
+		m.LastCommandUnanswered = false
+		c.recordPartitionSign(m, oneway.CommandBatchLost, now)
 	}
 }
 
 // beginSession takes in that a worker's lease has ended, with all that it ran.
 func (c *Core) beginSession(m *sched.Machine, r *wire.Report, was uint64, heard, now Micros) {
-	if was > 0 && len(m.Places) > 0 {
-		slog.Info("worker began a new session", "machine", m.ID, "session", r.Session, "tasks", len(m.Places),
-			"heard", (now - heard).Seconds(), "answered", (now - m.Answered).Seconds())
+	if was > 0 && len(m.Placements) > 0 {
+		slog.Info("worker began a new session", "machine", m.ID, "session", r.Session, "tasks", len(m.Placements),
+			"heard", (now - heard).Seconds(), "answered", (now - m.LastAnsweredReportAt).Seconds())
 	}
-	if c.renewedInVain(m, now) {
-		c.suspect(m, oneway.SessionLost, now)
+	if c.missedRenewals(m, now) {
+		c.recordPartitionSign(m, oneway.SessionLost, now)
 	}
-	m.OrderSeq, m.Unreaped = 0, nil
-	for _, p := range places(m) {
+	m.LastCommandSeq, m.Unreaped = 0, nil
+	for _, p := range sortedPlacements(m) {
 		// Written before the worker had heard the term that placed it, the report may
 		// be a late copy of a machine that was since started anew.
 		if p.Session < r.Session && r.Token >= p.Attempt>>32 {
-			c.leave(p)
+			c.endPlacement(p)
 		}
 	}
 }
@@ -187,14 +187,14 @@
 		return
 	}
 	m.Acked = true
-	m.Downlink.Proof()
-	c.wake()
+	m.Downlink.ConfirmReachable()
+	c.requestSchedulingPass()
 }
 
 // stopNow ends a task without time to save.
 func stopNow(task string, attempt uint64) wire.Command {
 	grace := 0.0
-	return wire.Command{Op: wire.OpStop, Task: task, Attempt: attempt, Grace: &grace}
+	return wire.Command{Op: wire.OpStop, Task: task, Attempt: attempt, GraceSeconds: &grace}
 }
 
 // cancelledOn lists the stops that every answer carries which renews a lease and decides
@@ -205,7 +205,7 @@
 //
 // A cancellation counts from the user's wish on, committed or not: where the answer of the
 // commit is lost, another node may read the final state and tell the user of it, which this
-// leader never learns (scenario meet_cancelled_not_shown). What is reported stands for what
+// leader never learns (scenario cancellation_unknown_to_leader). What is reported stands for what
 // it holds no place of any more; a job that is not in memory is over, and what was sent and
 // is not reported may be on its way.
 func (c *Core) cancelledOn(m *sched.Machine, r *wire.Report) []wire.Command {
@@ -217,7 +217,7 @@
 			stop = append(stop, stopNow(t.Task, t.Attempt))
 		}
 	}
-	for _, p := range places(m) {
+	for _, p := range sortedPlacements(m) {
 		reported := func(t wire.TaskReport) bool { return t.Task == p.Task && t.Attempt == p.Attempt }
 		if p.Job != nil && p.Job.Cancelled && p.Sent && !p.Exited && !slices.ContainsFunc(r.Tasks, reported) {
 			stop = append(stop, stopNow(p.Task, p.Attempt))
@@ -227,9 +227,9 @@
 }
 
 // places lists a machine's placements in a fixed order.
-func places(m *sched.Machine) []*sched.Placement {
-	list := make([]*sched.Placement, 0, len(m.Places))
-	for _, p := range m.Places {
+func sortedPlacements(m *sched.Machine) []*sched.Placement {
+	list := make([]*sched.Placement, 0, len(m.Placements))
+	for _, p := range m.Placements {
 		list = append(list, p)
 	}
 	slices.SortFunc(list, func(a, b *sched.Placement) int { return strings.Compare(a.Task, b.Task) })
@@ -245,38 +245,38 @@
 	reported := make(map[string]*wire.TaskReport, len(r.Tasks))
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		p := m.Places[t.Task]
+		p := m.Placements[t.Task]
 		if p != nil && p.Attempt == t.Attempt {
 			reported[t.Task] = t
 			continue
 		}
 		if cmd, ok := c.unplacedTask(m, t, now); ok {
 			forget = append(forget, cmd)
-		} else if m.Places[t.Task] != nil && m.Places[t.Task].Attempt == t.Attempt {
+		} else if m.Placements[t.Task] != nil && m.Placements[t.Task].Attempt == t.Attempt {
 			reported[t.Task] = t // adopted
 		}
 	}
-	held := places(m)
+	held := sortedPlacements(m)
 	for _, p := range held {
 		if t := reported[p.Task]; t != nil {
-			if !p.Seen && !p.Inherited {
-				m.Downlink.Proof()
+			if !p.Reported && !p.Inherited {
+				m.Downlink.ConfirmReachable()
 			}
-			c.observe(m, p, t, now)
+			c.applyTaskReport(m, p, t, now)
 			continue
 		}
-		if p.Sent && !p.Direct && !p.Seen && !p.Inherited {
+		if p.Sent && !p.DirectUnanswered && !p.Reported && !p.Inherited {
 			// It rode on the answer to an earlier report, which was taken or dropped by now.
-			c.suspect(m, oneway.LaunchLost, now)
+			c.recordPartitionSign(m, oneway.LaunchLost, now)
 			if m.Downlink.Partitioned {
-				c.leave(p)
+				c.endPlacement(p)
 				continue
 			}
 		}
 		switch {
-		case !p.Sent, p.Direct:
-		case p.Seen, p.Inherited, p.Stopping && now-p.SentAt > responseLife+c.margin():
-			c.leave(p)
+		case !p.Sent, p.DirectUnanswered:
+		case p.Reported, p.Inherited, p.Stopping && now-p.SentAt > responseTimeout+c.leaseMargin():
+			c.endPlacement(p)
 		}
 	}
 	if !c.Serving() {
@@ -294,7 +294,7 @@
 func (c *Core) commands(m *sched.Machine, held []*sched.Placement, now Micros, direct bool) (stop, start []wire.Command) {
 	stop = []wire.Command{}
 	for _, p := range held {
-		if m.Places[p.Task] != p {
+		if m.Placements[p.Task] != p {
 			continue // has just left
 		}
 		over := p.Job == nil || p.Job.Cancelled || p.Job.Ended && !p.Exited
@@ -302,7 +302,7 @@
 		case p.Exited:
 		case over || p.Stopping:
 			if !p.Sent {
-				c.leave(p)
+				c.endPlacement(p)
 				continue
 			}
 			grace := p.Grace
@@ -312,14 +312,14 @@
 			if p.State == wire.TaskSaving && grace > 0 {
 				continue
 			}
-			stop = append(stop, wire.Command{Op: wire.OpStop, Task: p.Task, Attempt: p.Attempt, Grace: &grace})
+			stop = append(stop, wire.Command{Op: wire.OpStop, Task: p.Task, Attempt: p.Attempt, GraceSeconds: &grace})
 		case m.Downlink.Partitioned:
-		case !p.Committed || p.Seen || p.Session != m.Session || p.Inherited || direct && p.Sent:
-		case p.Direct && p.Lost:
+		case !p.Committed || p.Reported || p.Session != m.Session || p.Inherited || direct && p.Sent:
+		case p.DirectUnanswered && p.OutcomeUnknown:
 			p.Resent = true
 			start = append(start, wire.Command{Op: wire.OpStart, Task: p.Task, Attempt: p.Attempt})
-		case !p.Direct:
-			p.Sent, p.SentAt, p.Direct = true, now, direct
+		case !p.DirectUnanswered:
+			p.Sent, p.SentAt, p.DirectUnanswered = true, now, direct
 			start = append(start, wire.Command{Op: wire.OpStart, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
@@ -332,7 +332,7 @@
 func (c *Core) unplacedTask(m *sched.Machine, t *wire.TaskReport, now Micros) (wire.Command, bool) {
 	jobID, index, _ := wire.SplitTask(t.Task)
 	j := c.jobs[jobID]
-	free := j != nil && j.Active() && !j.Waiting() && index < len(j.Tasks) && j.Tasks[index].State == sched.Pending && !j.Gang()
+	free := j != nil && j.Active() && !j.HasUnmetDependencies() && index < len(j.Tasks) && j.Tasks[index].State == sched.Pending && !j.Gang()
 	if t.State == wire.TaskExited {
 		if m.Unreaped[sched.Attempt{Task: t.Task, Number: t.Attempt}] {
 			return wire.Command{}, false
@@ -340,7 +340,7 @@
 		if !free || t.Cause != wire.CauseDone {
 			return wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt}, true
 		}
-	} else if !free || m.Places[t.Task] != nil {
+	} else if !free || m.Placements[t.Task] != nil {
 		return stopNow(t.Task, t.Attempt), true
 	}
 	slog.Info("adopting a task", "task", t.Task, "machine", m.ID)
@@ -349,29 +349,29 @@
 		Committed: true, Sent: true, Inherited: true}
 	j.Queue = slices.DeleteFunc(j.Queue, func(i int32) bool { return int(i) == index })
 	sched.Attach(p, c.teams)
-	if c.up.level < LevelTasks {
+	if c.format.level < LevelTasks {
 		c.saveMachine(m, func() {})
 	} else {
-		c.savePlace(p)
+		c.savePlacement(p)
 	}
 	return wire.Command{}, false
 }
 
 // observe takes in what a report says of a placed task.
-func (c *Core) observe(m *sched.Machine, p *sched.Placement, t *wire.TaskReport, now Micros) {
-	p.Seen, p.Direct, p.State = true, false, t.State
+func (c *Core) applyTaskReport(m *sched.Machine, p *sched.Placement, t *wire.TaskReport, now Micros) {
+	p.Reported, p.DirectUnanswered, p.State = true, false, t.State
 	j := p.Job
 	if t.State == wire.TaskRunning || t.State == wire.TaskSaving || t.State == wire.TaskWaiting ||
 		t.State == wire.TaskExited && t.Cause == wire.CauseDone {
-		if p.Running == 0 && t.State != wire.TaskWaiting {
-			p.Running = now
-			if j != nil && j.Began == 0 {
-				j.Began = now
+		if p.RunningSince == 0 && t.State != wire.TaskWaiting {
+			p.RunningSince = now
+			if j != nil && j.StartedAt == 0 {
+				j.StartedAt = now
 			}
 		}
 		if j != nil {
 			c.learnFetch(m, p, now)
-			if m.Touch(p.Image, j.Spec.ImageGB, now) && c.up.level >= LevelTasks {
+			if m.TouchImage(p.Image, j.Spec.ImageGB, now) && c.format.level >= LevelTasks {
 				// No placement writes the machine's record any more, but a successor
 				// that did not know the images would have them all fetched again.
 				c.saveMachine(m, nil)
@@ -381,15 +381,15 @@
 	if t.State != wire.TaskExited || p.Exited {
 		return
 	}
-	p.Exit()
+	p.MarkExited()
 	slog.Debug("task exited", "task", p.Task, "machine", m.ID, "cause", t.Cause, "saved", t.Saved,
 		"ran", ranFor(p, now), "priority", p.Priority)
-	c.wake()
+	c.requestSchedulingPass()
 	if t.Cause == wire.CauseDone {
 		m.Errors, m.ErrorJobs = 0, nil
 	}
 	if j == nil || !j.Active() || j.Tasks[p.Index].State == sched.Done {
-		c.leave(p)
+		c.endPlacement(p)
 		return
 	}
 	switch t.Cause {
@@ -398,25 +398,25 @@
 		return
 	case wire.CauseError:
 		c.failed(m, p, now)
-	case wire.CauseNoRoom, wire.CauseBusy:
+	case wire.CauseNoCapacity, wire.CauseBusy:
 		slog.Info("start refused", "task", p.Task, "machine", m.ID, "cause", t.Cause)
-		m.AvoidTill = now + c.cfg.ReportEvery()
+		m.AvoidUntil = now + c.cfg.ReportInterval()
 	case wire.CauseUnknown:
 		j.HoldUntil = now + 5*clock.Second
 	case wire.CauseStopped:
-		if t.Saved && p.Running > 0 {
-			j.Tasks[p.Index].Progress += now - p.Running
+		if t.Saved && p.RunningSince > 0 {
+			j.Tasks[p.Index].Progress += now - p.RunningSince
 		}
 	}
-	c.leave(p)
+	c.endPlacement(p)
 }
 
 // ranFor is how long a task has been seen running, in seconds.
 func ranFor(p *sched.Placement, now Micros) float64 {
-	if p.Running == 0 {
+	if p.RunningSince == 0 {
 		return 0
 	}
-	return (now - p.Running).Seconds()
+	return (now - p.RunningSince).Seconds()
 }
 
 // learnFetch smooths a type's fetch rate from the time between launch and
@@ -425,10 +425,10 @@
 	if _, cached := m.Images[p.Image]; cached || p.SentAt == 0 || p.Job.Spec.ImageGB <= 0 {
 		return
 	}
-	took := (now - p.SentAt - c.cfg.ReportEvery()/2).Seconds()
-	if old := c.rates[m.Type.Name]; took > 0.5 && old > 0 {
+	took := (now - p.SentAt - c.cfg.ReportInterval()/2).Seconds()
+	if old := c.fetchRates[m.Type.Name]; took > 0.5 && old > 0 {
 		seen := math.Min(p.Job.Spec.ImageGB/took, 2*old)
-		c.rates[m.Type.Name] = c.pol.Smoothing*seen + (1-c.pol.Smoothing)*old
+		c.fetchRates[m.Type.Name] = c.policy.Smoothing*seen + (1-c.policy.Smoothing)*old
 	}
 }
 
@@ -436,11 +436,11 @@
 // told to forget it, before that is committed.
 func (c *Core) finished(p *sched.Placement, now Micros) {
 	j := p.Job
-	if p.Running > 0 && p.SentAt > 0 {
-		ran := now - p.Running + j.Tasks[p.Index].Progress
-		j.Estimate = sched.Smooth(c.pol.Smoothing, ran, j.Estimate)
+	if p.RunningSince > 0 && p.SentAt > 0 {
+		ran := now - p.RunningSince + j.Tasks[p.Index].Progress
+		j.Estimate = sched.Smooth(c.policy.Smoothing, ran, j.Estimate)
 	}
-	j.Succeeded, j.Backoff = true, 0
+	j.AnyTaskSucceeded, j.Backoff = true, 0
 	done := []int{p.Index}
 	if j.Gang() { // a gang completes together
 		done = done[:0]
@@ -454,25 +454,25 @@
 			j.DoneCount++
 		}
 	}
-	committed := func() { c.leave(p) }
+	committed := func() { c.endPlacement(p) }
 	if j.DoneCount == len(j.Tasks) {
 		j.Ended = true
-		c.commitEnd(j, committed)
+		c.commitJobEnd(j, committed)
 		return
 	}
-	if c.up.level < LevelTasks {
-		c.saveProgress(j, atOnce, c.during(committed))
+	if c.format.level < LevelTasks {
+		c.saveProgress(j, classUrgent, c.whileInTerm(committed))
 		return
 	}
 	// The task's room is free already: its end may wait a little for others.
-	c.saveTasks(j, p.Index, merged, c.during(committed))
+	c.saveTasks(j, p.Index, classDelayed, c.whileInTerm(committed))
 }
 
 // failed blames the machine, or the job when it fails everywhere.
 func (c *Core) failed(m *sched.Machine, p *sched.Placement, now Micros) {
 	j := p.Job
 	j.FailedOn[m.ID] = true
-	healthy := j.Succeeded || j.Runs(now, p)
+	healthy := j.AnyTaskSucceeded || j.HasRunningTask(now, p)
 	if !healthy && len(j.FailedOn) >= 3 {
 		j.Backoff = min(max(2*j.Backoff, 4*clock.Second), 60*clock.Second)
 		j.HoldUntil = now + j.Backoff
@@ -491,13 +491,13 @@
 		m.ErrorJobs = map[string]bool{}
 	}
 	m.ErrorJobs[j.ID] = true
-	if m.Errors < c.pol.SickErrors || m.Draining {
+	if m.Errors < c.policy.UnhealthyFailures || m.Draining {
 		return
 	}
 	if healthy {
 		c.drainSick(m)
-	} else if len(m.ErrorJobs) > 1 && m.Suspected == 0 {
-		m.Suspected = now
+	} else if len(m.ErrorJobs) > 1 && m.SuspectedAt == 0 {
+		m.SuspectedAt = now
 	}
 }
 
@@ -513,13 +513,13 @@
 const blameAfter = 10 * clock.Second
 
 // judgeSick empties the machines that are to blame for their failures.
-func (c *Core) judgeSick(now Micros) {
-	for _, m := range c.order {
+func (c *Core) drainUnhealthyMachines(now Micros) {
+	for _, m := range c.sortedMachines {
 		switch {
-		case m.Suspected == 0:
+		case m.SuspectedAt == 0:
 		case len(m.ErrorJobs) <= 1:
-			m.Suspected = 0
-		case now-m.Suspected > blameAfter && !m.Draining:
+			m.SuspectedAt = 0
+		case now-m.SuspectedAt > blameAfter && !m.Draining:
 			c.drainSick(m)
 		}
 	}
@@ -527,8 +527,8 @@
 
 // leave ends a placement whose task has provably left its machine, or was
 // never sent there.
-func (c *Core) leave(p *sched.Placement) {
-	if p.Machine.Places[p.Task] != p {
+func (c *Core) endPlacement(p *sched.Placement) {
+	if p.Machine.Placements[p.Task] != p {
 		return
 	}
 	if p.Resent && p.Session == p.Machine.Session {
@@ -539,30 +539,30 @@
 	if !p.Machine.Busy() {
 		p.Machine.IdleSince = now
 	}
-	if c.up.level < LevelTasks || p.Committed && !p.InJob {
+	if c.format.level < LevelTasks || p.Committed && !p.InJobRecord {
 		c.saveMachine(p.Machine, nil)
 	}
-	c.wake()
+	c.requestSchedulingPass()
 	j := p.Job
 	if j == nil {
 		return
 	}
-	if c.up.level >= LevelTasks && !j.Ended && !(p.Exited && j.Tasks[p.Index].State == sched.Done) {
-		c.saveTasks(j, p.Index, whenIdle, nil)
+	if c.format.level >= LevelTasks && !j.Ended && !(p.Exited && j.Tasks[p.Index].State == sched.Done) {
+		c.saveTasks(j, p.Index, classBackground, nil)
 	}
 	if t := &j.Tasks[p.Index]; t.State == sched.Placed {
 		t.State = sched.Pending
-		j.Again++
-		if j.Active() && !j.Waiting() && !j.Gang() {
+		j.Requeues++
+		if j.Active() && !j.HasUnmetDependencies() && !j.Gang() {
 			j.Queue = append([]int32{int32(p.Index)}, j.Queue...)
 		}
 	}
 	if j.Gang() && j.Active() {
-		if j.Placed == 0 {
-			c.requeue(j)
+		if j.PlacedCount == 0 {
+			c.queuePendingTasks(j)
 		} else {
 			for i := range j.Tasks { // what is left of the attempt is of no use
-				if q := j.Tasks[i].Place; q != nil && !q.Stopping {
+				if q := j.Tasks[i].Placement; q != nil && !q.Stopping {
 					q.Stopping, q.Grace = true, 0
 				}
 			}
@@ -582,15 +582,15 @@
 
 // proveByLease frees the places of machines whose lease has surely ended: the
 // worker had acknowledged our token, so only our answers renewed it.
-func (c *Core) proveByLease(now Micros) {
-	bound := c.cfg.WorkerLease() + c.cfg.WorkerLease()/500 + c.margin()
-	for _, m := range c.order {
+func (c *Core) expireLeases(now Micros) {
+	bound := c.cfg.WorkerLease() + c.cfg.WorkerLease()/500 + c.leaseMargin()
+	for _, m := range c.sortedMachines {
 		// A machine that was started anew has a whole lease from then on, though no report of
 		// it was answered. What it can hold came by an order since.
-		if m.Acked && m.Busy() && now-max(m.Answered, m.Lives) > bound {
+		if m.Acked && m.Busy() && now-max(m.LastAnsweredReportAt, m.LastCommandAt) > bound {
 			slog.Info("worker's lease has ended", "machine", m.ID)
-			for _, p := range places(m) {
-				c.leave(p)
+			for _, p := range sortedPlacements(m) {
+				c.endPlacement(p)
 			}
 		}
 	}
--- a/internal/controller/users.go
+++ b/internal/controller/user_requests.go
@@ -19,22 +19,22 @@
 var unavailable = Answer{Code: 503, RetryAfter: 1}
 
 // intake gathers submissions, so that one transaction creates several jobs.
-type intake struct {
+type submissionBatcher struct {
 	queue *admit.Queue[*submission]
 	busy  bool
 }
 
 type submission struct {
-	job     *wire.Job
-	account int
-	since   Micros
-	changes []wire.Change // its record first
-	reply   func(Answer)
+	job        *wire.Job
+	account    int
+	receivedAt Micros
+	changes    []wire.Change // its record first
+	reply      func(Answer)
 }
 
 // intakeMemory is the part of the process's memory that the records of waiting
 // submissions may take.
-const intakeMemory = 50
+const submissionMemoryDivisor = 50
 
 // Submit takes a job from a user.
 func (c *Core) Submit(job *wire.Job, reply func(Answer)) {
@@ -52,11 +52,11 @@
 		c.submitElsewhere(job, reply)
 		return
 	}
-	c.submitHere(job, true, reply)
+	c.submitLocally(job, true, reply)
 }
 
 // Malformed takes a submission that lacks a field or has one that is not valid.
-func (c *Core) Malformed(id, why string, reply func(Answer)) {
+func (c *Core) RejectMalformed(id, why string, reply func(Answer)) {
 	c.refuseNew(id, Answer{Code: 400, Status: wire.JobStatus{ID: why}}, reply)
 }
 
@@ -75,8 +75,8 @@
 // which this node does not.
 func (c *Core) submitElsewhere(job *wire.Job, reply func(Answer)) {
 	for _, peer := range c.cfg.Peers { // in the same order each time
-		if p := c.peers[peer.Name]; p.stateOK && c.env.Now()-p.at < 3*clock.Second {
-			c.submitTo(peer.Name, job, reply)
+		if p := c.peers[peer.Name]; p.stateOK && c.env.Now()-p.lastMessageAt < 3*clock.Second {
+			c.submitToPeer(peer.Name, job, reply)
 			return
 		}
 	}
@@ -84,10 +84,10 @@
 }
 
 // submitTo hands a submission to a peer.
-func (c *Core) submitTo(node string, job *wire.Job, reply func(Answer)) {
-	m := c.self(fb.KindSubmit)
+func (c *Core) submitToPeer(node string, job *wire.Job, reply func(Answer)) {
+	m := c.newMessage(fb.KindSubmit)
 	m.Body = wire.Encode(job)
-	c.env.Ask(node, m, 2*clock.Second, func(r *peer.Msg) { reply(answerOf(r)) })
+	c.env.Call(node, m, 2*clock.Second, func(r *peer.Msg) { reply(answerOf(r)) })
 }
 
 func answerOf(m *peer.Msg) Answer {
@@ -102,25 +102,25 @@
 }
 
 // submitHere takes a submission at this node, or at the leader if it may be passed on.
-func (c *Core) submitHere(job *wire.Job, pass bool, reply func(Answer)) {
-	if c.lead.Leading() && c.loaded {
+func (c *Core) submitLocally(job *wire.Job, pass bool, reply func(Answer)) {
+	if c.elector.Leading() && c.loaded {
 		if _, known := c.jobs[job.ID]; known {
 			c.Status(job.ID, reply)
 			return
 		}
 	}
-	if len(job.Awaits) == 0 {
+	if len(job.DependsOn) == 0 {
 		c.enqueue(job, pass, reply)
 		return
 	}
-	c.judge(job, func(v verdict) {
-		if v.why == "" && !v.unknown {
+	c.checkDependencies(job, func(v dependencyResult) {
+		if v.rejectReason == "" && !v.incomplete {
 			c.enqueue(job, pass, reply)
 			return
 		}
 		refusal := unavailable
-		if v.why != "" {
-			refusal = Answer{Code: 422, Status: wire.JobStatus{ID: v.why}}
+		if v.rejectReason != "" {
+			refusal = Answer{Code: 422, Status: wire.JobStatus{ID: v.rejectReason}}
 		}
 		c.refuseNew(job.ID, refusal, reply)
 	})
@@ -128,21 +128,21 @@
 
 // enqueue lets a submission wait for the next transaction, or says when to come back.
 func (c *Core) enqueue(job *wire.Job, pass bool, reply func(Answer)) {
-	now, account := c.env.Now(), c.account(job)
-	turn, here := c.turn(job, account, now), c.waitHere(job, account, now)
-	if turn == 0 && pass && here >= passAfter && c.passOn(job, account, reply) {
+	now, account := c.env.Now(), c.accountNumber(job)
+	turn, here := c.tableRetryAfter(job, account, now), c.localWait(job, account, now)
+	if turn == 0 && pass && here >= submissionForwardAfter && c.forwardSubmission(job, account, reply) {
 		return
 	}
-	if wait := max(turn, c.mustWait(job, account, here)); wait > 0 {
-		c.turnAway(job, account, wait, reply)
+	if wait := max(turn, c.queueRetryAfter(job, account, here)); wait > 0 {
+		c.refuseForOverload(job, account, wait, reply)
 		return
 	}
 	changes, why := c.jobChanges(job)
 	if why != "" {
-		c.Malformed(job.ID, why, reply)
+		c.RejectMalformed(job.ID, why, reply)
 		return
 	}
-	c.allowance.Saw(account, len(changes), now)
+	c.allowance.RecordSubmission(account, len(changes), now)
 	c.await(&submission{job, account, now, changes, reply})
 	c.takeIn()
 }
@@ -151,25 +151,25 @@
 func (c *Core) await(s *submission) {
 	bytes := 0
 	for _, ch := range s.changes {
-		bytes += len(ch.Put) + len(ch.Value)
+		bytes += len(ch.PutKey) + len(ch.Value)
 	}
-	c.intake.queue.Push(s.account, c.rank(s.job), len(s.changes), bytes, s.since, s)
+	c.submissions.queue.Push(s.account, c.rank(s.job), len(s.changes), bytes, s.receivedAt, s)
 }
 
 func awaitsKey(job string, part int) string {
-	return fmt.Sprintf("%s%s%s%04d", jobPrefix, job, awaitsTail, part)
+	return fmt.Sprintf("%s%s%s%04d", jobPrefix, job, awaitsSuffix, part)
 }
 
 // jobChanges renders the record of a job; what its awaits don't fit in beside it
 // goes into keys of its own, written in the same transaction.
 func (c *Core) jobChanges(job *wire.Job) ([]wire.Change, string) {
-	limits := c.limits()
+	limits := c.stateLimits()
 	limit := limits.ValueBytes()
-	rec := jobRecord{Job: *job, At: int64(c.env.Wall())}
+	rec := jobRecord{Job: *job, AcceptedAt: int64(c.env.Wall())}
 	value := wire.Encode(&rec)
-	changes := []wire.Change{{Put: jobPrefix + job.ID}}
+	changes := []wire.Change{{PutKey: jobPrefix + job.ID}}
 	if wire.JSONSize(value) > limit {
-		rec.Job.Awaits, rec.Parts = nil, 1
+		rec.Job.DependsOn, rec.Parts = nil, 1
 		value = wire.Encode(&rec)
 		if wire.JSONSize(value) > limit-16 {
 			return nil, fmt.Sprintf("too large: a job's record may take %d bytes beside its awaits", limit-16)
@@ -177,10 +177,10 @@
 		var part awaitsRecord
 		size := 0
 		flush := func() {
-			changes = append(changes, wire.Change{Put: awaitsKey(job.ID, len(changes)-1), Value: wire.Encode(&part)})
+			changes = append(changes, wire.Change{PutKey: awaitsKey(job.ID, len(changes)-1), Value: wire.Encode(&part)})
 			part, size = awaitsRecord{}, 0
 		}
-		for _, id := range job.Awaits {
+		for _, id := range job.DependsOn {
 			n := len(id) + 3
 			if size+n > limit-16 {
 				flush()
@@ -193,8 +193,8 @@
 		value = wire.Encode(&rec)
 	}
 	changes[0].Value = value
-	if size := changesSize(changes) + txnRest; len(changes) > limits.TxnOps || size > wire.MaxBody {
-		return nil, fmt.Sprintf("awaits: too long, a job may take %d records of %d bytes and %d in all", limits.TxnOps, limit, wire.MaxBody-txnRest)
+	if size := changesSize(changes) + txnOverhead; len(changes) > limits.TxnOps || size > wire.MaxBody {
+		return nil, fmt.Sprintf("awaits: too long, a job may take %d records of %d bytes and %d in all", limits.TxnOps, limit, wire.MaxBody-txnOverhead)
 	}
 	return changes, ""
 }
@@ -206,7 +206,7 @@
 	for _, t := range c.cfg.Params.Teams {
 		if t.Name == job.Team {
 			known = true
-			limit.Limit = sched.Need{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
+			limit.Limit = sched.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
 		}
 	}
 	if !known {
@@ -236,36 +236,36 @@
 // takeIn creates the waiting jobs in one transaction. A job that exists
 // already, under way or over, makes its guard fail and gets its state instead.
 func (c *Core) takeIn() {
-	c.writes.Want(admit.Submits, c.intake.queue.Len() > 0)
-	if c.intake.busy || c.intake.queue.Len() == 0 {
+	c.writeBudget.SetWaiting(admit.SubmissionWrites, c.submissions.queue.Len() > 0)
+	if c.submissions.busy || c.submissions.queue.Len() == 0 {
 		return
 	}
 	now := c.env.Now()
 	at := stdTime(now)
 	// A submission of more changes than the budget ever holds goes when that is full.
-	need := min(c.intake.queue.Head(), c.writes.Burst())
-	tokens := int(c.writes.Room(at, admit.Submits))
-	if tokens < need && c.writes.Left(at) < float64(c.writes.Burst()) {
-		c.intake.busy = true
+	need := min(c.submissions.queue.HeadCost(), c.writeBudget.Burst())
+	tokens := int(c.writeBudget.Available(at, admit.SubmissionWrites))
+	if tokens < need && c.writeBudget.Remaining(at) < float64(c.writeBudget.Burst()) {
+		c.submissions.busy = true
 		c.env.After(50*clock.Millisecond, func() {
-			c.intake.busy = false
+			c.submissions.busy = false
 			c.takeIn()
 		})
 		return
 	}
-	batch, txn := c.collect(min(c.limits().TxnOps, tokens))
-	c.intake.busy = true
-	term, leading := c.term, c.lead.Leading()
-	c.writes.Spend(at, admit.Submits, len(txn.Then))
+	batch, txn := c.collect(min(c.stateLimits().TxnOps, tokens))
+	c.submissions.busy = true
+	term, leading := c.term, c.elector.Leading()
+	c.writeBudget.Spend(at, admit.SubmissionWrites, len(txn.Then))
 	c.env.State().Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
-		c.intake.busy = false
+		c.submissions.busy = false
 		switch o {
 		case store.OK:
-			c.stateSeen = c.env.Now()
+			c.lastStateContact = c.env.Now()
 			// In this term only this node can have ended them since, and would know.
-			c.created(batch, leading && c.lead.Leading() && c.term == term && c.loaded)
+			c.created(batch, leading && c.elector.Leading() && c.term == term && c.loaded)
 		case store.Failed:
-			c.notCreated(batch, a.Failed)
+			c.notCreated(batch, a.FailedGuards)
 		case store.Invalid:
 			c.resubmit(batch, txn.Then)
 		default:
@@ -283,13 +283,13 @@
 	txn := &wire.Txn{}
 	var batch []*submission
 	seen := map[string]bool{}
-	bytes := txnRest
+	bytes := txnOverhead
 	fits := func(s *submission) bool {
-		bytes += changesSize(s.changes) + 4*changeRest // with its guards
+		bytes += changesSize(s.changes) + 4*changeOverhead // with its guards
 		return (len(batch) == 0 || bytes <= wire.MaxBody) && !seen[s.job.ID]
 	}
 	for {
-		s, ok := c.intake.queue.Pop(room-len(txn.Then), len(batch) == 0, fits)
+		s, ok := c.submissions.queue.Pop(room-len(txn.Then), len(batch) == 0, fits)
 		if !ok {
 			return batch, txn
 		}
@@ -304,13 +304,13 @@
 func (c *Core) created(batch []*submission, add bool) {
 	for _, s := range batch {
 		if s.job.Kind != wire.KindService {
-			c.noteAccepted(s.job.ID)
+			c.rememberAccepted(s.job.ID)
 		}
 		if add {
 			c.addSubmitted(s)
-			c.wake()
+			c.requestSchedulingPass()
 		}
-		c.took(s, false)
+		c.recordSubmission(s, false)
 		s.reply(Answer{Code: 201, Status: wire.JobStatus{ID: s.job.ID, Phase: wire.PhaseQueued}})
 	}
 }
@@ -324,7 +324,7 @@
 	for _, s := range batch {
 		switch {
 		case known[s.job.ID]:
-			c.took(s, true)
+			c.recordSubmission(s, true)
 			c.Status(s.job.ID, func(a Answer) {
 				if a.Code == 404 { // cannot be: its record exists
 					a = unavailable
@@ -343,16 +343,16 @@
 func (c *Core) addSubmitted(s *submission) {
 	items := make([]wire.Item, 0, len(s.changes))
 	for _, ch := range s.changes {
-		items = append(items, wire.Item{Key: ch.Put, Value: ch.Value})
+		items = append(items, wire.Item{Key: ch.PutKey, Value: ch.Value})
 	}
-	c.addRecords(items, nil)
+	c.addJobRecords(items, nil)
 }
 
 // resubmit deals with submissions that the state service called invalid. If that
 // shows that its limits are lower now, they are rendered again under those;
 // otherwise one of them is at fault, and all are asked to come again one by one.
 func (c *Core) resubmit(batch []*submission, changes []wire.Change) {
-	if !c.refusedForSize(changes) {
+	if !c.raiseLevelOnSizeRefusal(changes) {
 		for _, s := range batch {
 			s.reply(unavailable)
 		}
@@ -361,7 +361,7 @@
 	for _, s := range batch {
 		changes, why := c.jobChanges(s.job)
 		if why != "" {
-			c.Malformed(s.job.ID, why, s.reply)
+			c.RejectMalformed(s.job.ID, why, s.reply)
 			continue
 		}
 		s.changes = changes
@@ -374,17 +374,17 @@
 // user was ever told.
 func (c *Core) Status(id string, reply func(Answer)) {
 	if c.Serving() {
-		c.statusHere(id, reply)
+		c.statusOnLeader(id, reply)
 		return
 	}
-	leader := c.lead.Leader()
-	if p := c.peers[leader]; p == nil || !p.heard(c.env.Now()) {
+	leader := c.elector.Leader()
+	if p := c.peers[leader]; p == nil || !p.seenRecently(c.env.Now()) {
 		c.lookup(id, reply)
 		return
 	}
-	m := c.self(fb.KindStatus)
+	m := c.newMessage(fb.KindStatus)
 	m.Job = id
-	c.env.Ask(leader, m, 700*clock.Millisecond, func(r *peer.Msg) {
+	c.env.Call(leader, m, 700*clock.Millisecond, func(r *peer.Msg) {
 		if r == nil || r.Code != 200 && r.Code != 404 {
 			c.lookup(id, reply)
 			return
@@ -395,9 +395,9 @@
 
 // statusHere answers on the leader: from memory, or from the state service for a job that is
 // not there or whose end is in doubt.
-func (c *Core) statusHere(id string, reply func(Answer)) {
+func (c *Core) statusOnLeader(id string, reply func(Answer)) {
 	if j := c.jobs[id]; j == nil || !j.InDoubt() {
-		if a, ok := c.remembered(id); ok {
+		if a, ok := c.answerFromMemory(id); ok {
 			reply(a)
 			return
 		}
@@ -408,15 +408,15 @@
 // statusOf tells only what is committed: a state that a user heard must
 // survive this leader.
 func statusOf(j *sched.Job) wire.JobStatus {
-	s := wire.JobStatus{ID: j.ID, Phase: j.Shown, Done: j.DoneCount}
+	s := wire.JobStatus{ID: j.ID, Phase: j.CommittedPhase, Done: j.DoneCount}
 	if s.Phase != "" {
 		return s
 	}
 	s.Phase = wire.PhaseQueued
-	if j.Placed > 0 {
+	if j.PlacedCount > 0 {
 		s.Phase = wire.PhaseRunning
 		for i := range j.Tasks {
-			if p := j.Tasks[i].Place; p != nil && p.Running > 0 && !p.Exited {
+			if p := j.Tasks[i].Placement; p != nil && p.RunningSince > 0 && !p.Exited {
 				s.Running++
 			}
 		}
@@ -430,11 +430,11 @@
 // lookup reads a job's state from the state service. The job is looked for
 // first and its final record second, the order in which archiving moves it.
 func (c *Core) lookup(id string, reply func(Answer)) {
-	if !c.stateOK() || !c.reads.Take(stdTime(c.env.Now()), admit.Lookups) {
+	if !c.stateOK() || !c.readBudget.Allow(stdTime(c.env.Now()), admit.UserReads) {
 		reply(unavailable)
 		return
 	}
-	term, leading := c.term, c.lead.Leading()
+	term, leading := c.term, c.elector.Leading()
 	c.env.State().List(jobPrefix+id, "", lookupItems, func(o store.Outcome, l *wire.ItemList) {
 		if o != store.OK {
 			reply(unavailable)
@@ -446,7 +446,7 @@
 			switch it := &l.Items[i]; it.Key {
 			case jobPrefix + id:
 				record = it.Value
-			case jobPrefix + id + progressTail:
+			case jobPrefix + id + progressSuffix:
 				if msgpack.Unmarshal(it.Value, &progress) != nil {
 					reply(unavailable)
 					return
@@ -454,25 +454,25 @@
 			}
 		}
 		if record != nil {
-			st := wire.JobStatus{ID: id, Phase: progress.Phase, Done: progress.Count}
+			st := wire.JobStatus{ID: id, Phase: progress.Phase, Done: progress.DoneCount}
 			if st.Phase == "" {
 				st.Phase = wire.PhaseQueued
-				if progress.Count > 0 {
+				if progress.DoneCount > 0 {
 					st.Phase = wire.PhaseRunning
 				}
 				if leading && c.Serving() && c.term == term {
-					c.addRecords(l.Items, nil) // the watch has not brought it yet
-					c.wake()
+					c.addJobRecords(l.Items, nil) // the watch has not brought it yet
+					c.requestSchedulingPass()
 				}
-				if progress.Ready == 0 {
-					c.unlessDoomed(record, Answer{Code: 200, Status: st}, reply)
+				if progress.ReadyAt == 0 {
+					c.answerUnlessCancelled(record, Answer{Code: 200, Status: st}, reply)
 					return
 				}
 			}
 			reply(Answer{Code: 200, Status: st})
 			return
 		}
-		c.readFinal(id, func(f *finalRecord, absent bool) {
+		c.readFinalRecord(id, func(f *finalRecord, absent bool) {
 			switch {
 			case f != nil:
 				reply(Answer{Code: 200, Status: f.JobStatus})
@@ -492,22 +492,22 @@
 // Cancel cancels a job for a user.
 func (c *Core) Cancel(id string, reply func(Answer)) {
 	if c.Serving() {
-		c.cancelHere(id, reply)
+		c.cancelOnLeader(id, reply)
 		return
 	}
-	leader := c.lead.Leader()
+	leader := c.elector.Leader()
 	if c.peers[leader] == nil {
 		reply(unavailable)
 		return
 	}
-	m := c.self(fb.KindCancel)
+	m := c.newMessage(fb.KindCancel)
 	m.Job = id
-	c.env.Ask(leader, m, 2*clock.Second, func(r *peer.Msg) { reply(answerOf(r)) })
+	c.env.Call(leader, m, 2*clock.Second, func(r *peer.Msg) { reply(answerOf(r)) })
 }
 
 // cancelHere cancels on the leader: no task starts from now on, and the answer
 // follows the commit.
-func (c *Core) cancelHere(id string, reply func(Answer)) {
+func (c *Core) cancelOnLeader(id string, reply func(Answer)) {
 	if !c.Serving() {
 		reply(unavailable)
 		return
@@ -515,10 +515,10 @@
 	j := c.jobs[id]
 	if j == nil {
 		// The watch may not have brought the job yet; statusHere would add it.
-		c.statusHere(id, func(a Answer) {
+		c.statusOnLeader(id, func(a Answer) {
 			if a.Code == 200 && a.Status.Phase != wire.PhaseDone && a.Status.Phase != wire.PhaseCancelled {
 				if c.Serving() && c.jobs[id] != nil {
-					c.cancelHere(id, reply)
+					c.cancelOnLeader(id, reply)
 					return
 				}
 				a = unavailable
@@ -528,32 +528,32 @@
 		return
 	}
 	told := func() { reply(Answer{Code: 200, Status: statusOf(j)}) }
-	if j.Shown == wire.PhaseDone || j.Ended && !j.Cancelled {
-		c.commitEnd(j, told)
+	if j.CommittedPhase == wire.PhaseDone || j.Ended && !j.Cancelled {
+		c.commitJobEnd(j, told)
 		return
 	}
-	c.cancelWith(j, told)
+	c.cancelWithDependents(j, told)
 }
 
 // commitEnd writes a job's end and tells it once it is committed.
-func (c *Core) commitEnd(j *sched.Job, then func()) {
-	if j.Shown != "" {
+func (c *Core) commitJobEnd(j *sched.Job, then func()) {
+	if j.CommittedPhase != "" {
 		if then != nil {
 			then()
 		}
 		return
 	}
-	c.saveProgress(j, atOnce, c.during(func() {
-		first := j.Shown == ""
+	c.saveProgress(j, classUrgent, c.whileInTerm(func() {
+		first := j.CommittedPhase == ""
 		if first {
-			j.Shown = wire.PhaseDone
+			j.CommittedPhase = wire.PhaseDone
 			if j.Cancelled {
-				j.Shown = wire.PhaseCancelled
+				j.CommittedPhase = wire.PhaseCancelled
 			}
-			j.Over = c.overAt(j.Over)
-			slog.Debug("job over", "job", j.ID, "team", j.Spec.Team, "class", j.Spec.Class, "kind", j.Spec.Kind, "phase", j.Shown, "tasks", len(j.Tasks), "placed", j.Placed, "cpus", j.Spec.CPUs,
-				"submitted", j.Submitted.Seconds(), "ready", j.Ready.Seconds(), "began", j.Began.Seconds(), "over", j.Over.Seconds(),
-				"estimate", j.Estimate.Seconds(), "stated", j.Spec.Estimate, "deadline", (j.Deadline - j.Submitted).Seconds(), "again", j.Again)
+			j.EndedAt = c.endTimeOrNow(j.EndedAt)
+			slog.Debug("job over", "job", j.ID, "team", j.Spec.Team, "class", j.Spec.Class, "kind", j.Spec.Kind, "phase", j.CommittedPhase, "tasks", len(j.Tasks), "placed", j.PlacedCount, "cpus", j.Spec.CPUs,
+				"submitted", j.Submitted.Seconds(), "ready", j.ReadyAt.Seconds(), "began", j.StartedAt.Seconds(), "over", j.EndedAt.Seconds(),
+				"estimate", j.Estimate.Seconds(), "stated", j.Spec.Estimate, "deadline", (j.Deadline - j.Submitted).Seconds(), "again", j.Requeues)
 		}
 		if then != nil {
 			then()
@@ -562,44 +562,44 @@
 			return
 		}
 		for i := range j.Tasks {
-			if p := j.Tasks[i].Place; p != nil && !p.Exited {
-				c.orderSoon(p.Machine)
+			if p := j.Tasks[i].Placement; p != nil && !p.Exited {
+				c.queueOrder(p.Machine)
 			}
 		}
-		c.over(j)
-		c.noteOver(j)
+		c.resolveDependents(j)
+		c.recordJobEnd(j)
 		c.archive(j)
 	}))
-	c.commit.pump()
+	c.committer.startTransaction()
 }
 
 // dropUnsent takes back placements whose launch was never sent: nothing of
 // them can be on a machine.
-func (c *Core) dropUnsent(j *sched.Job) {
+func (c *Core) dropUnsentPlacements(j *sched.Job) {
 	for i := range j.Tasks {
-		if p := j.Tasks[i].Place; p != nil && !p.Sent {
-			c.leave(p)
+		if p := j.Tasks[i].Placement; p != nil && !p.Sent {
+			c.endPlacement(p)
 		}
 	}
 }
 
 // noteArrival smooths the demand of a class: the CPUs a second that services
 // ask for, or the CPUs that batch work keeps busy.
-func (c *Core) noteArrival(j *sched.Job) {
+func (c *Core) recordArrival(j *sched.Job) {
 	a := c.arrivals[j.Spec.Class]
 	now := c.env.Now()
 	if a == nil {
-		a = &arrival{at: now, since: now}
+		a = &arrivalStats{updatedAt: now, firstArrival: now}
 		c.arrivals[j.Spec.Class] = a
 	}
-	a.last = j
-	asked := j.Whole()
+	a.lastJob = j
+	asked := j.TotalCPUs()
 	if !j.Service() {
 		a.batch = true
 		asked *= j.Estimate.Seconds()
 	}
-	a.rate = a.now(now) + asked/arrivalWindow.Seconds()
-	a.at = now
+	a.rate = a.rateAt(now) + asked/arrivalWindow.Seconds()
+	a.updatedAt = now
 }
 
 // arrivalWindow is the memory of the arrival rates.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,17 +12,17 @@
 // machines whose room waiting batch work will fill still serve as headroom,
 // since services may stop that work.
 func TestHeadroomCountsWhatYields(t *testing.T) {
-	catalog := []wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.2, Boot: 50, Zones: []string{"a"}}}
+	catalog := []wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.2, BootTime: 50, Zones: []string{"a"}}}
 	service := &sched.Job{ID: "s", Priority: wire.PriorityProduction, Deadline: clock.Forever,
 		Spec: &wire.Job{Kind: wire.KindService, CPUs: 2, MemoryGB: 2, Tasks: 1}}
 	batch := &sched.Job{ID: "b", Priority: wire.PriorityLow, Deadline: clock.Forever, Estimate: 10 * clock.Second,
 		Spec: &wire.Job{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4, Tasks: 4}, Tasks: make([]sched.Task, 4)}
-	in := &Input{Catalog: catalog, Refused: map[Kind]sched.Micros{}, Headroom: 10, Service: service,
-		Unplaced: []sched.Unplaced{{Job: batch, Count: 4}}, Ordered: []Rental{{Kind{"m", "a", false}, 1}}}
+	in := &Input{Catalog: catalog, RefusedUntil: map[MachineKind]sched.Micros{}, Headroom: 10, Service: service,
+		Unplaced: []sched.Unplaced{{Job: batch, Count: 4}}, PendingRentals: []Rental{{MachineKind{"m", "a", false}, 1}}}
 	if buys := Plan(in); len(buys) != 0 {
 		t.Errorf("rents %v although a machine is on its way", buys)
 	}
-	in.Ordered = nil
+	in.PendingRentals = nil
 	if buys := Plan(in); len(buys) != 1 || buys[0].Kind.Spot {
 		t.Errorf("rents %v, want one ordinary machine", buys)
 	}
@@ -32,17 +32,17 @@
 // that wants to start before a machine rented for it would come, what arriving work needs
 // by Little's law is rented at once. Services that wait don't hide it.
 func TestRentsAhead(t *testing.T) {
-	catalog := []wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.2, Boot: 50, Zones: []string{"a"}}}
-	gang := &sched.Job{ID: "g", Ready: clock.Second, Starts: []sched.Micros{26 * clock.Second}, StartBy: 26 * clock.Second, Deadline: clock.Forever,
+	catalog := []wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.2, BootTime: 50, Zones: []string{"a"}}}
+	gang := &sched.Job{ID: "g", ReadyAt: clock.Second, StartTargets: []sched.Micros{26 * clock.Second}, LastStartTarget: 26 * clock.Second, Deadline: clock.Forever,
 		Estimate: 60 * clock.Second, Spec: &wire.Job{Kind: wire.KindGang, CPUs: 8, MemoryGB: 4, Tasks: 2, Spot: true}, Tasks: make([]sched.Task, 2)}
-	service := &sched.Job{ID: "s", Priority: wire.PriorityProduction, Ready: clock.Second, Starts: []sched.Micros{5 * clock.Second}, StartBy: 5 * clock.Second,
+	service := &sched.Job{ID: "s", Priority: wire.PriorityProduction, ReadyAt: clock.Second, StartTargets: []sched.Micros{5 * clock.Second}, LastStartTarget: 5 * clock.Second,
 		Deadline: clock.Forever, Spec: &wire.Job{Kind: wire.KindService, CPUs: 2, MemoryGB: 2, Tasks: 1}, Tasks: make([]sched.Task, 1)}
 	for _, j := range []*sched.Job{gang, service} {
-		j.Measure(catalog)
+		j.ComputeSize(catalog)
 	}
 	count := func(unplaced ...sched.Unplaced) int {
 		n := 0
-		for _, buy := range Plan(&Input{Now: clock.Second, Catalog: catalog, Refused: map[Kind]sched.Micros{}, Load: 160, Unplaced: unplaced}) {
+		for _, buy := range Plan(&Input{Now: clock.Second, Catalog: catalog, RefusedUntil: map[MachineKind]sched.Micros{}, BatchLoad: 160, Unplaced: unplaced}) {
 			n += buy.Count
 		}
 		return n
--- a/internal/fleet/lookahead.go
+++ b/internal/fleet/lookahead.go
@@ -18,7 +18,7 @@
 
 // releaseQueue holds the releases on machines of one kind, the earliest first.
 type releaseQueue struct {
-	kind     Kind
+	kind     MachineKind
 	typ      *wire.MachineType
 	releases []release
 }
@@ -61,29 +61,29 @@
 // of its entries for each waiting task: 10.8 ms a pass with 12,400 running and 5,000
 // waiting tasks, where this takes 1.9.
 type lookahead struct {
-	byKind map[Kind]*releaseQueue
-	queues []*releaseQueue // the same, ordered by kind
-	parts  []claimPart     // of the latest claim
-	looked int             // releases looked at: the cost of it all
+	byKind           map[MachineKind]*releaseQueue
+	queues           []*releaseQueue // the same, ordered by kind
+	parts            []claimPart     // of the latest claim
+	releasesExamined int             // releases looked at: the cost of it all
 }
 
 // newLookahead collects the ends of the tasks that run on machines that will take
 // further tasks.
 func newLookahead(in *Input) *lookahead {
-	l := &lookahead{byKind: map[Kind]*releaseQueue{}}
+	l := &lookahead{byKind: map[MachineKind]*releaseQueue{}}
 	for _, m := range in.Machines {
-		if m.Releasing || m.Draining || m.Notice != 0 || m.Errors > 0 {
+		if m.Releasing || m.Draining || m.ReclaimAt != 0 || m.Errors > 0 {
 			continue
 		}
 		var q *releaseQueue
-		for _, p := range m.Places {
+		for _, p := range m.Placements {
 			if p.Job == nil || p.Job.Service() || p.Exited {
 				continue
 			}
 			if q == nil {
 				q = l.queue(kindOf(m), m.Type)
 			}
-			q.releases = append(q.releases, release{endOf(p, in.Now), p.Need.On(m.Type)})
+			q.releases = append(q.releases, release{endOf(p, in.Now), p.Need.DominantCPUs(m.Type)})
 		}
 	}
 	for _, q := range l.queues {
@@ -93,7 +93,7 @@
 }
 
 // queue is that of a kind of machine, made if it is new.
-func (l *lookahead) queue(kind Kind, typ *wire.MachineType) *releaseQueue {
+func (l *lookahead) queue(kind MachineKind, typ *wire.MachineType) *releaseQueue {
 	q := l.byKind[kind]
 	if q == nil {
 		q = &releaseQueue{kind: kind, typ: typ}
@@ -106,15 +106,15 @@
 
 // endOf is when a placed task is expected to end.
 func endOf(p *sched.Placement, now sched.Micros) sched.Micros {
-	start := p.Running
+	start := p.RunningSince
 	if start == 0 {
 		start = now
 	}
-	return max(now, start+p.Left())
+	return max(now, start+p.RemainingTime())
 }
 
 // add enters room that gets free at the given time.
-func (l *lookahead) add(kind Kind, typ *wire.MachineType, r release) {
+func (l *lookahead) add(kind MachineKind, typ *wire.MachineType, r release) {
 	l.queue(kind, typ).insert(r)
 }
 
@@ -147,7 +147,7 @@
 
 // earliest takes out the room that one task needs from the queues given. The claim
 // has to be put back or consumed before the next.
-func (l *lookahead) earliest(queues []*releaseQueue, need sched.Need) claim {
+func (l *lookahead) earliest(queues []*releaseQueue, need sched.Resources) claim {
 	c := claim{at: clock.Forever, parts: l.parts[:0]}
 	defer func() { l.parts = c.parts }()
 	missing := 1.0 // part of the task that has no room yet
@@ -156,9 +156,9 @@
 		if q == nil {
 			return c
 		}
-		l.looked++
+		l.releasesExamined++
 		r := q.takeFirst()
-		size := need.On(q.typ)
+		size := need.DominantCPUs(q.typ)
 		take := min(missing*size, r.cpus)
 		missing -= take / size
 		c.parts = append(c.parts, claimPart{q, r, r.cpus - take})
@@ -189,10 +189,10 @@
 
 // consume gives the claimed room, which is whole, to a task that frees it again after
 // its run.
-func (c claim) consume(need sched.Need, run sched.Micros) {
+func (c claim) consume(need sched.Resources, run sched.Micros) {
 	last := c.parts[len(c.parts)-1]
 	if last.rest > 0 {
 		last.queue.insert(release{last.at, last.rest})
 	}
-	last.queue.insert(release{last.at + run, need.On(last.queue.typ)})
+	last.queue.insert(release{last.at + run, need.DominantCPUs(last.queue.typ)})
 }
--- a/internal/fleet/vacancy.go
+++ b/internal/fleet/vacancy.go
@@ -8,12 +8,12 @@
 // image. Each move claims its room.
 type Vacancies struct {
 	machines []vacancy
-	largest  sched.Need // at least the room of each, by resource
+	largest  sched.Resources // at least the room of each, by resource
 }
 
 type vacancy struct {
 	machine *sched.Machine
-	room    sched.Need
+	room    sched.Resources
 }
 
 // NewVacancies lists the machines that take new tasks, in their order.
@@ -23,9 +23,9 @@
 		if m.Errors > 0 || !m.Usable(now, fresh) {
 			continue
 		}
-		room := m.Room()
+		room := m.Available()
 		v.machines = append(v.machines, vacancy{m, room})
-		v.largest = sched.Need{CPUs: max(v.largest.CPUs, room.CPUs), GPUs: max(v.largest.GPUs, room.GPUs), Memory: max(v.largest.Memory, room.Memory)}
+		v.largest = sched.Resources{CPUs: max(v.largest.CPUs, room.CPUs), GPUs: max(v.largest.GPUs, room.GPUs), Memory: max(v.largest.Memory, room.Memory)}
 	}
 	return v
 }
@@ -37,7 +37,7 @@
 	if !p.Need.Fits(v.largest) {
 		return false
 	}
-	held := p.Job.Zones(p)
+	held := p.Job.PlacementsByZone(p)
 	for i := range v.machines {
 		x := &v.machines[i]
 		if !p.Need.Fits(x.room) {
--- a/internal/fleet/vacancy_test.go
+++ b/internal/fleet/vacancy_test.go
@@ -12,11 +12,11 @@
 )
 
 // firstVacancy is the search over all machines that Vacancies replaces.
-func firstVacancy(machines []*sched.Machine, p *sched.Placement, now, fresh sched.Micros, claimed map[*sched.Machine]sched.Need) bool {
-	held := p.Job.Zones(p)
+func firstVacancy(machines []*sched.Machine, p *sched.Placement, now, fresh sched.Micros, claimed map[*sched.Machine]sched.Resources) bool {
+	held := p.Job.PlacementsByZone(p)
 	for _, m := range machines {
 		_, warm := m.Images[p.Image]
-		if warm && m.Usable(now, fresh) && m.Errors == 0 && p.Need.Fits(m.Room().Sub(claimed[m])) &&
+		if warm && m.Usable(now, fresh) && m.Errors == 0 && p.Need.Fits(m.Available().Sub(claimed[m])) &&
 			p.Job.Allows(m.Type, m.Zone, m.Spot) && sched.ZoneAllows(p.Job, held, m.Zone) {
 			claimed[m] = claimed[m].Add(p.Need)
 			return true
@@ -40,16 +40,16 @@
 				}
 			}
 			machines = append(machines, m)
-			j := waiting(fmt.Sprint("s-", i), wire.KindService, wire.PriorityProduction, 3, float64(rapid.IntRange(1, 8).Draw(t, "cpus")))
+			j := newWaitingJob(fmt.Sprint("s-", i), wire.KindService, wire.PriorityProduction, 3, float64(rapid.IntRange(1, 8).Draw(t, "cpus")))
 			j.Spec.Spread = rapid.Bool().Draw(t, "spread")
 			p := &sched.Placement{Job: j, Task: wire.TaskID(j.ID, 0), Machine: m, Need: j.Need(), Priority: j.Priority,
 				Image: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "image")}
-			if p.Need.Fits(m.Room()) {
+			if p.Need.Fits(m.Available()) {
 				sched.Attach(p, nil)
 				replicas = append(replicas, p)
 			}
 		}
-		v, claimed := NewVacancies(machines, clock.Second, clock.Second), map[*sched.Machine]sched.Need{}
+		v, claimed := NewVacancies(machines, clock.Second, clock.Second), map[*sched.Machine]sched.Resources{}
 		for _, p := range replicas {
 			want, got := firstVacancy(machines, p, clock.Second, clock.Second, claimed), v.Claim(p)
 			if want != got {
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -24,7 +24,7 @@
 	Node        string `msgpack:"node"`
 	Incarnation uint64 `msgpack:"inc"`
 	Term        uint64 `msgpack:"term"`
-	Rewrites    uint64 `msgpack:"rewrites"`
+	FenceCount  uint64 `msgpack:"rewrites"`
 	// Addr is where the process takes requests: an address and port that no other
 	// live process can hold; empty where the settings do not name one.
 	Addr string `msgpack:"addr,omitempty"`
@@ -41,10 +41,10 @@
 }
 
 // Hooks tell the owner of changes.
-type Hooks struct {
-	Elected func(term uint64)
-	Lost    func()
-	Contact func() // the state service answered
+type Callbacks struct {
+	OnElected        func(term uint64)
+	OnLeadershipLost func()
+	OnStoreResponse  func() // the state service answered
 }
 
 // Elector takes part in elections. All its methods and callbacks run on the
@@ -52,7 +52,7 @@
 type Elector struct {
 	env   Env
 	store store.Service
-	hooks Hooks
+	hooks Callbacks
 	self  Record
 	ttl   clock.Micros
 
@@ -69,7 +69,7 @@
 
 // New makes an elector for the process that self describes, by its node, incarnation
 // and address; the incarnation must differ between processes.
-func New(env Env, s store.Service, self Record, ttl clock.Micros, hooks Hooks) *Elector {
+func New(env Env, s store.Service, self Record, ttl clock.Micros, hooks Callbacks) *Elector {
 	return &Elector{env: env, store: s, hooks: hooks, ttl: ttl, self: self, told: -clock.Forever}
 }
 
@@ -80,10 +80,10 @@
 func (e *Elector) Leading() bool { return e.leading }
 
 // Authority reports whether no other leader can exist now.
-func (e *Elector) Authority() bool { return e.leading && e.env.Now() < e.deadline }
+func (e *Elector) HoldsValidLease() bool { return e.leading && e.env.Now() < e.deadline }
 
 // Deadline is when Authority ends unless the lease is renewed.
-func (e *Elector) Deadline() clock.Micros { return e.deadline }
+func (e *Elector) LeaseDeadline() clock.Micros { return e.deadline }
 
 // Term is the term led.
 func (e *Elector) Term() uint64 { return e.term }
@@ -96,7 +96,7 @@
 
 func (e *Elector) contact(o store.Outcome) {
 	if o == store.OK || o == store.Failed || o == store.Gone {
-		e.hooks.Contact()
+		e.hooks.OnStoreResponse()
 	}
 }
 
@@ -191,8 +191,8 @@
 		txn := &wire.Txn{
 			If: []wire.Guard{{Key: Key, Version: version}, {Key: TermKey, Version: termVersion}},
 			Then: []wire.Change{
-				{Put: Key, Value: wire.Encode(&rec), Lease: lease},
-				{Put: TermKey, Value: wire.Encode(&termRecord{rec.Term})},
+				{PutKey: Key, Value: wire.Encode(&rec), Lease: lease},
+				{PutKey: TermKey, Value: wire.Encode(&termRecord{rec.Term})},
 			},
 		}
 		e.store.Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
@@ -219,11 +219,11 @@
 
 func (e *Elector) elected(rec Record, version, lease uint64, deadline clock.Micros) {
 	e.leading, e.term, e.version, e.lease, e.deadline = true, rec.Term, version, lease, deadline
-	e.self.Rewrites = rec.Rewrites
+	e.self.FenceCount = rec.FenceCount
 	e.leader = e.self.Node
 	slog.Info("elected", "term", e.term)
 	e.renew(e.term)
-	e.hooks.Elected(e.term)
+	e.hooks.OnElected(e.term)
 }
 
 func (e *Elector) renew(term uint64) {
@@ -254,12 +254,12 @@
 	}
 	slog.Info("lost the lead", "term", e.term, "why", why)
 	e.leading, e.deadline, e.leader = false, 0, ""
-	e.hooks.Lost()
+	e.hooks.OnLeadershipLost()
 	e.campaign()
 }
 
 // Yield steps down because a higher term exists.
-func (e *Elector) Yield() { e.lose("a higher term exists") }
+func (e *Elector) StepDown() { e.lose("a higher term exists") }
 
 // Resign gives the lead up and stays out of elections for a while.
 func (e *Elector) Resign(why string, abstain clock.Micros) {
@@ -294,7 +294,7 @@
 
 // Recheck reads the leader key after a guard on it failed: ok means that it is
 // still ours and Guard is fresh.
-func (e *Elector) Recheck(done func(ok bool)) {
+func (e *Elector) VerifyLeadership(done func(ok bool)) {
 	term := e.term
 	e.store.Get(Key, func(o store.Outcome, it *wire.Item) {
 		e.contact(o)
@@ -312,7 +312,7 @@
 			e.lose("another leader")
 			done(false)
 		default:
-			e.env.After(pause, func() { e.Recheck(done) })
+			e.env.After(pause, func() { e.VerifyLeadership(done) })
 		}
 	})
 }
@@ -327,12 +327,12 @@
 	}
 	rec := e.self
 	rec.Term = term
-	e.self.Rewrites++
-	rec.Rewrites = e.self.Rewrites
+	e.self.FenceCount++
+	rec.FenceCount = e.self.FenceCount
 	txn := &wire.Txn{If: []wire.Guard{e.Guard()},
-		Then: []wire.Change{{Put: Key, Value: wire.Encode(&rec), Lease: e.lease}}}
+		Then: []wire.Change{{PutKey: Key, Value: wire.Encode(&rec), Lease: e.lease}}}
 	again := func() {
-		e.Recheck(func(ok bool) {
+		e.VerifyLeadership(func(ok bool) {
 			if ok && e.version == before {
 				e.env.After(pause, func() { e.Fence(done) })
 				return
--- a/internal/lead/renewal.go
+++ b/internal/lead/renewal.go
@@ -9,20 +9,24 @@
 // own deadline, so a renewal is safe while the lease that it begins, at the longest, ends
 // within cancel_s of the deadline. That argument needs a leader that knows all that was
 // committed before its term: one that has not read the records yet renews nothing.
-type Renewal struct {
-	Lease, Cancel clock.Micros // of the workers' settings
-	Margin        clock.Micros // drift of the clocks over a lease, and processing
+type RenewalLimits struct {
+	LeaseDuration, CancelTimeout clock.Micros // of the workers' settings
+	Margin                       clock.Micros // drift of the clocks over a lease, and processing
 }
 
 // Fade is how long past its deadline a leader may renew.
-func (r Renewal) Fade() clock.Micros { return max(r.Cancel-r.Lease-4*r.Margin, 0) }
+func (r RenewalLimits) GracePeriod() clock.Micros {
+	return max(r.CancelTimeout-r.LeaseDuration-4*r.Margin, 0)
+}
 
 // Allowed reports whether a leader may renew now; informed: it has read what was committed
 // before its term.
-func (r Renewal) Allowed(now, deadline clock.Micros, informed bool) bool {
-	return informed && now < deadline+r.Fade()
+func (r RenewalLimits) Allowed(now, deadline clock.Micros, informed bool) bool {
+	return informed && now < deadline+r.GracePeriod()
 }
 
 // Outlives reports whether a lease renewed now might outlive what users were told at the given
 // time: from then on a worker that may yet start a cancelled task must not be renewed.
-func (r Renewal) Outlives(now, told clock.Micros) bool { return now >= told+r.Fade() }
+func (r RenewalLimits) MayOutliveCancel(now, told clock.Micros) bool {
+	return now >= told+r.GracePeriod()
+}
--- a/internal/lead/renewal_test.go
+++ b/internal/lead/renewal_test.go
@@ -17,10 +17,10 @@
 		{26500 * clock.Millisecond, 51500 * clock.Millisecond, s / 2, 23 * s},
 		{30 * s, 31 * s, s / 2, 0},
 	} {
-		r := Renewal{Lease: x.lease, Cancel: x.cancel, Margin: x.margin}
+		r := RenewalLimits{LeaseDuration: x.lease, CancelTimeout: x.cancel, Margin: x.margin}
 		deadline := 100 * s
-		if r.Fade() != x.fade {
-			t.Errorf("%+v: fades for %v", x, r.Fade())
+		if r.GracePeriod() != x.fade {
+			t.Errorf("%+v: fades for %v", x, r.GracePeriod())
 		}
 		last := deadline + x.fade - 1
 		for _, c := range []struct {
@@ -35,7 +35,7 @@
 				t.Errorf("%+v at %v, informed %v: %v", x, c.now, c.informed, got)
 			}
 		}
-		if told := 50 * s; r.Outlives(told+x.fade-1, told) || !r.Outlives(told+x.fade, told) {
+		if told := 50 * s; r.MayOutliveCancel(told+x.fade-1, told) || !r.MayOutliveCancel(told+x.fade, told) {
 			t.Errorf("%+v: outlives", x)
 		}
 		// A worker's clock may be slow by 0.05%, and so may ours.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,10 +28,10 @@
 	queue []func()
 	wake  chan struct{}
 	core  *controller.Core
-	state *store.HTTP
-	cloud *cloud.HTTP
+	state *store.HTTPClient
+	cloud *cloud.HTTPClient
 	links *peer.Links
-	work  *worker.HTTP
+	work  *worker.HTTPClient
 	serve *server.Server
 }
 
@@ -50,16 +50,16 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	n.state = store.NewHTTP(cfg.Endpoints.State, n.Post)
-	n.cloud = cloud.NewHTTP(cfg.Endpoints.Cloud, n.Post)
+	n.state = store.NewHTTPClient(cfg.Endpoints.State, n.Post)
+	n.cloud = cloud.NewHTTPClient(cfg.Endpoints.Cloud, n.Post)
 	n.links = peer.NewLinks(peers, n.Post)
-	n.work = worker.NewHTTP(n.Post)
-	n.serve = server.New(n, cfg.Served())
+	n.work = worker.NewHTTPClient(n.Post)
+	n.serve = server.New(n, cfg.MaxClientConns())
 	n.core = controller.New(n, cfg, pol, rand.Uint64())
 	failed := make(chan error, 2)
 	go func() {
 		failed <- peer.Serve(peerLn, func(m *peer.Msg, reply func(*peer.Msg)) {
-			n.Post(func() { n.core.OnPeer(m, reply) })
+			n.Post(func() { n.core.HandlePeerMessage(m, reply) })
 		})
 	}()
 	go func() { failed <- n.serve.Serve(ln) }()
@@ -117,17 +117,17 @@
 }
 
 // Ask sends a message to a peer.
-func (n *Node) Ask(name string, m *peer.Msg, timeout clock.Micros, done func(*peer.Msg)) {
-	n.links.Ask(name, m, timeout.Duration(), done)
+func (n *Node) Call(name string, m *peer.Msg, timeout clock.Micros, done func(*peer.Msg)) {
+	n.links.Call(name, m, timeout.Duration(), done)
 }
 
 // Order sends commands straight to a worker.
-func (n *Node) Order(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
-	n.work.Order(addr, o, done)
+func (n *Node) SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
+	n.work.SendOrders(addr, o, done)
 }
 
 // Sockets is the share of the connections for users and workers that is in use.
-func (n *Node) Sockets() float64 { return n.serve.Share() }
+func (n *Node) ConnectionUsage() float64 { return n.serve.ConnectionUsage() }
 
 // State is the state service.
 func (n *Node) State() store.Service { return n.state }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,7 +15,7 @@
 // TestServes runs three controllers on real sockets against the stand-ins, with users at
 // all of them at once: what the edges share is what the race detector looks at here.
 func TestServes(t *testing.T) {
-	live, settings, err := sim.Loopback(3)
+	live, settings, err := sim.StartLoopback(3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,14 +42,14 @@
 			defer users.Done()
 			job := &wire.Job{ID: fmt.Sprintf("req-%06d", i+1), Class: "c", Team: "core", Kind: wire.KindArray,
 				Priority: "normal", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, Estimate: 0.5}
-			live.Do(func(w *sim.World) { w.Rules.Known(job) })
+			live.WithWorld(func(w *sim.World) { w.Rules.AddJob(job) })
 			c := client.New(settings[i%len(settings)].Listen)
 			if _, err := c.Submit(job); err != nil {
 				t.Errorf("%s: %v", job.ID, err)
 				return
 			}
 			if i%4 == 3 {
-				live.Do(func(w *sim.World) { w.Rules.AskedCancel(job.ID) })
+				live.WithWorld(func(w *sim.World) { w.Rules.CancelRequested(job.ID) })
 				if _, err := c.Cancel(job.ID); err != nil {
 					t.Errorf("%s: %v", job.ID, err)
 				}
@@ -67,9 +67,9 @@
 		}()
 	}
 	users.Wait()
-	live.Do(func(w *sim.World) {
-		if w.Rules.Finish(); len(w.Rules.Broken) > 0 {
-			t.Errorf("rules broken: %v", w.Rules.Broken)
+	live.WithWorld(func(w *sim.World) {
+		if w.Rules.CheckFinal(); len(w.Rules.Violations) > 0 {
+			t.Errorf("rules broken: %v", w.Rules.Violations)
 		}
 	})
 }
--- a/internal/oneway/oneway.go
+++ b/internal/oneway/oneway.go
@@ -10,38 +10,38 @@
 type Micros = clock.Micros
 
 // Sign is something that a worker shows and that contradicts what it was told.
-type Sign int
+type Symptom int
 
 // Signs, by their weight. One alone of the first three has other causes too: an answer
 // that was slow, a machine that stood still for a moment.
 const (
-	OrderLost   Sign = 1 // an order was not answered, and a later report came all the same
-	LaunchLost  Sign = 1 // a launch in the answer to a report had no effect
-	TokenLost   Sign = 1 // a report was answered under a newer token, and the next shows the old
-	SessionLost Sign = 3 // its lease ended although its reports were answered
+	CommandBatchLost Symptom = 1 // an order was not answered, and a later report came all the same
+	LaunchLost       Symptom = 1 // a launch in the answer to a report had no effect
+	TokenLost        Symptom = 1 // a report was answered under a newer token, and the next shows the old
+	SessionLost      Symptom = 3 // its lease ended although its reports were answered
 )
 
 // enough is the weight of signs since the last proof that makes a machine pass for partitioned.
-const enough = 3
+const partitionThreshold = 3
 
 // Detector is what is known of the way from the controllers to one machine.
 type Detector struct {
-	Partitioned bool
-	since       Micros // when the first sign of it came, without a proof since
-	lost        bool   // its session moved since: nothing of before is on it
-	signs       Sign
-	at          Micros // of the latest sign
-	asked       Micros // when it was last asked for a proof
-	silent      int    // questions without an answer, since then
+	Partitioned      bool
+	since            Micros // when the first sign of it came, without a proof since
+	lost             bool   // its session moved since: nothing of before is on it
+	signs            Symptom
+	at               Micros // of the latest sign
+	asked            Micros // when it was last asked for a proof
+	unansweredProbes int    // questions without an answer, since then
 }
 
 // Proof notes that the machine executed or answered something.
-func (d *Detector) Proof() { *d = Detector{} }
+func (d *Detector) ConfirmReachable() { *d = Detector{} }
 
 // See notes a sign; within the span that follows another of its weight it is taken for
 // the same one, so that repeats and copies weigh nothing. It reports whether the machine
 // passes for partitioned from now on.
-func (d *Detector) See(s Sign, now, span Micros) bool {
+func (d *Detector) RecordSymptom(s Symptom, now, span Micros) bool {
 	if s < SessionLost && d.signs > 0 && now-d.at < span {
 		return false
 	}
@@ -52,10 +52,10 @@
 	if s == SessionLost {
 		d.lost = true
 	}
-	if d.Partitioned || d.signs < enough {
+	if d.Partitioned || d.signs < partitionThreshold {
 		return false
 	}
-	d.Partitioned, d.silent = true, 0
+	d.Partitioned, d.unansweredProbes = true, 0
 	return true
 }
 
@@ -65,8 +65,8 @@
 // Ask reports whether the machine should be asked for a proof now, and notes that it is:
 // soon after a sign, and ever less often while it stays silent. Whoever asks has one
 // question to a machine under way at a time.
-func (d *Detector) Ask(now Micros) bool {
-	if d.signs == 0 || now-d.asked < min(2*clock.Second<<min(d.silent, 4), 20*clock.Second) {
+func (d *Detector) BeginProbe(now Micros) bool {
+	if d.signs == 0 || now-d.asked < min(2*clock.Second<<min(d.unansweredProbes, 4), 20*clock.Second) {
 		return false
 	}
 	d.asked = now
@@ -74,19 +74,19 @@
 }
 
 // Answered notes the outcome of a question: a machine that answers hears.
-func (d *Detector) Answered(ok bool) {
+func (d *Detector) RecordProbeResult(ok bool) {
 	if ok {
-		d.Proof()
+		d.ConfirmReachable()
 	} else if d.Partitioned {
-		d.silent++
+		d.unansweredProbes++
 	}
 }
 
 // questions is how many must stay without an answer before such a machine is given up.
-const questions = 3
+const unansweredProbeLimit = 3
 
 // Hopeless reports whether the machine should be returned: it does not answer, and what
 // ran on it is gone or will be before long, as its lease has not been renewed since.
-func (d *Detector) Hopeless(now, lease Micros) bool {
-	return d.Partitioned && d.silent >= questions && (d.lost || now-d.since > lease/2)
+func (d *Detector) Unrecoverable(now, lease Micros) bool {
+	return d.Partitioned && d.unansweredProbes >= unansweredProbeLimit && (d.lost || now-d.since > lease/2)
 }
--- a/internal/peer/admission.go
+++ b/internal/peer/admission.go
@@ -39,14 +39,14 @@
 	if t == nil {
 		return nil
 	}
-	n := &admit.Notice{Digest: t.Digest(), Accounts: make([]admit.Arrivals, bounded(t.AccountsLength()))}
+	n := &admit.Notice{Digest: t.Digest(), Accounts: make([]admit.Arrivals, checkVectorLength(t.AccountsLength()))}
 	var a fb.Arrivals
 	for i := range n.Accounts {
 		t.Accounts(&a, i)
 		n.Accounts[i] = admit.Arrivals{Rate: a.Rate(), Queued: a.Queued(), Refused: a.Refused()}
 	}
 	var ask fb.Ask
-	for i := range bounded(t.ToldLength()) {
+	for i := range checkVectorLength(t.ToldLength()) {
 		told := admit.Refusal{Hash: t.Told(i)}
 		if i < t.AsksLength() { // versions before this one say nothing of it
 			t.Asks(&ask, i)
@@ -57,46 +57,46 @@
 	return n
 }
 
-func encodeTable(b *flatbuffers.Builder, t *admit.Table) flatbuffers.UOffsetT {
+func encodeAdmissionTable(b *flatbuffers.Builder, t *admit.Table) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	fb.AdmissionStartAccountsVector(b, len(t.Accounts))
 	for i := len(t.Accounts) - 1; i >= 0; i-- {
 		e := &t.Accounts[i]
-		fb.CreateEntry(b, e.Rate, e.Part, e.Slots, e.Held, e.Waiting, e.Floor, e.Share)
+		fb.CreateEntry(b, e.Rate, e.NodeRate, e.Slots, e.Held, e.Waiting, e.MinShare, e.Share)
 	}
 	accounts := b.EndVector(len(t.Accounts))
 	fb.AdmissionStart(b)
 	fb.AdmissionAddTerm(b, t.Term)
 	fb.AdmissionAddNumber(b, t.Number)
 	fb.AdmissionAddDigest(b, t.Digest)
-	fb.AdmissionAddValidUs(b, uint64(t.Valid))
-	fb.AdmissionAddOver(b, t.Over)
+	fb.AdmissionAddValidUs(b, uint64(t.ValidFor))
+	fb.AdmissionAddOver(b, t.Overloaded)
 	fb.AdmissionAddAccounts(b, accounts)
 	return fb.AdmissionEnd(b)
 }
 
-func decodeTable(f *fb.Admission) *admit.Table {
+func decodeAdmissionTable(f *fb.Admission) *admit.Table {
 	if f == nil {
 		return nil
 	}
-	t := &admit.Table{Term: f.Term(), Number: f.Number(), Digest: f.Digest(), Valid: admit.Micros(f.ValidUs()),
-		Over: f.Over(), Accounts: make([]admit.Entry, bounded(f.AccountsLength()))}
+	t := &admit.Table{Term: f.Term(), Number: f.Number(), Digest: f.Digest(), ValidFor: admit.Micros(f.ValidUs()),
+		Overloaded: f.Over(), Accounts: make([]admit.Entry, checkVectorLength(f.AccountsLength()))}
 	var e fb.Entry
 	for i := range t.Accounts {
 		f.Accounts(&e, i)
-		t.Accounts[i] = admit.Entry{Rate: e.Rate(), Part: e.Part(), Slots: e.Slots(),
-			Held: e.Held(), Waiting: e.Waiting(), Floor: e.Floor(), Share: e.Share()}
+		t.Accounts[i] = admit.Entry{Rate: e.Rate(), NodeRate: e.Part(), Slots: e.Slots(),
+			Held: e.Held(), Waiting: e.Waiting(), MinShare: e.Floor(), Share: e.Share()}
 	}
 	return t
 }
 
 // bounded refuses a vector that is longer than any frame: its length is not to be
 // trusted before its elements were read.
-func bounded(n int) int {
-	if n < 0 || n > MaxFrame {
-		panic(errFrame) // as the library does; see Decode
+func checkVectorLength(n int) int {
+	if n < 0 || n > MaxFrameBytes {
+		panic(errInvalidFrame) // as the library does; see Decode
 	}
 	return n
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -39,7 +39,7 @@
 }
 
 // Ask sends m to a peer; done gets the answer, or nil after the timeout.
-func (l *Links) Ask(name string, m *Msg, timeout time.Duration, done func(*Msg)) {
+func (l *Links) Call(name string, m *Msg, timeout time.Duration, done func(*Msg)) {
 	k := l.links[name]
 	if k == nil {
 		l.post(func() { done(nil) })
@@ -155,8 +155,8 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > MaxFrame {
-		return nil, errFrame
+	if n > MaxFrameBytes {
+		return nil, errInvalidFrame
 	}
 	frame := make([]byte, n)
 	if _, err := io.ReadFull(r, frame); err != nil {
@@ -179,7 +179,7 @@
 			for {
 				m, err := ReadFrame(conn)
 				if err != nil {
-					if errors.Is(err, errFrame) {
+					if errors.Is(err, errInvalidFrame) {
 						slog.Info("malformed or oversized frame of a peer, its connection is closed", "from", conn.RemoteAddr())
 					}
 					return
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,17 +11,17 @@
 )
 
 func sample() *Msg {
-	return &Msg{ID: 7, Kind: fb.KindStatus, Node: "n", Term: 3, StateOK: true, Reports: 2, Job: "req-000001",
-		Body: []byte{1, 2}, Code: 200, Phase: "done", Done: 4, Running: 5, Speaks: 2, Level: 1,
-		RetryAfter: 9, InMemory: true,
-		Notice: &admit.Notice{Digest: 7, Accounts: []admit.Arrivals{{Rate: 1, Queued: 2, Refused: 3}, {Rate: 4}}, Refusals: []admit.Refusal{{Hash: 5, Account: 1, CPUs: 48}, {Hash: 6}}},
-		Table: &admit.Table{Term: 3, Number: 4, Digest: 7, Valid: 3_000_000, Over: true,
-			Accounts: []admit.Entry{{Rate: 1, Part: 2, Slots: 4, Held: 5, Waiting: 6, Floor: 7, Share: 8}, {Rate: 9}}},
-		Relayed: []RelayedReport{{Body: []byte{1}, Machine: "m-1", Session: 2, Seq: 3, Token: 4}, {Machine: "m-2", Session: 1, Seq: 9, Token: 4, Base: 8}},
-		Answers: []RelayedAnswer{{Code: 200, Token: 4, Body: []byte{5}}, {Code: 503}},
-		Orders:  []Order{{ID: 1, Addr: "10.0.0.1:9", Body: []byte{6}}},
-		Results: []OrderResult{{ID: 1, Outcome: 2, Body: []byte{7}}, {ID: 2}},
-		Relays:  &relay.Table{Term: 3, Number: 2, Members: []string{"a", "b"}}, Sockets: 300}
+	return &Msg{ID: 7, Kind: fb.KindStatus, Node: "n", Term: 3, StateOK: true, ReportingWorkers: 2, Job: "req-000001",
+		Body: []byte{1, 2}, Code: 200, Phase: "done", Done: 4, Running: 5, MaxFormatLevel: 2, FormatLevel: 1,
+		RetryAfter: 9, InMemoryOnly: true,
+		AdmissionNotice: &admit.Notice{Digest: 7, Accounts: []admit.Arrivals{{Rate: 1, Queued: 2, Refused: 3}, {Rate: 4}}, Refusals: []admit.Refusal{{Hash: 5, Account: 1, CPUs: 48}, {Hash: 6}}},
+		AdmissionTable: &admit.Table{Term: 3, Number: 4, Digest: 7, ValidFor: 3_000_000, Overloaded: true,
+			Accounts: []admit.Entry{{Rate: 1, NodeRate: 2, Slots: 4, Held: 5, Waiting: 6, MinShare: 7, Share: 8}, {Rate: 9}}},
+		RelayedReports: []RelayedReport{{Body: []byte{1}, Machine: "m-1", Session: 2, Seq: 3, Token: 4}, {Machine: "m-2", Session: 1, Seq: 9, Token: 4, BaseSeq: 8}},
+		ReportAnswers:  []RelayedAnswer{{Code: 200, Token: 4, Body: []byte{5}}, {Code: 503}},
+		Orders:         []Order{{ID: 1, Addr: "10.0.0.1:9", Body: []byte{6}}},
+		OrderResults:   []OrderResult{{ID: 1, Outcome: 2, Body: []byte{7}}, {ID: 2}},
+		RelayTable:     &relay.Table{Term: 3, Number: 2, Members: []string{"a", "b"}}, ConnectionUsagePermille: 300}
 }
 
 func TestFrame(t *testing.T) {
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -14,7 +14,7 @@
 	Session uint64
 	Seq     uint64
 	Token   uint64
-	Base    uint64
+	BaseSeq uint64
 }
 
 // Size is about what it takes of a frame.
@@ -78,7 +78,7 @@
 
 func (m *Msg) encodeRelay(b *flatbuffers.Builder) relayOffsets {
 	return relayOffsets{
-		vector(b, m.Relayed, func(r *RelayedReport) flatbuffers.UOffsetT {
+		vector(b, m.RelayedReports, func(r *RelayedReport) flatbuffers.UOffsetT {
 			body, machine := bytesOf(b, r.Body), b.CreateString(r.Machine)
 			fb.ReportItemStart(b)
 			fb.ReportItemAddBody(b, body)
@@ -86,10 +86,10 @@
 			fb.ReportItemAddSession(b, r.Session)
 			fb.ReportItemAddSeq(b, r.Seq)
 			fb.ReportItemAddToken(b, r.Token)
-			fb.ReportItemAddBase(b, r.Base)
+			fb.ReportItemAddBase(b, r.BaseSeq)
 			return fb.ReportItemEnd(b)
 		}),
-		vector(b, m.Answers, func(a *RelayedAnswer) flatbuffers.UOffsetT {
+		vector(b, m.ReportAnswers, func(a *RelayedAnswer) flatbuffers.UOffsetT {
 			body := bytesOf(b, a.Body)
 			fb.AnswerItemStart(b)
 			fb.AnswerItemAddCode(b, uint16(a.Code))
@@ -105,7 +105,7 @@
 			fb.OrderItemAddBody(b, body)
 			return fb.OrderItemEnd(b)
 		}),
-		vector(b, m.Results, func(r *OrderResult) flatbuffers.UOffsetT {
+		vector(b, m.OrderResults, func(r *OrderResult) flatbuffers.UOffsetT {
 			body := bytesOf(b, r.Body)
 			fb.ResultItemStart(b)
 			fb.ResultItemAddId(b, r.ID)
@@ -113,7 +113,7 @@
 			fb.ResultItemAddBody(b, body)
 			return fb.ResultItemEnd(b)
 		}),
-		encodeRelays(b, m.Relays),
+		encodeRelays(b, m.RelayTable),
 	}
 }
 
@@ -148,30 +148,30 @@
 // decodeRelay reads what a message holds for relaying.
 func (m *Msg) decodeRelay(t *fb.Message) {
 	var report fb.ReportItem
-	for i := range bounded(t.RelayedLength()) {
+	for i := range checkVectorLength(t.RelayedLength()) {
 		t.Relayed(&report, i)
-		m.Relayed = append(m.Relayed, RelayedReport{copied(report.BodyBytes()), string(report.Machine()),
+		m.RelayedReports = append(m.RelayedReports, RelayedReport{copied(report.BodyBytes()), string(report.Machine()),
 			report.Session(), report.Seq(), report.Token(), report.Base()})
 	}
 	var answer fb.AnswerItem
-	for i := range bounded(t.AnswersLength()) {
+	for i := range checkVectorLength(t.AnswersLength()) {
 		t.Answers(&answer, i)
-		m.Answers = append(m.Answers, RelayedAnswer{int(answer.Code()), answer.Token(), copied(answer.BodyBytes())})
+		m.ReportAnswers = append(m.ReportAnswers, RelayedAnswer{int(answer.Code()), answer.Token(), copied(answer.BodyBytes())})
 	}
 	var order fb.OrderItem
-	for i := range bounded(t.OrdersLength()) {
+	for i := range checkVectorLength(t.OrdersLength()) {
 		t.Orders(&order, i)
 		m.Orders = append(m.Orders, Order{order.Id(), string(order.Addr()), copied(order.BodyBytes())})
 	}
 	var result fb.ResultItem
-	for i := range bounded(t.ResultsLength()) {
+	for i := range checkVectorLength(t.ResultsLength()) {
 		t.Results(&result, i)
-		m.Results = append(m.Results, OrderResult{result.Id(), result.Outcome(), copied(result.BodyBytes())})
+		m.OrderResults = append(m.OrderResults, OrderResult{result.Id(), result.Outcome(), copied(result.BodyBytes())})
 	}
 	if r := t.Relays(nil); r != nil {
-		m.Relays = &relay.Table{Term: r.Term(), Number: r.Number()}
-		for i := range bounded(r.MembersLength()) {
-			m.Relays.Members = append(m.Relays.Members, string(r.Members(i)))
+		m.RelayTable = &relay.Table{Term: r.Term(), Number: r.Number()}
+		for i := range checkVectorLength(r.MembersLength()) {
+			m.RelayTable.Members = append(m.RelayTable.Members, string(r.Members(i)))
 		}
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -21,31 +21,31 @@
 
 // Policy is the outcome of the program.
 type Policy struct {
-	Cycle         clock.Micros
-	Smoothing     float64
-	UseWindow     clock.Micros
-	FetchRate     float64
-	LeaderTTL     clock.Micros
-	Margin        clock.Micros
-	Idle          clock.Micros
-	BootFactor    float64
-	SilentReports float64
-	Headroom      float64
-	SickErrors    int
-	Refused       clock.Micros
-	SpotWait      clock.Micros
-	MovePeriod    clock.Micros
-	Emptying      float64
-	Patience      clock.Micros
-	Begin         clock.Micros
-	Admission     admit.Rules
-	Relay         Relay
+	MaxPassDelay        clock.Micros
+	Smoothing           float64
+	UsageWindow         clock.Micros
+	DefaultFetchRate    float64
+	LeaderTTL           clock.Micros
+	LeaseMargin         clock.Micros
+	IdleTimeout         clock.Micros
+	BootTimeoutFactor   float64
+	MaxMissedReports    float64
+	Headroom            float64
+	UnhealthyFailures   int
+	RentRetryDelay      clock.Micros
+	SpotWaitThreshold   clock.Micros
+	ReplicaMoveInterval clock.Micros
+	MaxDrainingShare    float64
+	ImageLocalityWindow clock.Micros
+	StartWaitLimit      clock.Micros
+	Admission           admit.Settings
+	Relay               Relay
 }
 
 // Relay says whether controllers that do not lead carry workers' connections.
 type Relay struct {
-	On      bool
-	Workers int // from so many on
+	Enabled    bool
+	MinWorkers int // from so many on
 }
 
 // Default returns the embedded policy.
@@ -89,38 +89,38 @@
 	}
 	r := reader{values: values, set: set}
 	p := &Policy{
-		Cycle:         r.seconds("cycle_s", 0.01, 60),
-		Smoothing:     r.number("smoothing", 0.01, 1),
-		UseWindow:     r.seconds("use_window_s", 1, 1e7),
-		FetchRate:     r.number("fetch_gb_per_s", 1e-4, 1e3),
-		LeaderTTL:     r.seconds("leader_ttl_s", 0.5, 60),
-		Margin:        r.seconds("margin_s", 0.1, 30),
-		Idle:          r.seconds("idle_s", 0, 1e5),
-		BootFactor:    r.number("boot_factor", 1, 100),
-		SilentReports: r.number("silent_reports", 2, 100),
-		Headroom:      r.number("headroom", 0, 100),
-		SickErrors:    int(r.number("sick_errors", 1, 100)),
-		Refused:       r.seconds("refused_s", 1, 3600),
-		SpotWait:      r.seconds("spot_wait_s", 0, 3600),
-		MovePeriod:    r.seconds("move_period_s", 1, 1e7),
-		Emptying:      r.number("emptying", 0, 1),
-		Patience:      r.seconds("patience_s", 0, 1e6),
-		Begin:         r.seconds("begin_s", 0, 1e6),
-		Admission: admit.Rules{
-			On:     r.truth("admission"),
-			Serve:  r.number("serve", 0, 1),
-			Serves: r.table("class_serve", 0, 1),
-			Answer: r.seconds("answer_s", 0.01, 4),
-			Begins: r.seconds("overload_s", 0, 1e6),
+		MaxPassDelay:        r.seconds("cycle_s", 0.01, 60),
+		Smoothing:           r.number("smoothing", 0.01, 1),
+		UsageWindow:         r.seconds("use_window_s", 1, 1e7),
+		DefaultFetchRate:    r.number("fetch_gb_per_s", 1e-4, 1e3),
+		LeaderTTL:           r.seconds("leader_ttl_s", 0.5, 60),
+		LeaseMargin:         r.seconds("margin_s", 0.1, 30),
+		IdleTimeout:         r.seconds("idle_s", 0, 1e5),
+		BootTimeoutFactor:   r.number("boot_factor", 1, 100),
+		MaxMissedReports:    r.number("silent_reports", 2, 100),
+		Headroom:            r.number("headroom", 0, 100),
+		UnhealthyFailures:   int(r.number("sick_errors", 1, 100)),
+		RentRetryDelay:      r.seconds("refused_s", 1, 3600),
+		SpotWaitThreshold:   r.seconds("spot_wait_s", 0, 3600),
+		ReplicaMoveInterval: r.seconds("move_period_s", 1, 1e7),
+		MaxDrainingShare:    r.number("emptying", 0, 1),
+		ImageLocalityWindow: r.seconds("patience_s", 0, 1e6),
+		StartWaitLimit:      r.seconds("begin_s", 0, 1e6),
+		Admission: admit.Settings{
+			Enabled:              r.boolean("admission"),
+			MinServedShare:       r.number("serve", 0, 1),
+			ClassMinServedShares: r.table("class_serve", 0, 1),
+			MaxQueueWait:         r.seconds("answer_s", 0.01, 4),
+			OverloadBacklog:      r.seconds("overload_s", 0, 1e6),
 		},
-		Relay: Relay{On: r.truth("relay"), Workers: int(r.number("relay_workers", 1, 1e6))},
+		Relay: Relay{Enabled: r.boolean("relay"), MinWorkers: int(r.number("relay_workers", 1, 1e6))},
 	}
 	return p, r.err
 }
 
 // Check compares what the policy says of classes with those that the settings name.
-func (p *Policy) Check(classes []string) error {
-	for _, class := range slices.Sorted(maps.Keys(p.Admission.Serves)) {
+func (p *Policy) CheckClasses(classes []string) error {
+	for _, class := range slices.Sorted(maps.Keys(p.Admission.ClassMinServedShares)) {
 		if !slices.Contains(classes, class) {
 			return fmt.Errorf("policy: class_serve: no objective in the settings names the class %q", class)
 		}
@@ -164,7 +164,7 @@
 	return clock.FromSeconds(r.number(name, min, max))
 }
 
-func (r *reader) truth(name string) bool {
+func (r *reader) boolean(name string) bool {
 	v, ok := r.values[name].(starlark.Bool)
 	if !ok {
 		r.refuse(name, "%v is neither True nor False", r.values[name])
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -12,7 +12,7 @@
 		t.Fatalf("%+v", p)
 	}
 	p, err := Parse(Program{"site.star", "_base = 20\nidle_s = _base * 2 + 5\ndef unused(x):\n    return x\n"})
-	if err != nil || p.Idle != 45*clock.Second {
+	if err != nil || p.IdleTimeout != 45*clock.Second {
 		t.Fatalf("%+v, %v", p, err)
 	}
 	for program, want := range map[string]string{
@@ -33,13 +33,13 @@
 		}
 	}
 	p, err = Parse(Program{"deploy/admission.star", "admission = True"}, Program{"site.star", "class_serve = {'a': 0.7}"})
-	if err != nil || !p.Admission.On || p.Admission.Serves["a"] != 0.7 {
+	if err != nil || !p.Admission.Enabled || p.Admission.ClassMinServedShares["a"] != 0.7 {
 		t.Fatalf("%+v, %v", p, err)
 	}
-	if err := p.Check([]string{"a"}); err != nil {
+	if err := p.CheckClasses([]string{"a"}); err != nil {
 		t.Error(err)
 	}
-	if err := p.Check([]string{"b"}); err == nil || !strings.Contains(err.Error(), "class_serve") {
+	if err := p.CheckClasses([]string{"b"}); err == nil || !strings.Contains(err.Error(), "class_serve") {
 		t.Errorf("an unknown class: %v", err)
 	}
 }
--- a/internal/quota/amounts.go
+++ b/internal/quota/amounts.go
@@ -11,7 +11,7 @@
 
 // Amounts are resources: thousandths of a CPU, thousandths of an accelerator,
 // and bytes.
-type Amounts struct {
+type Resources struct {
 	CPUs   int64 `msgpack:"c"`
 	GPUs   int64 `msgpack:"g,omitempty"`
 	Memory int64 `msgpack:"m"`
@@ -22,14 +22,14 @@
 
 // Most is the largest amount that a node may be given: sums of as many nodes as a
 // tree may have stay far below an overflow.
-const Most = int64(1) << 50
+const MaxAmount = int64(1) << 50
 
 // resources is how many resources there are; at numbers them.
-const resources = 3
+const numResources = 3
 
-var names = [resources]string{"cpus", "gpus", "memory"}
+var resourceNames = [numResources]string{"cpus", "gpus", "memory"}
 
-func (a *Amounts) at(i int) *int64 {
+func (a *Resources) component(i int) *int64 {
 	switch i {
 	case 0:
 		return &a.CPUs
@@ -41,14 +41,14 @@
 }
 
 // each makes amounts resource by resource.
-func each(f func(i int) int64) Amounts {
-	return Amounts{f(0), f(1), f(2)}
+func perResource(f func(i int) int64) Resources {
+	return Resources{f(0), f(1), f(2)}
 }
 
 // Plus and Minus move amounts between sums. What is unlimited stays so.
-func (a Amounts) Plus(b Amounts) Amounts {
-	return each(func(i int) int64 {
-		x, y := *a.at(i), *b.at(i)
+func (a Resources) Add(b Resources) Resources {
+	return perResource(func(i int) int64 {
+		x, y := *a.component(i), *b.component(i)
 		if x == Unlimited || y == Unlimited || x > Unlimited-y {
 			return Unlimited
 		}
@@ -57,34 +57,34 @@
 }
 
 // Minus takes b away.
-func (a Amounts) Minus(b Amounts) Amounts {
-	return each(func(i int) int64 {
-		if *a.at(i) == Unlimited {
+func (a Resources) Sub(b Resources) Resources {
+	return perResource(func(i int) int64 {
+		if *a.component(i) == Unlimited {
 			return Unlimited
 		}
-		return *a.at(i) - *b.at(i)
+		return *a.component(i) - *b.component(i)
 	})
 }
 
 // Within reports whether no resource is above that of b.
-func (a Amounts) Within(b Amounts) bool {
+func (a Resources) Within(b Resources) bool {
 	return a.CPUs <= b.CPUs && a.GPUs <= b.GPUs && a.Memory <= b.Memory
 }
 
 // IsZero reports whether there is nothing.
-func (a Amounts) IsZero() bool { return a == Amounts{} }
+func (a Resources) IsZero() bool { return a == Resources{} }
 
 // least and most are taken resource by resource.
-func least(a, b Amounts) Amounts {
-	return each(func(i int) int64 { return min(*a.at(i), *b.at(i)) })
+func minResources(a, b Resources) Resources {
+	return perResource(func(i int) int64 { return min(*a.component(i), *b.component(i)) })
 }
 
-func most(a, b Amounts) Amounts {
-	return each(func(i int) int64 { return max(*a.at(i), *b.at(i)) })
+func maxResources(a, b Resources) Resources {
+	return perResource(func(i int) int64 { return max(*a.component(i), *b.component(i)) })
 }
 
 // share is whole*part/of, rounded down, for 0 <= part <= of.
-func share(whole, part, of int64) int64 {
+func mulDiv(whole, part, of int64) int64 {
 	if of == 0 {
 		return 0
 	}
@@ -95,19 +95,19 @@
 
 // compareShares compares a/b with c/d, for amounts that are not negative and weights
 // above 0.
-func compareShares(a, b, c, d int64) int {
+func compareRatios(a, b, c, d int64) int {
 	h1, l1 := bits.Mul64(uint64(a), uint64(d))
 	h2, l2 := bits.Mul64(uint64(c), uint64(b))
 	return cmp.Or(cmp.Compare(h1, h2), cmp.Compare(l1, l2))
 }
 
 // check reports amounts that no node may have.
-func (a Amounts) check(field string, unlimited bool) error {
-	for i, name := range names {
-		switch x := *a.at(i); {
+func (a Resources) check(field string, unlimited bool) error {
+	for i, name := range resourceNames {
+		switch x := *a.component(i); {
 		case x == Unlimited && unlimited:
-		case x < 0 || x > Most:
-			return fmt.Errorf("%s.%s: %d is not between 0 and %d", field, name, x, Most)
+		case x < 0 || x > MaxAmount:
+			return fmt.Errorf("%s.%s: %d is not between 0 and %d", field, name, x, MaxAmount)
 		}
 	}
 	return nil
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -17,46 +17,46 @@
 // Change is what an operator asks for. ID names it for ever: a change that is
 // repeated lands once. Version is that of the tree which the operator saw.
 type Change struct {
-	ID        string   `msgpack:"id"`
-	Version   uint64   `msgpack:"version"`
-	Op        string   `msgpack:"op"`
-	Name      string   `msgpack:"name"`
-	Parent    string   `msgpack:"parent,omitempty"`    // add, move
-	Guarantee *Amounts `msgpack:"guarantee,omitempty"` // add, grant, shrink
-	Limit     *Amounts `msgpack:"limit,omitempty"`     // add, grant, shrink
-	Weight    int64    `msgpack:"weight,omitempty"`    // add, grant, shrink; 0: as it is, or 1
-	Team      string   `msgpack:"team,omitempty"`      // add
-	Classes   []string `msgpack:"classes,omitempty"`   // add
+	ID        string     `msgpack:"id"`
+	Version   uint64     `msgpack:"version"`
+	Op        string     `msgpack:"op"`
+	Name      string     `msgpack:"name"`
+	Parent    string     `msgpack:"parent,omitempty"`    // add, move
+	Guarantee *Resources `msgpack:"guarantee,omitempty"` // add, grant, shrink
+	Limit     *Resources `msgpack:"limit,omitempty"`     // add, grant, shrink
+	Weight    int64      `msgpack:"weight,omitempty"`    // add, grant, shrink; 0: as it is, or 1
+	Team      string     `msgpack:"team,omitempty"`      // add
+	Classes   []string   `msgpack:"classes,omitempty"`   // add
 }
 
 // Refusal says why a change is not made.
 type Refusal struct {
 	Malformed bool // not a change at all, whatever the tree
 	Stale     bool // made for another version
-	Why       string
+	Reason    string
 }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *Refusal) Error() string { return r.Reason }
 
 func malformed(format string, args ...any) *Refusal {
-	return &Refusal{Malformed: true, Why: fmt.Sprintf("quota: change."+format, args...)}
+	return &Refusal{Malformed: true, Reason: fmt.Sprintf("quota: change."+format, args...)}
 }
 
-func refused(err error) *Refusal { return &Refusal{Why: err.Error()} }
+func refused(err error) *Refusal { return &Refusal{Reason: err.Error()} }
 
 // recent is how many changes are remembered by their ids: what is older is stale
 // by its version anyway, since each change raises that by one.
 const recent = 64
 
 // Book is a tree with its version and the changes that made it.
-type Book struct {
+type VersionedTree struct {
 	Tree    *Tree
 	Version uint64
-	Landed  []Landed // the latest last
+	Applied []AppliedChange // the latest last
 }
 
 // Landed is a change that was made.
-type Landed struct {
+type AppliedChange struct {
 	ID      string `msgpack:"id"`
 	Version uint64 `msgpack:"v"` // that it made
 }
@@ -65,24 +65,24 @@
 // change made, also when it had landed before. No spec but that of the node it names
 // differs then. The book is a new one, and the old one stays as it was, so that what is
 // not committed need not be taken back.
-func (b *Book) Decide(c *Change) (next *Book, version uint64, err *Refusal) {
+func (b *VersionedTree) Apply(c *Change) (next *VersionedTree, version uint64, err *Refusal) {
 	if err := c.check(); err != nil {
 		return nil, 0, err
 	}
-	for _, l := range b.Landed {
+	for _, l := range b.Applied {
 		if l.ID == c.ID {
 			return b, l.Version, nil
 		}
 	}
 	if c.Version != b.Version {
-		return nil, 0, &Refusal{Stale: true, Why: fmt.Sprintf("quota: change.version: %d is not the present %d", c.Version, b.Version)}
+		return nil, 0, &Refusal{Stale: true, Reason: fmt.Sprintf("quota: change.version: %d is not the present %d", c.Version, b.Version)}
 	}
 	tree, err := b.Tree.apply(c)
 	if err != nil {
 		return nil, 0, err
 	}
-	next = &Book{Tree: tree, Version: b.Version + 1}
-	next.Landed = append(slices.Clone(b.Landed[max(len(b.Landed)-recent+1, 0):]), Landed{c.ID, next.Version})
+	next = &VersionedTree{Tree: tree, Version: b.Version + 1}
+	next.Applied = append(slices.Clone(b.Applied[max(len(b.Applied)-recent+1, 0):]), AppliedChange{c.ID, next.Version})
 	return next, next.Version, nil
 }
 
@@ -124,26 +124,26 @@
 	}
 	at := slices.IndexFunc(specs, func(s Spec) bool { return s.Name == c.Name })
 	if at < 0 && c.Op != OpAdd {
-		return nil, refused(fault(c.Name, "name: there is no such node"))
+		return nil, refused(nodeError(c.Name, "name: there is no such node"))
 	}
 	switch c.Op {
 	case OpGrant, OpShrink:
 		s := &specs[at]
 		for _, f := range []struct {
 			name    string
-			to, old *Amounts
+			to, old *Resources
 		}{{"guarantee", c.Guarantee, &s.Guarantee}, {"limit", c.Limit, &s.Limit}} {
 			if f.to == nil {
 				continue
 			}
 			less, more := f.to.Within(*f.old), f.old.Within(*f.to)
 			if c.Op == OpGrant && !more || c.Op == OpShrink && !less {
-				return nil, refused(fault(c.Name, "%s: a %s can't set %v to %v", f.name, c.Op, *f.old, *f.to))
+				return nil, refused(nodeError(c.Name, "%s: a %s can't set %v to %v", f.name, c.Op, *f.old, *f.to))
 			}
 			*f.old = *f.to
 		}
 		if c.Op == OpShrink && c.Limit != nil && c.Guarantee == nil {
-			s.Guarantee = least(s.Guarantee, s.Limit) // nobody is guaranteed more than the limit
+			s.Guarantee = minResources(s.Guarantee, s.Limit) // nobody is guaranteed more than the limit
 		}
 		if c.Weight != 0 {
 			s.Weight = c.Weight
@@ -154,10 +154,10 @@
 	case OpRemove:
 		n := t.nodes[c.Name]
 		if len(n.children) > 0 {
-			return nil, refused(fault(c.Name, "name: has children"))
+			return nil, refused(nodeError(c.Name, "name: has children"))
 		}
 		if !n.held.IsZero() {
-			return nil, refused(fault(c.Name, "name: holds %v; shrink it to nothing first", n.held))
+			return nil, refused(nodeError(c.Name, "name: holds %v; shrink it to nothing first", n.held))
 		}
 		specs = slices.Delete(specs, at, at+1)
 	case OpMove:
@@ -169,8 +169,8 @@
 	}
 	for _, n := range t.order {
 		if m := next.nodes[n.Name]; m != nil && len(n.children) == 0 && len(m.children) == 0 {
-			next.Take(m, n.held)
-			next.Want(m, n.wanted)
+			next.Acquire(m, n.held)
+			next.SetDemand(m, n.demand)
 		}
 	}
 	if err := next.follows(t, c); err != nil {
@@ -189,15 +189,15 @@
 			continue
 		}
 		if !over.IsZero() {
-			return fault(n.Name, "guarantee: its children would have %v more than it", over)
+			return nodeError(n.Name, "guarantee: its children would have %v more than it", over)
 		}
 	}
 	if c.Op != OpMove && c.Op != OpAdd {
 		return nil
 	}
 	for n := t.nodes[c.Name].parent; n != nil; n = n.parent {
-		if old := before.nodes[n.Name]; n.held != old.held && !n.held.Within(most(n.Limit, old.held)) {
-			return fault(n.Name, "limit: %v held by %s do not fit", t.nodes[c.Name].held, c.Name)
+		if old := before.nodes[n.Name]; n.held != old.held && !n.held.Within(maxResources(n.Limit, old.held)) {
+			return nodeError(n.Name, "limit: %v held by %s do not fit", t.nodes[c.Name].held, c.Name)
 		}
 	}
 	return nil
--- a/internal/quota/divide.go
+++ b/internal/quota/divide.go
@@ -7,10 +7,10 @@
 
 // Ask is one side's wish when something is divided: machines' CPUs among teams and
 // classes, or changes of the state service among nodes.
-type Ask struct {
-	Want   int64 // takes no more than this
-	Floor  int64 // is given this much first, as far as it is wanted
-	Weight int64 // its part of what is left; below 1 counts as 1
+type Request struct {
+	Demand  int64 // takes no more than this
+	Minimum int64 // is given this much first, as far as it is wanted
+	Weight  int64 // its part of what is left; below 1 counts as 1
 }
 
 // Divide shares a total out by weighted max-min: floors first, in proportion if
@@ -18,18 +18,18 @@
 // weight until he has what he wants. No part exceeds its want, the parts together
 // are the smaller of the total and all wants, and what one side leaves the others
 // get. Amounts below 0 count as 0.
-func Divide(total int64, asks []Ask) []int64 {
+func Divide(total int64, asks []Request) []int64 {
 	parts := make([]int64, len(asks))
 	var floors, wants uint64
 	for i := range asks {
-		parts[i] = min(max(asks[i].Floor, 0), max(asks[i].Want, 0))
+		parts[i] = min(max(asks[i].Minimum, 0), max(asks[i].Demand, 0))
 		floors += uint64(parts[i])
-		wants = sumOf(wants, uint64(max(asks[i].Want, 0)))
+		wants = sumOf(wants, uint64(max(asks[i].Demand, 0)))
 	}
 	total = max(total, 0)
 	if wants <= uint64(total) {
 		for i := range asks {
-			parts[i] = max(asks[i].Want, 0)
+			parts[i] = max(asks[i].Demand, 0)
 		}
 		return parts
 	}
@@ -53,15 +53,15 @@
 		weights += weight(asks[i])
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return compareShares(max(asks[a].Want-parts[a], 0), weight(asks[a]), max(asks[b].Want-parts[b], 0), weight(asks[b]))
+		return compareRatios(max(asks[a].Demand-parts[a], 0), weight(asks[a]), max(asks[b].Demand-parts[b], 0), weight(asks[b]))
 	})
 	left := total - int64(floors)
 	for n, i := range order {
 		w := weight(asks[i])
-		if more := max(asks[i].Want-parts[i], 0); compareShares(more, w, left, weights) > 0 {
+		if more := max(asks[i].Demand-parts[i], 0); compareRatios(more, w, left, weights) > 0 {
 			rest := left
 			for _, k := range order[n:] {
-				got := share(left, weight(asks[k]), weights)
+				got := mulDiv(left, weight(asks[k]), weights)
 				parts[k] += got
 				rest -= got
 			}
@@ -77,19 +77,19 @@
 }
 
 // spread hands out the few units that rounding left.
-func spread(parts []int64, asks []Ask, left int64) {
+func spread(parts []int64, asks []Request, left int64) {
 	for i := 0; left > 0 && i < len(parts); i++ {
-		if parts[i] < asks[i].Want {
+		if parts[i] < asks[i].Demand {
 			parts[i]++
 			left--
 		}
 	}
 }
 
-func weight(a Ask) int64 { return min(max(a.Weight, 1), MaxAskWeight) }
+func weight(a Request) int64 { return min(max(a.Weight, 1), MaxRequestWeight) }
 
 // MaxAskWeight bounds a weight so that the sum over many asks is no overflow.
-const MaxAskWeight = int64(1) << 40
+const MaxRequestWeight = int64(1) << 40
 
 func sumOf(a, b uint64) uint64 {
 	if s, over := bits.Add64(a, b, 0); over == 0 {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -21,20 +21,20 @@
 	os.Exit(m.Run())
 }
 
-func cpus(n int64) Amounts { return Amounts{CPUs: n} }
+func cpus(n int64) Resources { return Resources{CPUs: n} }
 
 // model plays a tree against a plain account of it: what each leaf holds as a list
 // of tasks, and the limits in force as the note defines them, lowered step by step.
 type model struct {
 	t     *rapid.T
-	book  *Book
-	tasks map[string][]Amounts // by leaf
-	force map[string]Amounts
+	book  *VersionedTree
+	tasks map[string][]Resources // by leaf
+	force map[string]Resources
 	next  int
 }
 
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, tasks: map[string][]Amounts{}, force: map[string]Amounts{}}
+	m := &model{t: t, tasks: map[string][]Resources{}, force: map[string]Resources{}}
 	var specs []Spec
 	n := rapid.IntRange(1, 12).Draw(t, "nodes")
 	for i := range n {
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.book = &Book{Tree: tree, Version: 1}
+	m.book = &VersionedTree{Tree: tree, Version: 1}
 	for _, n := range tree.Nodes() {
 		m.force[n.Name] = n.Limit
 	}
@@ -79,11 +79,11 @@
 	return rapid.SampledFrom(leaves).Draw(m.t, "leaf")
 }
 
-func (m *model) start(n *Node, need Amounts) bool {
+func (m *model) start(n *Node, need Resources) bool {
 	if !m.book.Tree.Allows(n, need) {
 		return false
 	}
-	m.book.Tree.Take(n, need)
+	m.book.Tree.Acquire(n, need)
 	m.tasks[n.Name] = append(m.tasks[n.Name], need)
 	return true
 }
@@ -91,17 +91,17 @@
 func (m *model) end(n *Node, i int) {
 	need := m.tasks[n.Name][i]
 	m.tasks[n.Name] = append(m.tasks[n.Name][:i:i], m.tasks[n.Name][i+1:]...)
-	m.book.Tree.Give(n, need)
+	m.book.Tree.Release(n, need)
 }
 
 // held adds up what a subtree's tasks hold, from the account alone.
-func (m *model) held(n *Node) Amounts {
-	var sum Amounts
+func (m *model) held(n *Node) Resources {
+	var sum Resources
 	for _, need := range m.tasks[n.Name] {
-		sum = sum.Plus(need)
+		sum = sum.Add(need)
 	}
 	for _, c := range n.children {
-		sum = sum.Plus(m.held(c))
+		sum = sum.Add(m.held(c))
 	}
 	return sum
 }
@@ -119,17 +119,17 @@
 		}
 		// The limit in force rises with the one that is set, and falls to it only as
 		// tasks are proven gone.
-		force = most(n.Limit, least(force, held))
+		force = maxResources(n.Limit, minResources(force, held))
 		if !held.Within(force) {
 			m.t.Fatalf("%s holds %v, in force is %v", n.Name, held, force)
 		}
-		if force != n.InForce() {
-			m.t.Fatalf("%s: in force is %v by the account, %v by the tree", n.Name, force, n.InForce())
+		if force != n.EffectiveLimit() {
+			m.t.Fatalf("%s: in force is %v by the account, %v by the tree", n.Name, force, n.EffectiveLimit())
 		}
 		m.force[n.Name] = force
-		var claims Amounts
+		var claims Resources
 		for _, c := range n.children {
-			claims = claims.Plus(c.claim)
+			claims = claims.Add(c.claim)
 		}
 		if len(n.children) > 0 && claims != n.claim {
 			m.t.Fatalf("%s: claims %v, its children's are %v", n.Name, n.claim, claims)
@@ -139,10 +139,10 @@
 
 // starts tries a start. It must fit the limits in force as they are when the step
 // begins, not as it makes them.
-func (m *model) starts(n *Node, need Amounts) {
-	limits := map[string]Amounts{}
+func (m *model) starts(n *Node, need Resources) {
+	limits := map[string]Resources{}
 	for a := n; a != nil; a = a.parent {
-		limits[a.Name] = most(m.force[a.Name], a.Limit)
+		limits[a.Name] = maxResources(m.force[a.Name], a.Limit)
 		if !a.Held().Within(a.Limit) {
 			limits[a.Name] = a.Held() // nothing new above what is set
 		}
@@ -181,7 +181,7 @@
 	case OpMove:
 		c.Parent = rapid.SampledFrom(tree.Nodes()).Draw(t, "parent").Name
 	}
-	next, version, err := m.book.Decide(c)
+	next, version, err := m.book.Apply(c)
 	if err != nil {
 		return
 	}
@@ -189,12 +189,12 @@
 		t.Fatalf("version %d after %d", version, m.book.Version)
 	}
 	m.book = next
-	if _, again, err := next.Decide(c); err != nil || again != version {
+	if _, again, err := next.Apply(c); err != nil || again != version {
 		t.Fatalf("a repeated change: version %d, %v", again, err)
 	}
 	stale := *c
 	stale.ID += "x"
-	if _, _, err := next.Decide(&stale); err == nil || !err.Stale {
+	if _, _, err := next.Apply(&stale); err == nil || !err.Stale {
 		t.Fatalf("a stale change: %v", err)
 	}
 }
@@ -212,10 +212,10 @@
 	}
 	for name, tasks := range m.tasks {
 		for _, need := range tasks {
-			tree.Take(tree.Node(name), need)
+			tree.Acquire(tree.Node(name), need)
 		}
 	}
-	m.book = &Book{Tree: tree, Version: m.book.Version, Landed: m.book.Landed}
+	m.book = &VersionedTree{Tree: tree, Version: m.book.Version, Applied: m.book.Applied}
 }
 
 // TestBound plays random trees with random starts, ends, waves of lost machines,
@@ -244,7 +244,7 @@
 			},
 			"want": func(t *rapid.T) {
 				m.t = t
-				m.book.Tree.Want(m.leaf(), cpus(rapid.Int64Range(0, 30).Draw(t, "want")))
+				m.book.Tree.SetDemand(m.leaf(), cpus(rapid.Int64Range(0, 30).Draw(t, "want")))
 			},
 			"change":   func(t *rapid.T) { m.t = t; m.change() },
 			"takeover": func(t *rapid.T) { m.t = t; m.takeover() },
@@ -279,10 +279,10 @@
 		}
 		m.fill(others...)
 		want := rapid.Int64Range(0, 40).Draw(t, "want")
-		m.book.Tree.Want(asks, cpus(want))
+		m.book.Tree.SetDemand(asks, cpus(want))
 		claim := asks.claim.CPUs
 		for round := 0; asks.Held().CPUs < claim; round++ {
-			dues := m.book.Tree.Dues()
+			dues := m.book.Tree.Reclaims()
 			if round > 50 {
 				if name, ok := roof(asks); ok {
 					t.Fatalf("%s claims %v and has %v after %d rounds; below %s is lent share, due %v", asks.Name, claim, asks.Held(), round, name, dues)
@@ -290,10 +290,10 @@
 				return // the limits above are too low for what is guaranteed below
 			}
 			for _, d := range dues {
-				if d.Shrink || d.For != asks || d.Leaf == asks {
-					t.Fatalf("due of %s for %v, shrink %v", d.Leaf.Name, d.For, d.Shrink)
+				if d.OverLimit || d.Claimant != asks || d.Leaf == asks {
+					t.Fatalf("due of %s for %v, shrink %v", d.Leaf.Name, d.Claimant, d.OverLimit)
 				}
-				if left := d.Leaf.Held().Minus(d.Amount); left.CPUs < d.Leaf.Entitled().CPUs {
+				if left := d.Leaf.Held().Sub(d.Amount); left.CPUs < d.Leaf.Entitled().CPUs {
 					t.Fatalf("%s is to give back %v of %v, though entitled to %v", d.Leaf.Name, d.Amount, d.Leaf.Held(), d.Leaf.Entitled())
 				}
 				for range d.Amount.CPUs {
@@ -302,12 +302,12 @@
 			}
 			m.fill(others...) // borrowers try again
 			for asks.Held().CPUs < claim && m.start(asks, cpus(1)) {
-				m.book.Tree.Want(asks, cpus(want-asks.Held().CPUs))
+				m.book.Tree.SetDemand(asks, cpus(want-asks.Held().CPUs))
 				m.fill(others...)
 			}
 		}
-		m.book.Tree.Want(asks, Amounts{})
-		if dues := m.book.Tree.Dues(); len(dues) > 0 {
+		m.book.Tree.SetDemand(asks, Resources{})
+		if dues := m.book.Tree.Reclaims(); len(dues) > 0 {
 			t.Fatalf("still due: %v of %s", dues[0].Amount, dues[0].Leaf.Name)
 		}
 	})
@@ -364,7 +364,7 @@
 		"office.parent: north is below itself":                 func(s []Spec) []Spec { s[0].Parent = "north"; return s },
 		"north.guarantee.cpus: 101 is above the limit":         func(s []Spec) []Spec { s[1].Guarantee.CPUs = 101; return s },
 		"south.limit.memory: -1 is not between":                func(s []Spec) []Spec { s[4].Limit.Memory = -1; return s },
-		"south.guarantee.gpus":                                 func(s []Spec) []Spec { s[4].Guarantee.GPUs = Most + 1; return s },
+		"south.guarantee.gpus":                                 func(s []Spec) []Spec { s[4].Guarantee.GPUs = MaxAmount + 1; return s },
 		"south.weight: 0":                                      func(s []Spec) []Spec { s[4].Weight = 0; return s },
 		"south.team: media is bound to transcode":              func(s []Spec) []Spec { s[4].Team = "media"; return s },
 		"south.classes: hall of team media is bound to ingest": func(s []Spec) []Spec { s[4].Team, s[4].Classes = "media", []string{"hall"}; return s },
@@ -385,8 +385,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := &Book{Tree: tree, Version: 7}
-	tree.Take(tree.Node("south"), cpus(30))
+	book := &VersionedTree{Tree: tree, Version: 7}
+	tree.Acquire(tree.Node("south"), cpus(30))
 	few, lots := cpus(10), cpus(90)
 	for want, c := range map[string]Change{
 		"change.id":                         {Version: 7, Op: OpRemove, Name: "south"},
@@ -403,7 +403,7 @@
 		"change.limit: a new node needs":    {ID: "1", Version: 7, Op: OpAdd, Name: "east"},
 		"north.guarantee: its children wou": {ID: "1", Version: 7, Op: OpMove, Name: "south", Parent: "north"},
 	} {
-		if _, _, err := book.Decide(&c); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := book.Apply(&c); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
@@ -423,33 +423,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := &Book{Tree: tree, Version: 1}
-	tree.Take(tree.Node("south"), cpus(40))
-	tree.Take(tree.Node("transcode"), cpus(50))
-	tree.Take(tree.Node("ingest"), cpus(10))
+	book := &VersionedTree{Tree: tree, Version: 1}
+	tree.Acquire(tree.Node("south"), cpus(40))
+	tree.Acquire(tree.Node("transcode"), cpus(50))
+	tree.Acquire(tree.Node("ingest"), cpus(10))
 	half := cpus(50)
-	book, _, refusal := book.Decide(&Change{ID: "1", Version: 1, Op: OpShrink, Name: "office", Limit: &half})
+	book, _, refusal := book.Apply(&Change{ID: "1", Version: 1, Op: OpShrink, Name: "office", Limit: &half})
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
 	tree = book.Tree
 	office, north, south := tree.Node("office"), tree.Node("north"), tree.Node("south")
-	if office.InForce() != cpus(100) || office.Guarantee != half || north.Entitled() != cpus(30) || south.Entitled() != cpus(20) {
-		t.Errorf("in force %v, guaranteed %v, entitled %v and %v", office.InForce(), office.Guarantee, north.Entitled(), south.Entitled())
+	if office.EffectiveLimit() != cpus(100) || office.Guarantee != half || north.Entitled() != cpus(30) || south.Entitled() != cpus(20) {
+		t.Errorf("in force %v, guaranteed %v, entitled %v and %v", office.EffectiveLimit(), office.Guarantee, north.Entitled(), south.Entitled())
 	}
-	if err := tree.Divided(); err == nil || !strings.Contains(err.Error(), "office.guarantee") {
+	if err := tree.CheckOvercommit(); err == nil || !strings.Contains(err.Error(), "office.guarantee") {
 		t.Errorf("the office has guaranteed more than it holds: %v", err)
 	}
-	if name, ok := tree.Possible(north, cpus(51)); ok || name != "office" {
+	if name, ok := tree.FitsLimits(north, cpus(51)); ok || name != "office" {
 		t.Errorf("51 CPUs below an office of 50: %s %v", name, ok)
 	}
-	if _, ok := tree.Possible(north, half); !ok {
+	if _, ok := tree.FitsLimits(north, half); !ok {
 		t.Error("50 CPUs do not fit an office of 50, though it is only full now")
 	}
 	due := map[string]int64{}
-	for _, d := range tree.Dues() {
-		if due[d.Leaf.Name] += d.Amount.CPUs; !d.Shrink {
-			t.Errorf("%s is to give back for %s", d.Leaf.Name, d.For.Name)
+	for _, d := range tree.Reclaims() {
+		if due[d.Leaf.Name] += d.Amount.CPUs; !d.OverLimit {
+			t.Errorf("%s is to give back for %s", d.Leaf.Name, d.Claimant.Name)
 		}
 	}
 	// Beyond their entitlements, 30 and 20: north by 30, all of it transcode's, south
@@ -461,10 +461,10 @@
 		if tree.Allows(tree.Node("ingest"), cpus(1)) {
 			t.Error("a start while the tree holds more than its limit")
 		}
-		tree.Give(tree.Node(name), cpus(n))
+		tree.Release(tree.Node(name), cpus(n))
 	}
-	if office.InForce() != half || len(tree.Dues()) > 0 {
-		t.Errorf("in force %v, due %v", office.InForce(), tree.Dues())
+	if office.EffectiveLimit() != half || len(tree.Reclaims()) > 0 {
+		t.Errorf("in force %v, due %v", office.EffectiveLimit(), tree.Reclaims())
 	}
 }
 
@@ -485,14 +485,14 @@
 	for {
 		first := leaves[0]
 		for _, n := range leaves[1:] {
-			if tree.Before(n, first) < 0 {
+			if tree.CompareBorrowed(n, first) < 0 {
 				first = n
 			}
 		}
 		if !tree.Allows(first, cpus(1)) {
 			break
 		}
-		tree.Take(first, cpus(1))
+		tree.Acquire(first, cpus(1))
 	}
 	a, a1, b := tree.Node("a").Held().CPUs, tree.Node("a1").Held().CPUs, tree.Node("b").Held().CPUs
 	if a != 75 || b != 25 || a1 < 37 || a1 > 38 {
@@ -522,8 +522,8 @@
 				leaf := leaves[i%len(leaves)]
 				i++
 				if tree.Allows(leaf, cpus(2)) {
-					tree.Take(leaf, cpus(2))
-					tree.Give(leaf, cpus(2))
+					tree.Acquire(leaf, cpus(2))
+					tree.Release(leaf, cpus(2))
 				}
 			}
 		})
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -8,13 +8,13 @@
 
 // Spec is what operators say of a node.
 type Spec struct {
-	Name      string   `msgpack:"n"`
-	Parent    string   `msgpack:"p,omitempty"` // empty at the top
-	Guarantee Amounts  `msgpack:"g"`           // what it may ask back from those that borrow it
-	Limit     Amounts  `msgpack:"l"`           // what its subtree never exceeds
-	Weight    int64    `msgpack:"w"`           // its part of what siblings lend
-	Team      string   `msgpack:"t,omitempty"` // of a leaf: whose jobs it holds
-	Classes   []string `msgpack:"k,omitempty"` // and only these classes of jobs, if any
+	Name      string    `msgpack:"n"`
+	Parent    string    `msgpack:"p,omitempty"` // empty at the top
+	Guarantee Resources `msgpack:"g"`           // what it may ask back from those that borrow it
+	Limit     Resources `msgpack:"l"`           // what its subtree never exceeds
+	Weight    int64     `msgpack:"w"`           // its part of what siblings lend
+	Team      string    `msgpack:"t,omitempty"` // of a leaf: whose jobs it holds
+	Classes   []string  `msgpack:"k,omitempty"` // and only these classes of jobs, if any
 }
 
 // Bounds of a tree.
@@ -33,21 +33,21 @@
 	children []*Node
 	depth    int
 
-	held   Amounts // by the tasks of its subtree whose absence is not proven
-	entl   Amounts // what its guarantee is worth: see entitle
-	wanted Amounts // of a leaf: what its waiting tasks need
-	claim  Amounts // what its leaves are entitled to, wait for, and do not hold
+	held     Resources // by the tasks of its subtree whose absence is not proven
+	entitled Resources // what its guarantee is worth: see entitle
+	demand   Resources // of a leaf: what its waiting tasks need
+	claim    Resources // what its leaves are entitled to, wait for, and do not hold
 }
 
 // Held is what the subtree's tasks hold.
-func (n *Node) Held() Amounts { return n.held }
+func (n *Node) Held() Resources { return n.held }
 
 // Entitled is what its guarantee is worth now.
-func (n *Node) Entitled() Amounts { return n.entl }
+func (n *Node) Entitled() Resources { return n.entitled }
 
 // InForce is the limit in force: the one that was set or, while a shrink has not
 // taken effect, what is held. Nothing starts above the limit set, so it only falls.
-func (n *Node) InForce() Amounts { return most(n.Limit, n.held) }
+func (n *Node) EffectiveLimit() Resources { return maxResources(n.Limit, n.held) }
 
 // Tree is a checked tree of organisations with what they hold. Several nodes may
 // stand at the top; above them nothing is bounded.
@@ -67,7 +67,7 @@
 // Leaf is the node that holds the jobs of a team and class: the one that names
 // the class or, failing that, the one of the team that names none. Nil means that
 // the tree does not bound such jobs.
-func (t *Tree) Leaf(team, class string) *Node {
+func (t *Tree) LeafFor(team, class string) *Node {
 	var rest *Node
 	for _, n := range t.byTeam[team] {
 		if len(n.Classes) == 0 {
@@ -80,7 +80,7 @@
 }
 
 // fault names the node and the field that are wrong.
-func fault(node, format string, args ...any) error {
+func nodeError(node, format string, args ...any) error {
 	return fmt.Errorf("quota: %s.%s", node, fmt.Sprintf(format, args...))
 }
 
@@ -97,7 +97,7 @@
 			return nil, err
 		}
 		if t.nodes[s.Name] != nil {
-			return nil, fault(s.Name, "name: stands for two nodes")
+			return nil, nodeError(s.Name, "name: stands for two nodes")
 		}
 		s.Classes = slices.Clone(s.Classes)
 		t.nodes[s.Name] = &Node{Spec: s}
@@ -109,10 +109,10 @@
 			continue
 		}
 		if n.parent = t.nodes[s.Parent]; n.parent == nil {
-			return nil, fault(s.Name, "parent: there is no node %q", s.Parent)
+			return nil, nodeError(s.Name, "parent: there is no node %q", s.Parent)
 		}
 		if n.parent.Team != "" {
-			return nil, fault(s.Name, "parent: %s holds the jobs of team %s and can't be divided", s.Parent, n.parent.Team)
+			return nil, nodeError(s.Name, "parent: %s holds the jobs of team %s and can't be divided", s.Parent, n.parent.Team)
 		}
 		n.parent.children = append(n.parent.children, n)
 	}
@@ -120,7 +120,7 @@
 	for i := 0; i < len(t.order); i++ {
 		n := t.order[i]
 		if n.depth >= MaxDepth {
-			return nil, fault(n.Name, "parent: more than %d levels deep", MaxDepth)
+			return nil, nodeError(n.Name, "parent: more than %d levels deep", MaxDepth)
 		}
 		slices.SortFunc(n.children, func(a, b *Node) int { return strings.Compare(a.Name, b.Name) })
 		for _, c := range n.children {
@@ -131,7 +131,7 @@
 	if len(t.order) < len(specs) { // the rest hangs on nothing but itself
 		for _, s := range specs {
 			if !slices.Contains(t.order, t.nodes[s.Name]) {
-				return nil, fault(s.Name, "parent: %s is below itself", s.Parent)
+				return nil, nodeError(s.Name, "parent: %s is below itself", s.Parent)
 			}
 		}
 	}
@@ -148,27 +148,27 @@
 	if s.Name == "" || len(s.Name) > MaxName || strings.ContainsFunc(s.Name, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("._-", r))
 	}) {
-		return fault(fmt.Sprintf("nodes[%d]", i), "name: %q is not 1 to %d letters, digits, dots, dashes or underscores", s.Name, MaxName)
+		return nodeError(fmt.Sprintf("nodes[%d]", i), "name: %q is not 1 to %d letters, digits, dots, dashes or underscores", s.Name, MaxName)
 	}
 	if err := s.Guarantee.check("guarantee", false); err != nil {
-		return fault(s.Name, "%v", err)
+		return nodeError(s.Name, "%v", err)
 	}
 	if err := s.Limit.check("limit", true); err != nil {
-		return fault(s.Name, "%v", err)
+		return nodeError(s.Name, "%v", err)
 	}
-	for i, name := range names {
-		if g, l := *s.Guarantee.at(i), *s.Limit.at(i); g > l {
-			return fault(s.Name, "guarantee.%s: %d is above the limit %d", name, g, l)
+	for i, name := range resourceNames {
+		if g, l := *s.Guarantee.component(i), *s.Limit.component(i); g > l {
+			return nodeError(s.Name, "guarantee.%s: %d is above the limit %d", name, g, l)
 		}
 	}
 	if s.Weight < 1 || s.Weight > MaxWeight {
-		return fault(s.Name, "weight: %d is not between 1 and %d", s.Weight, MaxWeight)
+		return nodeError(s.Name, "weight: %d is not between 1 and %d", s.Weight, MaxWeight)
 	}
 	if s.Team == "" && len(s.Classes) > 0 {
-		return fault(s.Name, "classes: without a team")
+		return nodeError(s.Name, "classes: without a team")
 	}
 	if len(s.Classes) > MaxClasses {
-		return fault(s.Name, "classes: %d are more than %d", len(s.Classes), MaxClasses)
+		return nodeError(s.Name, "classes: %d are more than %d", len(s.Classes), MaxClasses)
 	}
 	return nil
 }
@@ -180,16 +180,16 @@
 	}
 	for i, class := range n.Classes {
 		if class == "" || slices.Contains(n.Classes[:i], class) {
-			return fault(n.Name, "classes: %q is empty or stands there twice", class)
+			return nodeError(n.Name, "classes: %q is empty or stands there twice", class)
 		}
 	}
 	for _, o := range t.byTeam[n.Team] {
 		if len(n.Classes) == 0 && len(o.Classes) == 0 {
-			return fault(n.Name, "team: %s is bound to %s already", n.Team, o.Name)
+			return nodeError(n.Name, "team: %s is bound to %s already", n.Team, o.Name)
 		}
 		for _, class := range n.Classes {
 			if slices.Contains(o.Classes, class) {
-				return fault(n.Name, "classes: %s of team %s is bound to %s already", class, n.Team, o.Name)
+				return nodeError(n.Name, "classes: %s of team %s is bound to %s already", class, n.Team, o.Name)
 			}
 		}
 	}
@@ -199,25 +199,25 @@
 
 // Divided reports the first node that has guaranteed its children more than it
 // holds itself; nil if there is none.
-func (t *Tree) Divided() error {
+func (t *Tree) CheckOvercommit() error {
 	for _, n := range t.order {
 		if over := n.excess(); !over.IsZero() {
-			return fault(n.Name, "guarantee: its children have %v more than it", over)
+			return nodeError(n.Name, "guarantee: its children have %v more than it", over)
 		}
 	}
 	return nil
 }
 
 // excess is what a node's children are guaranteed beyond what it is.
-func (n *Node) excess() Amounts {
-	return most(n.granted().Minus(n.Guarantee), Amounts{})
+func (n *Node) excess() Resources {
+	return maxResources(n.granted().Sub(n.Guarantee), Resources{})
 }
 
 // granted is what a node's children are guaranteed in all.
-func (n *Node) granted() Amounts {
-	var sum Amounts
+func (n *Node) granted() Resources {
+	var sum Resources
 	for _, c := range n.children {
-		sum = sum.Plus(c.Guarantee)
+		sum = sum.Add(c.Guarantee)
 	}
 	return sum
 }
@@ -227,17 +227,17 @@
 // children's shrink alike.
 func (t *Tree) entitle() {
 	for _, n := range t.tops {
-		n.entl = n.Guarantee
+		n.entitled = n.Guarantee
 	}
 	for _, n := range t.order {
 		sum := n.granted()
 		for _, c := range n.children {
-			c.entl = each(func(i int) int64 {
-				g, all, have := *c.Guarantee.at(i), *sum.at(i), *n.entl.at(i)
+			c.entitled = perResource(func(i int) int64 {
+				g, all, have := *c.Guarantee.component(i), *sum.component(i), *n.entitled.component(i)
 				if all <= have {
 					return g
 				}
-				return share(have, g, all)
+				return mulDiv(have, g, all)
 			})
 		}
 	}
@@ -245,14 +245,14 @@
 
 // Take adds what a task of a leaf holds, from the decision to start it on; Give
 // takes it away once the task's absence is proven.
-func (t *Tree) Take(leaf *Node, need Amounts) { t.move(leaf, need, 1) }
+func (t *Tree) Acquire(leaf *Node, need Resources) { t.move(leaf, need, 1) }
 
 // Give is the reverse of Take.
-func (t *Tree) Give(leaf *Node, need Amounts) { t.move(leaf, need, -1) }
+func (t *Tree) Release(leaf *Node, need Resources) { t.move(leaf, need, -1) }
 
-func (t *Tree) move(leaf *Node, need Amounts, sign int64) {
+func (t *Tree) move(leaf *Node, need Resources, sign int64) {
 	for n := leaf; n != nil; n = n.parent {
-		n.held = each(func(i int) int64 { return *n.held.at(i) + sign**need.at(i) })
+		n.held = perResource(func(i int) int64 { return *n.held.component(i) + sign**need.component(i) })
 	}
-	t.ask(leaf)
+	t.updateClaim(leaf)
 }
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -1,17 +1,17 @@
 package relay
 
 // Bounds of what is on its way to one controller.
-type Bounds struct {
-	Items    int // of a batch
-	Bytes    int // of a batch, unless a single item is larger
-	InFlight int // batches
-	Waiting  int // items that wait for their batch
+type BatchLimits struct {
+	MaxItems    int // of a batch
+	MaxBytes    int // of a batch, unless a single item is larger
+	MaxInFlight int // batches
+	MaxQueued   int // items that wait for their batch
 }
 
 // Batcher collects items for one controller. A batch is sent a short time after its first
 // item, or as soon as it is full; while as many as allowed are unanswered, items wait.
 type Batcher[T any] struct {
-	bounds   Bounds
+	bounds   BatchLimits
 	waiting  []entry[T]
 	bytes    int // of those
 	inFlight int
@@ -24,7 +24,7 @@
 }
 
 // NewBatcher makes a batcher.
-func NewBatcher[T any](b Bounds) *Batcher[T] { return &Batcher[T]{bounds: b} }
+func NewBatcher[T any](b BatchLimits) *Batcher[T] { return &Batcher[T]{bounds: b} }
 
 // Len is how many items wait.
 func (b *Batcher[T]) Len() int { return len(b.waiting) }
@@ -34,7 +34,7 @@
 
 // Add has an item wait for its batch; it reports false when too many wait.
 func (b *Batcher[T]) Add(item T, size int, now Micros) bool {
-	if len(b.waiting) >= b.bounds.Waiting {
+	if len(b.waiting) >= b.bounds.MaxQueued {
 		return false
 	}
 	b.waiting = append(b.waiting, entry[T]{item, size, now})
@@ -44,18 +44,18 @@
 
 // Full reports whether what waits makes a whole batch.
 func (b *Batcher[T]) Full() bool {
-	return len(b.waiting) >= b.bounds.Items || b.bytes >= b.bounds.Bytes
+	return len(b.waiting) >= b.bounds.MaxItems || b.bytes >= b.bounds.MaxBytes
 }
 
 // Next takes out the next batch; nil if none may be sent now.
 func (b *Batcher[T]) Next() []T {
-	if len(b.waiting) == 0 || b.inFlight >= b.bounds.InFlight {
+	if len(b.waiting) == 0 || b.inFlight >= b.bounds.MaxInFlight {
 		return nil
 	}
 	var batch []T
 	size := 0
 	for _, e := range b.waiting {
-		if len(batch) == b.bounds.Items || len(batch) > 0 && size+e.size > b.bounds.Bytes {
+		if len(batch) == b.bounds.MaxItems || len(batch) > 0 && size+e.size > b.bounds.MaxBytes {
 			break
 		}
 		batch, size = append(batch, e.item), size+e.size
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -28,7 +28,7 @@
 		after := Table{Members: slices.DeleteFunc(slices.Clone(members), func(m string) bool { return m == gone })}
 		for i := range 300 {
 			machine := fmt.Sprintf("m-%06d", i)
-			a, b := before.Carrier(machine), after.Carrier(machine)
+			a, b := before.RelayFor(machine), after.RelayFor(machine)
 			if a != gone && a != b {
 				t.Fatalf("%s moves from %s to %s", machine, a, b)
 			}
@@ -40,7 +40,7 @@
 func TestEvenLoad(t *testing.T) {
 	table, count := Table{Members: names(5)}, map[string]int{}
 	for i := range 3100 {
-		count[table.Carrier(fmt.Sprintf("m-%06d", i))]++
+		count[table.RelayFor(fmt.Sprintf("m-%06d", i))]++
 	}
 	for name, n := range count {
 		if math.Abs(float64(n)-620) > 620*0.15 {
@@ -57,7 +57,7 @@
 		if at, ok := silent[name]; ok {
 			heard = at
 		}
-		out = append(out, Candidate{Name: name, Heard: heard})
+		out = append(out, Candidate{Name: name, LastSeen: heard})
 	}
 	return out
 }
@@ -72,7 +72,7 @@
 		if now > 20*clock.Second && now/clock.Second%4 < 3 { // heard one second of four
 			silent["node-1"] = now/(4*clock.Second)*(4*clock.Second) - clock.Second
 		}
-		if m.Judge(now, "self", 100, 50, view(now, silent, names(3)...)) {
+		if m.Update(now, "self", 100, 50, view(now, silent, names(3)...)) {
 			changes++
 		}
 	}
@@ -94,7 +94,7 @@
 			if change != nil {
 				change(list)
 			}
-			m.Judge(now, "self", workers, 50, list)
+			m.Update(now, "self", workers, 50, list)
 		}
 		return m.Table().Members
 	}
@@ -105,15 +105,15 @@
 		want    []string
 	}{
 		{"all heard", 100, nil, all},
-		{"one silent", 100, func(c []Candidate) { c[2].Heard = 0 }, []string{"node-0", "node-1", "node-3"}},
+		{"one silent", 100, func(c []Candidate) { c[2].LastSeen = 0 }, []string{"node-0", "node-1", "node-3"}},
 		{"back", 100, nil, all},
-		{"connections short", 100, func(c []Candidate) { c[0].Sockets = 0.8 }, all[1:]},
-		{"still short", 100, func(c []Candidate) { c[0].Sockets = 0.7 }, all[1:]},
+		{"connections short", 100, func(c []Candidate) { c[0].ConnectionUsage = 0.8 }, all[1:]},
+		{"still short", 100, func(c []Candidate) { c[0].ConnectionUsage = 0.7 }, all[1:]},
 		{"short no more", 100, nil, all},
-		{"one left", 100, func(c []Candidate) { c[0].Heard, c[1].Heard, c[2].Heard = 0, 0, 0 }, []string{"node-3", "self"}},
+		{"one left", 100, func(c []Candidate) { c[0].LastSeen, c[1].LastSeen, c[2].LastSeen = 0, 0, 0 }, []string{"node-3", "self"}},
 		{"nobody left", 100, func(c []Candidate) {
 			for i := range c {
-				c[i].Heard = 0
+				c[i].LastSeen = 0
 			}
 		}, nil},
 		{"fewer workers, but not by much", 45, nil, all},
@@ -130,7 +130,7 @@
 // TestBatches holds batches to their bounds, in order and without loss.
 func TestBatches(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBatcher[int](Bounds{Items: 5, Bytes: 100, InFlight: 2, Waiting: 20})
+		b := NewBatcher[int](BatchLimits{MaxItems: 5, MaxBytes: 100, MaxInFlight: 2, MaxQueued: 20})
 		added, taken := 0, 0
 		for range 200 {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
--- a/internal/relay/table.go
+++ b/internal/relay/table.go
@@ -23,7 +23,7 @@
 }
 
 // InForce reports whether there is anybody to relay.
-func (t *Table) InForce() bool { return len(t.Members) > 0 }
+func (t *Table) Active() bool { return len(t.Members) > 0 }
 
 // Newer reports whether the table replaces an older one.
 func (t *Table) Newer(than *Table) bool {
@@ -33,7 +33,7 @@
 // Carrier is the member that carries a worker's connection: the one with the highest
 // score, by rendezvous hashing. When a member joins or leaves, only the workers that it
 // carries move.
-func (t *Table) Carrier(machine string) string {
+func (t *Table) RelayFor(machine string) string {
 	best, most := "", uint64(0)
 	for _, member := range t.Members {
 		if s := score(member, machine); best == "" || s > most {
@@ -54,9 +54,9 @@
 
 // Candidate is a controller as the leader sees it.
 type Candidate struct {
-	Name    string
-	Heard   Micros  // last
-	Sockets float64 // share of its connections that is in use
+	Name            string
+	LastSeen        Micros  // last
+	ConnectionUsage float64 // share of its connections that is in use
 }
 
 // Limits of the membership.
@@ -94,7 +94,7 @@
 
 // Judge makes a new table if it has to change; it reports whether it has. workers is how
 // many there are, from how many is how many make relaying worth it.
-func (m *Membership) Judge(now Micros, self string, workers, from int, candidates []Candidate) bool {
+func (m *Membership) Update(now Micros, self string, workers, from int, candidates []Candidate) bool {
 	if workers >= from {
 		m.on = true
 	} else if workers < from*4/5 {
@@ -140,7 +140,7 @@
 
 // present reports whether a candidate is heard and has connections left.
 func (m *Membership) present(c Candidate, now Micros) bool {
-	if now-c.Heard > leaveAfter {
+	if now-c.LastSeen > leaveAfter {
 		delete(m.since, c.Name)
 		return false
 	}
@@ -148,9 +148,9 @@
 		m.since[c.Name] = now
 	}
 	switch {
-	case c.Sockets >= fullFrom:
+	case c.ConnectionUsage >= fullFrom:
 		m.full[c.Name] = true
-	case c.Sockets < fullUntil:
+	case c.ConnectionUsage < fullUntil:
 		delete(m.full, c.Name)
 	}
 	return !m.full[c.Name]
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -34,7 +34,7 @@
 }
 
 // NewOnce makes a client that uses a connection for one call only.
-func NewOnce(addr string) *Client {
+func NewSingleUse(addr string) *Client {
 	c := New(addr)
 	c.http.Transport.(*http.Transport).DisableKeepAlives = true
 	return c
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -31,7 +31,7 @@
 )
 
 // Expect has the report show what slopes that were measured before say of each phase.
-func (r *Report) Expect(fits []Fit) {
+func (r *Report) SetExpected(fits []Fit) {
 	for i := range r.Phases {
 		p := &r.Phases[i]
 		for k := range p.Controllers {
@@ -75,7 +75,7 @@
 )
 
 // leader and follower pick a controller's share of a phase, or the mean of several.
-func leader(p *Result, get func(Share) float64) float64 {
+func leader(p *Result, get func(PhaseUsage) float64) float64 {
 	for _, c := range p.Controllers {
 		if c.Leads {
 			return get(c)
@@ -84,7 +84,7 @@
 	return math.NaN()
 }
 
-func follower(p *Result, get func(Share) float64) float64 {
+func follower(p *Result, get func(PhaseUsage) float64) float64 {
 	sum, n := 0.0, 0.0
 	for _, c := range p.Controllers {
 		if !c.Leads {
@@ -97,10 +97,10 @@
 // Fits gives the slopes that the reports show. Phases in which something failed are
 // left out: a takeover is no slope.
 func Fits(list []*Report) ([]Fit, error) {
-	cores := func(s Share) float64 { return s.Cores * 1e6 } // in us a second
-	kilobytes := func(s Share) float64 { return s.MB * 1024 }
-	rate := func(s Share) float64 { return s.KBps * 1024 }
-	sockets := func(s Share) float64 { return float64(s.Sockets) }
+	cores := func(s PhaseUsage) float64 { return s.Cores * 1e6 } // in us a second
+	kilobytes := func(s PhaseUsage) float64 { return s.MB * 1024 }
+	rate := func(s PhaseUsage) float64 { return s.KBps * 1024 }
+	sockets := func(s PhaseUsage) float64 { return float64(s.Sockets) }
 	// Workers are no term beside reports: each reports at a steady rate, so the two can't be
 	// told apart.
 	models := []struct {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -49,12 +49,12 @@
 	LeasesLost int
 	// Of a worker, a second; bodies only.
 	WorkerBytes float64
-	Controllers []Share
-	Stand       Share // this process: hollow workers, state service, cloud and users
+	Controllers []PhaseUsage
+	Stand       PhaseUsage // this process: hollow workers, state service, cloud and users
 }
 
 // Share is what a process took in a phase.
-type Share struct {
+type PhaseUsage struct {
 	Name  string
 	Leads bool
 	Cores float64 // mean
@@ -79,24 +79,24 @@
 
 func (u *Usage) add(o Usage) {
 	u.CPU += o.CPU
-	u.Waited += o.Waited
-	u.Moved += o.Moved
+	u.CPUWait += o.CPUWait
+	u.IOBytes += o.IOBytes
 }
 
 func (d *deployment) sample() sample {
-	s := sample{at: time.Now(), jobs: int(d.users.next.Load())}
+	s := sample{at: time.Now(), jobs: int(d.users.lastJobNumber.Load())}
 	for i, cmd := range d.procs {
 		u := Usage{}
 		if cmd != nil {
 			u, _ = usageOf(cmd.Process.Pid) // nothing is counted for one that just ended
 		}
-		u.add(d.before[i])
+		u.add(d.earlierUsage[i])
 		s.processes = append(s.processes, u)
 	}
 	self, _ := usageOf(os.Getpid())
 	s.processes = append(s.processes, self)
-	d.live.Do(func(w *sim.World) {
-		s.started, s.running, s.leasesLost, s.traffic = w.Rules.TasksStarted(), w.TasksOn(), w.LeasesLost, d.live.Traffic
+	d.simServer.WithWorld(func(w *sim.World) {
+		s.started, s.running, s.leasesLost, s.traffic = w.Rules.TaskStarts(), w.RunningTasks(), w.LeasesLost, d.simServer.Traffic
 	})
 	return s
 }
@@ -104,7 +104,7 @@
 // compare gives what happened between two looks.
 func (d *deployment) compare(p *Phase, from, to sample) Result {
 	span := to.at.Sub(from.at).Seconds()
-	r := Result{Phase: p.Name, Seconds: span, Troubled: p.troubled(), Jobs: float64(to.jobs-from.jobs) / span, Starts: float64(to.started-from.started) / span, Running: to.running,
+	r := Result{Phase: p.Name, Seconds: span, Troubled: p.hasFault(), Jobs: float64(to.jobs-from.jobs) / span, Starts: float64(to.started-from.started) / span, Running: to.running,
 		Reports:    float64(to.traffic.Reports-from.traffic.Reports) / span,
 		Redirected: to.traffic.Redirected - from.traffic.Redirected, Failed: to.traffic.Failed - from.traffic.Failed,
 		LeasesLost: to.leasesLost - from.leasesLost,
@@ -113,8 +113,8 @@
 	leader := d.leader()
 	for i := range to.processes {
 		a, b := from.processes[i], to.processes[i]
-		x := Share{Cores: (b.CPU - a.CPU).Seconds() / span, Waited: (b.Waited - a.Waited).Seconds() / span,
-			MB: float64(b.Resident) / (1 << 20), Sockets: b.Sockets, KBps: float64(b.Moved-a.Moved) / 1024 / span}
+		x := PhaseUsage{Cores: (b.CPU - a.CPU).Seconds() / span, Waited: (b.CPUWait - a.CPUWait).Seconds() / span,
+			MB: float64(b.Resident) / (1 << 20), Sockets: b.Sockets, KBps: float64(b.IOBytes-a.IOBytes) / 1024 / span}
 		if i == len(d.procs) {
 			r.Stand = x
 			continue
@@ -139,9 +139,9 @@
 }
 
 // waits gives the times from submission to start by priority.
-func (r *Report) waits(rules *sim.Checker) {
+func (r *Report) recordWaits(rules *sim.Checker) {
 	byPriority := map[string]*hdrhistogram.Histogram{}
-	rules.Waits(func(job *wire.Job, first, began sim.Micros) {
+	rules.EachWait(func(job *wire.Job, first, began sim.Micros) {
 		if began == 0 {
 			return
 		}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -29,13 +29,13 @@
 type deployment struct {
 	*Scenario
 	Options
-	live     *sim.Live
-	dir      string
-	settings []config.Config
-	procs    []*process
-	before   []Usage // of a controller's earlier processes
-	users    *users
-	report   *Report
+	simServer    *sim.RealTimeServer
+	dir          string
+	settings     []config.Config
+	procs        []*process
+	earlierUsage []Usage // of a controller's earlier processes
+	users        *users
+	report       *Report
 }
 
 // process is a controller's process.
@@ -82,13 +82,13 @@
 		w.Cloud.Capacity["worker/"+zone], w.Cloud.Capacity["worker/"+zone+"/spot"] = share, 0
 	}
 	var err error
-	if d.live, d.settings, err = sim.Deploy(w); err != nil {
+	if d.simServer, d.settings, err = sim.Deploy(w); err != nil {
 		return err
 	}
 	if d.dir, err = os.MkdirTemp("", "scale"); err != nil {
 		return err
 	}
-	d.procs, d.before = make([]*process, d.Controllers), make([]Usage, d.Controllers)
+	d.procs, d.earlierUsage = make([]*process, d.Controllers), make([]Usage, d.Controllers)
 	for i := range d.settings {
 		raw, err := json.Marshal(&d.settings[i])
 		if err != nil {
@@ -144,7 +144,7 @@
 		return
 	}
 	if u, err := usageOf(p.Process.Pid); err == nil {
-		d.before[i].add(u)
+		d.earlierUsage[i].add(u)
 	}
 	p.Process.Kill()
 	<-p.ended
@@ -158,8 +158,8 @@
 	for i := range d.procs {
 		d.kill(i)
 	}
-	if d.live != nil {
-		d.live.Close()
+	if d.simServer != nil {
+		d.simServer.Close()
 	}
 	if d.dir != "" {
 		os.RemoveAll(d.dir)
@@ -169,7 +169,7 @@
 // leader is the index of the controller that leads, or -1.
 func (d *deployment) leader() int {
 	name := ""
-	d.live.Do(func(w *sim.World) { name = w.State.Leader() })
+	d.simServer.WithWorld(func(w *sim.World) { name = w.State.Leader() })
 	return slices.IndexFunc(d.settings, func(c config.Config) bool { return c.Name == name })
 }
 
@@ -178,11 +178,11 @@
 
 // ramp rents the fleet: one replica of a service keeps each machine.
 func (d *deployment) ramp(ctx context.Context) error {
-	d.users.fill()
+	d.users.submitServices()
 	begin := time.Now()
 	for tick := 0; ; tick++ {
 		up := 0
-		d.live.Do(func(w *sim.World) { up = w.TasksOn() })
+		d.simServer.WithWorld(func(w *sim.World) { up = w.RunningTasks() })
 		if tick%10 == 0 {
 			fmt.Fprintf(d.Progress, "ramp: %d of %d workers, %.0f s\n", up, d.Workers, time.Since(begin).Seconds())
 		}
@@ -210,9 +210,9 @@
 
 // play runs one phase and measures it, but for its first seconds, in which the load grows.
 func (d *deployment) play(ctx context.Context, p *Phase) error {
-	d.users.load(p)
+	d.users.setPhase(p)
 	settle := min(p.For/3, time.Duration(1.5*p.Run*float64(time.Second)))
-	if p.troubled() {
+	if p.hasFault() {
 		settle = 0
 	}
 	if err := sleep(ctx, settle); err != nil {
@@ -236,8 +236,8 @@
 
 // trouble has fail what the phase says.
 func (d *deployment) trouble(p *Phase) {
-	d.live.Do(func(w *sim.World) {
-		w.LoseMachines(int(p.Lose))
+	d.simServer.WithWorld(func(w *sim.World) {
+		w.CrashMachines(int(p.Lose))
 		if p.Cut > 0 {
 			w.CutZone(w.Config.Params.Zones[0], sim.Micros(p.Cut*1e6))
 		}
@@ -279,7 +279,7 @@
 			sum += residentOf(p.Process.Pid)
 		}
 	}
-	if sum > memory()/2 {
+	if sum > totalMemory()/2 {
 		return errMemory
 	}
 	return nil
@@ -291,13 +291,13 @@
 // finish lets the last jobs end and judges the run.
 func (d *deployment) finish() {
 	d.users.drain(drainFor)
-	d.live.Do(func(w *sim.World) {
-		w.Rules.Sweep(w.Now())
-		w.Rules.Finish()
-		d.report.Broken = append(d.report.Broken, w.Rules.Broken...)
-		d.report.waits(w.Rules)
+	d.simServer.WithWorld(func(w *sim.World) {
+		w.Rules.CheckOverdue(w.Now())
+		w.Rules.CheckFinal()
+		d.report.Broken = append(d.report.Broken, w.Rules.Violations...)
+		d.report.recordWaits(w.Rules)
 	})
 	d.report.Unfinished = d.users.unfinished()
-	d.report.Submissions = newQuantiles(d.users.answers, 1000)
+	d.report.Submissions = newQuantiles(d.users.acceptLatency, 1000)
 	d.report.Refused = int(d.users.refused.Load())
 }
