--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -54,8 +54,8 @@
 		for i, rate := range []float64{0, 50, 100, 300} {
 			p := Result{Reports: float64(n)/5 + rate*float64(1+i%3), Starts: rate * float64(1+i%2), Jobs: rate / 10, Running: n + 10*i}
 			cores := 1e-6 * (500 + 100*p.Reports + 80*p.Starts + 900*p.Jobs)
-			p.Controllers = []Share{{Cores: cores, Leads: true, MB: 20, Sockets: n}, {Cores: cores / 10, MB: 20, Sockets: n}}
-			r.Phases = append(r.Phases, p, Result{Troubled: true, Controllers: []Share{{Cores: 9, Leads: true}}})
+			p.Controllers = []PhaseUsage{{Cores: cores, Leads: true, MB: 20, Sockets: n}, {Cores: cores / 10, MB: 20, Sockets: n}}
+			r.Phases = append(r.Phases, p, Result{Troubled: true, Controllers: []PhaseUsage{{Cores: 9, Leads: true}}})
 		}
 		list = append(list, r)
 	}
@@ -68,7 +68,7 @@
 			t.Errorf("%s: %v, want %v", fits[0].Terms[i].Per, got, want)
 		}
 	}
-	list[2].Expect(fits)
+	list[2].SetExpected(fits)
 	if c := list[2].Phases[6].Controllers; math.Abs(c[0].Expected-c[0].Cores) > 1e-6 || math.Abs(c[1].Expected-c[1].Cores) > 1e-6 {
 		t.Errorf("expected beside measured: %+v", c)
 	}
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -41,7 +41,7 @@
 }
 
 // troubled reports whether something fails in the phase, so that it shows no slope.
-func (p *Phase) troubled() bool { return p.Kill != "" || p.Lose > 0 || p.Cut > 0 }
+func (p *Phase) hasFault() bool { return p.Kill != "" || p.Lose > 0 || p.Cut > 0 }
 
 // setting is a number of a scenario with what is allowed.
 type setting struct {
@@ -172,5 +172,5 @@
 // machineType is what the cloud rents: as many as the scenario has workers.
 func (s *Scenario) machineType(zones []string) wire.MachineType {
 	return wire.MachineType{Name: "worker", CPUs: s.CPUs, MemoryGB: 4 * s.CPUs, CacheGB: 100, FetchRate: 100, Price: 1, SpotPrice: 0.3,
-		Boot: s.Boot, Zones: zones}
+		BootTime: s.Boot, Zones: zones}
 }
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -14,10 +14,10 @@
 // Usage is what a process has taken since its start, and holds now.
 type Usage struct {
 	CPU      time.Duration // user and system
-	Waited   time.Duration // ready to run, but without a core
+	CPUWait  time.Duration // ready to run, but without a core
 	Resident int64         // bytes
 	Sockets  int
-	Moved    int64 // bytes read and written
+	IOBytes  int64 // bytes read and written
 }
 
 // ticksPerSecond is the unit of processor time in /proc, fixed by Linux for user space.
@@ -50,7 +50,7 @@
 		for line := range strings.Lines(string(io)) {
 			name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
 			if name == "rchar" || name == "wchar" {
-				u.Moved += number(value)
+				u.IOBytes += number(value)
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 	for _, name := range threads {
 		if raw, err := os.ReadFile(name); err == nil {
 			if parts := bytes.Fields(raw); len(parts) == 3 {
-				u.Waited += time.Duration(number(string(parts[1])))
+				u.CPUWait += time.Duration(number(string(parts[1])))
 			}
 		}
 	}
@@ -94,9 +94,9 @@
 	if need := uint64(s.Workers*socketsPerWorker + socketsBeside); need > limit.Cur {
 		return fmt.Errorf("%d workers need %d open files, this process may have %d (ulimit -n)", s.Workers, need, limit.Cur)
 	}
-	if need := int64(s.Workers)*memoryPerWorker + int64(s.Controllers)*int64(s.MemoryMB)<<20; need > memory()/2 {
+	if need := int64(s.Workers)*memoryPerWorker + int64(s.Controllers)*int64(s.MemoryMB)<<20; need > totalMemory()/2 {
 		return fmt.Errorf("%d workers and %d controllers need up to %d MB, half of this machine's memory is %d MB",
-			s.Workers, s.Controllers, need>>20, memory()>>21)
+			s.Workers, s.Controllers, need>>20, totalMemory()>>21)
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 )
 
 // memory is the machine's, in bytes.
-func memory() int64 {
+func totalMemory() int64 {
 	var info syscall.Sysinfo_t
 	if syscall.Sysinfo(&info) != nil {
 		return 0
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -18,18 +18,18 @@
 
 // users submit jobs at a steady rate and ask for each until it is done.
 type users struct {
-	d       *deployment
-	clients []*rpc.Client
-	turn    atomic.Int64 // of the load balancer
-	next    atomic.Int64 // number of the latest job
-	quit    chan struct{}
-	phase   chan *Phase
-	done    sync.WaitGroup
-	refused atomic.Int64
-
-	mu      sync.Mutex // guards the rest
-	open    map[string]bool
-	answers *hdrhistogram.Histogram // milliseconds from a submission to its answer
+	d             *deployment
+	clients       []*rpc.Client
+	turn          atomic.Int64 // of the load balancer
+	lastJobNumber atomic.Int64 // number of the latest job
+	quit          chan struct{}
+	phase         chan *Phase
+	done          sync.WaitGroup
+	refused       atomic.Int64
+
+	mu            sync.Mutex // guards the rest
+	open          map[string]bool
+	acceptLatency *hdrhistogram.Histogram // milliseconds from a submission to its answer
 }
 
 // The users' own intervals, as the protocol gives them.
@@ -41,7 +41,7 @@
 
 func newUsers(d *deployment) *users {
 	u := &users{d: d, quit: make(chan struct{}), phase: make(chan *Phase, 1), open: map[string]bool{},
-		answers: hdrhistogram.New(1, 3_600_000, 2)}
+		acceptLatency: hdrhistogram.New(1, 3_600_000, 2)}
 	for i := range d.settings {
 		u.clients = append(u.clients, rpc.New(d.settings[i].Listen))
 	}
@@ -54,7 +54,7 @@
 const replicas = 50
 
 // fill submits the services that keep the fleet rented.
-func (u *users) fill() {
+func (u *users) submitServices() {
 	for left := u.d.Workers; left > 0; left -= replicas {
 		u.submit(&wire.Job{Class: "service", Kind: wire.KindService, Priority: "prod", Tasks: min(left, replicas),
 			CPUs: u.d.ServiceCPUs, MemoryGB: 1, Image: "base", ImageGB: 0.01})
@@ -62,7 +62,7 @@
 }
 
 // load changes what is submitted from now on.
-func (u *users) load(p *Phase) { u.phase <- p }
+func (u *users) setPhase(p *Phase) { u.phase <- p }
 
 // stop ends all users.
 func (u *users) stop() {
@@ -106,9 +106,9 @@
 
 // submit has a new user submit a job and follow it.
 func (u *users) submit(job *wire.Job) {
-	n := int(u.next.Add(1))
+	n := int(u.lastJobNumber.Add(1))
 	job.ID, job.Team = fmt.Sprintf("req-%06d", n), teamName(n%u.d.Teams)
-	u.d.live.Do(func(w *sim.World) { w.Rules.Known(job) })
+	u.d.simServer.WithWorld(func(w *sim.World) { w.Rules.AddJob(job) })
 	u.mark(job.ID, true)
 	u.done.Add(1)
 	go func() {
@@ -147,7 +147,7 @@
 		code, wait := u.ask(http.MethodPost, "/v2/runs", job, job.ID)
 		if code == http.StatusOK || code == http.StatusCreated {
 			u.mu.Lock()
-			u.answers.RecordValue(max(time.Since(begin).Milliseconds(), 1)) // within the bounds
+			u.acceptLatency.RecordValue(max(time.Since(begin).Milliseconds(), 1)) // within the bounds
 			u.mu.Unlock()
 			return true
 		}
@@ -173,13 +173,13 @@
 // ask makes one request of the next controller; the checker judges its answer.
 func (u *users) ask(method, path string, in any, id string) (code int, retry time.Duration) {
 	var judge func(a controller.Answer)
-	u.d.live.Do(func(w *sim.World) {
-		known := w.Rules.Asking(id)
+	u.d.simServer.WithWorld(func(w *sim.World) {
+		known := w.Rules.BeginRequest(id)
 		judge = func(a controller.Answer) {
 			if method == http.MethodPost {
-				w.Rules.Submitted(id, known, a)
+				w.Rules.CheckSubmitAnswer(id, known, a)
 			} else {
-				w.Rules.Polled(id, known, a)
+				w.Rules.CheckStatusAnswer(id, known, a)
 			}
 		}
 	})
@@ -189,7 +189,7 @@
 	if err != nil {
 		return 0, 0
 	}
-	u.d.live.Do(func(*sim.World) { judge(controller.Answer{Code: code, Status: status}) })
+	u.d.simServer.WithWorld(func(*sim.World) { judge(controller.Answer{Code: code, Status: status}) })
 	if code == http.StatusOK && status.Phase == wire.PhaseDone {
 		return doneCode, 0
 	}
@@ -199,7 +199,7 @@
 
 // drain waits until all batch jobs are done, no longer than the limit.
 func (u *users) drain(limit time.Duration) {
-	u.load(nil)
+	u.setPhase(nil)
 	for end := time.Now().Add(limit); time.Now().Before(end) && u.unfinished() > 0; {
 		time.Sleep(200 * time.Millisecond)
 	}
--- a/internal/sched/booking.go
+++ b/internal/sched/booking.go
@@ -23,16 +23,16 @@
 // wait for each other.
 
 // booking is room that a machine keeps for a task, from when it will have it.
-type booking struct {
+type reservation struct {
 	job  *Job
-	need Need
+	need Resources
 	at   Micros
 }
 
 // ending is room that is freed at an instant.
-type ending struct {
+type expectedRelease struct {
 	at   Micros
-	need Need
+	need Resources
 }
 
 const (
@@ -45,7 +45,7 @@
 	mostOfJob  = 64
 	// yieldFor is how long a job leaves room that it could use to those before it: none is to
 	// wait 90 s while a machine has room, and a booked one may be due only when hours of work
-	// elsewhere have ended (scenario meet_booked_room).
+	// elsewhere have ended (scenario gang_books_room).
 	yieldFor = 75 * clock.Second
 	// yieldPause is how long it may find no such room in between.
 	yieldPause = 10 * clock.Second
@@ -67,50 +67,50 @@
 // books reports whether the job may book machines.
 func (p *pass) books(j *Job) bool {
 	n := j.toBook()
-	return j.bulky() && n > 0 && n <= mostOfJob && p.booked+n <= mostBooked &&
-		(j.urgency(p.Now) <= pressed || p.Now-j.Ready > bookAfter)
+	return j.bulky() && n > 0 && n <= mostOfJob && p.reservedTasks+n <= mostBooked &&
+		(j.urgency(p.Now) <= mustStartNow || p.Now-j.ReadyAt > bookAfter)
 }
 
 // rebook makes the bookings of the pass before again, before anything is placed.
-func (p *pass) rebook(jobs []*Job) {
+func (p *pass) restoreReservations(jobs []*Job) {
 	for i, j := range jobs {
-		j.rank = i
+		j.passPosition = i
 	}
 	for _, j := range jobs {
-		if j.booked {
-			j.booked = false
-			p.book(j)
+		if j.reserved {
+			j.reserved = false
+			p.reserve(j)
 		}
 	}
 }
 
 // unbook takes a job's bookings back, for it to be placed.
-func (p *pass) unbook(j *Job) {
-	if !j.booked {
+func (p *pass) cancelReservations(j *Job) {
+	if !j.reserved {
 		return
 	}
-	j.booked = false
-	for _, i := range j.at {
-		if i >= len(p.keeps) {
+	j.reserved = false
+	for _, i := range j.reservedMachines {
+		if i >= len(p.reservations) {
 			break // of an earlier pass
 		}
-		n := len(p.keeps[i])
-		p.keeps[i] = slices.DeleteFunc(p.keeps[i], func(b booking) bool { return b.job == j })
-		p.booked -= n - len(p.keeps[i])
+		n := len(p.reservations[i])
+		p.reservations[i] = slices.DeleteFunc(p.reservations[i], func(b reservation) bool { return b.job == j })
+		p.reservedTasks -= n - len(p.reservations[i])
 	}
-	j.at = j.at[:0]
+	j.reservedMachines = j.reservedMachines[:0]
 }
 
 // book keeps room for all tasks of a gang or for none, and for the next few of an array. What
 // a job keeps already stands.
-func (p *pass) book(j *Job) {
-	if j.booked || !p.books(j) {
+func (p *pass) reserve(j *Job) {
+	if j.reserved || !p.books(j) {
 		return
 	}
-	j.at = j.at[:0]
-	if p.keeps == nil {
-		p.keeps, p.ends = make([][]booking, len(p.use)), make([][]ending, len(p.use))
-		p.shapes = map[shape]*candidates{}
+	j.reservedMachines = j.reservedMachines[:0]
+	if p.reservations == nil {
+		p.reservations, p.expectedReleases = make([][]reservation, len(p.usableMachines)), make([][]expectedRelease, len(p.usableMachines))
+		p.candidatesByRequirements = map[requirements]*candidates{}
 	}
 	zones := []string{""}
 	if j.Spec.OneZone {
@@ -125,9 +125,9 @@
 		}
 	}
 	for k, i := range best {
-		p.keeps[i] = append(p.keeps[i], booking{j, need, bestAt[k]})
-		j.booked, j.at = true, append(j.at, i)
-		p.booked++
+		p.reservations[i] = append(p.reservations[i], reservation{j, need, bestAt[k]})
+		j.reserved, j.reservedMachines = true, append(j.reservedMachines, i)
+		p.reservedTasks++
 	}
 }
 
@@ -138,8 +138,8 @@
 }
 
 // shape is what of a job decides which machines may take its tasks, and when.
-type shape struct {
-	need        Need
+type requirements struct {
+	need        Resources
 	spot        bool
 	zone, types string
 }
@@ -160,8 +160,8 @@
 	return last
 }
 
-func (p *pass) shapeOf(j *Job, zone string) shape {
-	return shape{j.Need(), j.Spec.Spot, j.Spec.Zone + "/" + zone, strings.Join(j.Spec.Types, "/")}
+func (p *pass) shapeOf(j *Job, zone string) requirements {
+	return requirements{j.Need(), j.Spec.Spot, j.Spec.Zone + "/" + zone, strings.Join(j.Spec.Types, "/")}
 }
 
 // candidatesFor gives the machines that may take a task of j, in a zone if one is named.
@@ -169,11 +169,11 @@
 // than one.
 func (p *pass) candidatesFor(j *Job, zone string) *candidates {
 	key := p.shapeOf(j, zone)
-	if c := p.shapes[key]; c != nil {
+	if c := p.candidatesByRequirements[key]; c != nil {
 		return c
 	}
 	c := new(candidates)
-	for i, m := range p.use {
+	for i, m := range p.usableMachines {
 		if zone != "" && m.Zone != zone || m.Errors > 0 || !p.allowed(j, m) {
 			continue
 		}
@@ -182,18 +182,18 @@
 		}
 	}
 	heap.Init(c)
-	p.shapes[key] = c
+	p.candidatesByRequirements[key] = c
 	return c
 }
 
 // bookings picks a machine for each task of j, and tells when it will have the room.
 func (p *pass) bookings(j *Job, zone string) (picks []int, at []Micros) {
 	need, list := j.Need(), p.candidatesFor(j, zone)
-	held, mine := j.Zones(nil), map[int]Need{}
+	held, mine := j.PlacementsByZone(nil), map[int]Resources{}
 	var aside candidates
 	for len(picks) < j.toBook() && len(*list) > 0 {
 		c := heap.Pop(list).(candidate)
-		if !ZoneAllows(j, held, p.use[c.i].Zone) {
+		if !ZoneAllows(j, held, p.usableMachines[c.i].Zone) {
 			aside = append(aside, c)
 			continue
 		}
@@ -208,7 +208,7 @@
 		picks, at = append(picks, c.i), append(at, c.at)
 		mine[c.i] = mine[c.i].Add(need)
 		if held != nil {
-			held[p.use[c.i].Zone]++
+			held[p.usableMachines[c.i].Zone]++
 		}
 		heap.Push(list, c)
 	}
@@ -216,7 +216,7 @@
 		heap.Push(list, c)
 	}
 	if len(picks) == 0 || j.Gang() && len(picks) < j.toBook() {
-		delete(p.shapes, p.shapeOf(j, zone)) // what was tried is in its times
+		delete(p.candidatesByRequirements, p.shapeOf(j, zone)) // what was tried is in its times
 		return nil, nil
 	}
 	return picks, at
@@ -224,44 +224,44 @@
 
 // endings lists what the machine's tasks will free, by time. Services end when their users
 // say so.
-func (p *pass) endings(i int) []ending {
-	if p.ends[i] != nil {
-		return p.ends[i]
+func (p *pass) endings(i int) []expectedRelease {
+	if p.expectedReleases[i] != nil {
+		return p.expectedReleases[i]
 	}
-	m := p.use[i]
-	list := make([]ending, 0, len(m.Places))
-	for _, pl := range m.Places {
+	m := p.usableMachines[i]
+	list := make([]expectedRelease, 0, len(m.Placements))
+	for _, pl := range m.Placements {
 		if pl.Exited || pl.Job == nil || pl.Job.Service() && !pl.Stopping {
 			continue
 		}
-		end := p.Now + clock.FromSeconds(p.delayOf(pl)) + pl.Left()
+		end := p.Now + clock.FromSeconds(p.delayOf(pl)) + pl.RemainingTime()
 		switch {
 		case pl.Stopping:
 			end = p.Now + clock.FromSeconds(pl.Grace)
-		case pl.Running > 0:
-			end = pl.Running + pl.Left()
+		case pl.RunningSince > 0:
+			end = pl.RunningSince + pl.RemainingTime()
 		}
-		list = append(list, ending{max(end, p.Now), pl.Need})
+		list = append(list, expectedRelease{max(end, p.Now), pl.Need})
 	}
-	slices.SortFunc(list, func(a, b ending) int {
+	slices.SortFunc(list, func(a, b expectedRelease) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.need.CPUs, b.need.CPUs), cmp.Compare(a.need.GPUs, b.need.GPUs))
 	})
-	p.ends[i] = list
+	p.expectedReleases[i] = list
 	return list
 }
 
 // delayOf is how long a placed task that does not run yet may still fetch.
 func (p *pass) delayOf(pl *Placement) float64 {
 	if pl.SentAt == 0 {
-		return pl.Delay
+		return pl.FetchDelay
 	}
-	return max(0, pl.Delay-(p.Now-pl.SentAt).Seconds())
+	return max(0, pl.FetchDelay-(p.Now-pl.SentAt).Seconds())
 }
 
 // roomAt is when a machine will have the room for a need beside what is booked there.
-func (p *pass) roomAt(i int, need Need) Micros {
-	room := p.room[i]
-	for _, b := range p.keeps[i] {
+func (p *pass) roomAt(i int, need Resources) Micros {
+	room := p.available[i]
+	for _, b := range p.reservations[i] {
 		room = room.Sub(b.need)
 	}
 	if need.Fits(room) {
@@ -277,26 +277,26 @@
 
 // barred reports whether a task of j, placed on a machine now, would take room that is
 // kept for a job before it, and j is to leave it that.
-func (p *pass) barred(j *Job, i int, delay float64) bool {
+func (p *pass) blockedByReservation(j *Job, i int, delay float64) bool {
 	if !p.keptFrom(j, i, delay) {
 		return false
 	}
-	if p.Now-j.yielded > yieldPause {
-		j.yields = p.Now
+	if p.Now-j.lastDeferred > yieldPause {
+		j.deferringSince = p.Now
 	}
-	j.yielded = p.Now
-	return p.Now-j.yields < yieldFor
+	j.lastDeferred = p.Now
+	return p.Now-j.deferringSince < yieldFor
 }
 
 // keptFrom reports whether the room that a task of j would take, placed on a machine now, is kept
 // for a job before it.
 func (p *pass) keptFrom(j *Job, i int, delay float64) bool {
-	if p.booked == 0 || len(p.keeps[i]) == 0 || j.Priority == wire.PriorityProduction {
+	if p.reservedTasks == 0 || len(p.reservations[i]) == 0 || j.Priority == wire.PriorityProduction {
 		return false
 	}
-	room, from, until := p.room[i], Micros(0), clock.Forever
-	for _, b := range p.keeps[i] {
-		if b.job != j && b.job.rank < j.rank {
+	room, from, until := p.available[i], Micros(0), clock.Forever
+	for _, b := range p.reservations[i] {
+		if b.job != j && b.job.passPosition < j.passPosition {
 			room = room.Sub(b.need)
 			from, until = max(from, b.at), min(until, b.at)
 		}
--- a/internal/sched/booking_test.go
+++ b/internal/sched/booking_test.go
@@ -9,19 +9,19 @@
 	"lilacthread/wire"
 )
 
-var accelerated = []wire.MachineType{{Name: "g", CPUs: 48, GPUs: 4, MemoryGB: 192, CacheGB: 100, Boot: 45, Zones: []string{"a"}}}
+var accelerated = []wire.MachineType{{Name: "g", CPUs: 48, GPUs: 4, MemoryGB: 192, CacheGB: 100, BootTime: 45, Zones: []string{"a"}}}
 
-func onMachine(n int) *Machine {
+func newAcceleratorMachine(n int) *Machine {
 	return &Machine{ID: fmt.Sprintf("m-%06d", n), Type: &accelerated[0], Zone: "a", Up: true, Acked: true,
-		Places: map[string]*Placement{}, Images: map[string]Micros{"i": 1}, Sizes: map[string]float64{"i": 1}}
+		Placements: map[string]*Placement{}, Images: map[string]Micros{"i": 1}, ImageSizes: map[string]float64{"i": 1}}
 }
 
-func accelerate(id, kind string, tasks int, gpus float64, ready, estimate Micros) *Job {
-	j := &Job{ID: id, Submitted: ready * clock.Second, Ready: ready * clock.Second, Start: ready * clock.Second,
+func newAcceleratorJob(id, kind string, tasks int, gpus float64, ready, estimate Micros) *Job {
+	j := &Job{ID: id, Submitted: ready * clock.Second, ReadyAt: ready * clock.Second, PipelineStart: ready * clock.Second,
 		Estimate: estimate * clock.Second, Deadline: clock.Forever, Tasks: make([]Task, tasks),
 		Spec: &wire.Job{ID: id, Kind: kind, Team: "t", Priority: "normal", Tasks: tasks, CPUs: 2 * gpus, GPUs: gpus, MemoryGB: 8, Image: "i"}}
 	j.Init()
-	j.Measure(accelerated)
+	j.ComputeSize(accelerated)
 	for i := range j.Tasks {
 		j.Queue = append(j.Queue, int32(i))
 	}
@@ -33,17 +33,17 @@
 	t.Helper()
 	var fleet []*Machine
 	for i := range machines {
-		fleet = append(fleet, onMachine(i))
+		fleet = append(fleet, newAcceleratorMachine(i))
 	}
 	teams, attempts, begun := map[string]*Team{"t": {Name: "t"}}, uint64(0), map[string]Micros{}
 	var small []*Job
 	for now := clock.Second; now < limit; now += clock.Second {
 		for _, m := range fleet {
-			m.Heard = now
-			for _, p := range m.Places {
-				p.Running = max(p.Running, 1)
+			m.LastReportAt = now
+			for _, p := range m.Placements {
+				p.RunningSince = max(p.RunningSince, 1)
 				if p.SentAt == 0 {
-					p.SentAt, p.Running = now, now
+					p.SentAt, p.RunningSince = now, now
 				}
 				if now-p.SentAt >= p.Job.Estimate {
 					p.Job.Tasks[p.Index].State = Done
@@ -54,18 +54,18 @@
 			}
 		}
 		if n := int(now / clock.Second); n%2 == 0 {
-			small = append(small, accelerate(fmt.Sprintf("s-%04d", n), wire.KindArray, 3, 1, Micros(n), 7+Micros(n%5)))
+			small = append(small, newAcceleratorJob(fmt.Sprintf("s-%04d", n), wire.KindArray, 3, 1, Micros(n), 7+Micros(n%5)))
 		}
 		jobs := slices.Clone(small)
 		for _, j := range waiting {
-			if j.Ready <= now {
+			if j.ReadyAt <= now {
 				jobs = append(jobs, j)
 			}
 		}
-		Plan(&Input{Now: now, Fresh: 60 * clock.Second, Jobs: jobs, Machines: fleet, Teams: teams, Rates: map[string]float64{"g": 1},
-			Attempt: func() uint64 { attempts++; return attempts }, MaxTasks: 100, Patience: 60 * clock.Second})
+		Plan(&Input{Now: now, MaxReportAge: 60 * clock.Second, Jobs: jobs, Machines: fleet, Teams: teams, FetchRates: map[string]float64{"g": 1},
+			NextAttempt: func() uint64 { attempts++; return attempts }, MaxTasksPerMachine: 100, ImageLocalityWindow: 60 * clock.Second})
 		for _, j := range waiting {
-			if begun[j.ID] == 0 && j.Placed > 0 {
+			if begun[j.ID] == 0 && j.PlacedCount > 0 {
 				begun[j.ID] = now
 			}
 		}
@@ -76,9 +76,9 @@
 // TestLargeJobsBegin guards against large work that never finds room: each accelerator
 // that is freed goes to a small task, of which more come than there is room for.
 func TestLargeJobsBegin(t *testing.T) {
-	gang := accelerate("gang", wire.KindGang, 4, 4, 20, 30)
-	whole := accelerate("whole", wire.KindArray, 1, 4, 20, 30)
-	second := accelerate("second", wire.KindGang, 4, 4, 21, 30)
+	gang := newAcceleratorJob("gang", wire.KindGang, 4, 4, 20, 30)
+	whole := newAcceleratorJob("whole", wire.KindArray, 1, 4, 20, 30)
+	second := newAcceleratorJob("second", wire.KindGang, 4, 4, 21, 30)
 	begun := whenBegun(t, 4, []*Job{gang, whole, second}, 300*clock.Second)
 	for id, most := range map[string]Micros{"gang": 120, "whole": 180, "second": 240} {
 		if at := begun[id] / clock.Second; at == 0 || at > most {
@@ -97,41 +97,41 @@
 		"ends before":   {1, 20, true},
 		"ends too late": {1, 90, false},
 	} {
-		m := onMachine(0)
-		running := accelerate("running", wire.KindArray, 1, 3, 0, 50)
-		large := accelerate("large", wire.KindGang, 1, 4, 0, 50)
-		late := accelerate("late", wire.KindArray, 1, float64(c.gpus), 99, c.estimate)
+		m := newAcceleratorMachine(0)
+		running := newAcceleratorJob("running", wire.KindArray, 1, 3, 0, 50)
+		large := newAcceleratorJob("large", wire.KindGang, 1, 4, 0, 50)
+		late := newAcceleratorJob("late", wire.KindArray, 1, float64(c.gpus), 99, c.estimate)
 		teams := map[string]*Team{"t": {Name: "t"}}
-		in := &Input{Now: 100 * clock.Second, Fresh: 60 * clock.Second, Jobs: []*Job{running}, Machines: []*Machine{m}, Teams: teams,
-			Rates: map[string]float64{"g": 1}, Attempt: func() uint64 { return 1 }, MaxTasks: 100}
-		m.Heard = in.Now
+		in := &Input{Now: 100 * clock.Second, MaxReportAge: 60 * clock.Second, Jobs: []*Job{running}, Machines: []*Machine{m}, Teams: teams,
+			FetchRates: map[string]float64{"g": 1}, NextAttempt: func() uint64 { return 1 }, MaxTasksPerMachine: 100}
+		m.LastReportAt = in.Now
 		Plan(in)
-		for _, p := range m.Places {
-			p.Running, p.SentAt = in.Now, in.Now
+		for _, p := range m.Placements {
+			p.RunningSince, p.SentAt = in.Now, in.Now
 		}
 		in.Jobs = []*Job{large, late}
 		Plan(in)
-		if got := late.Placed == 1; got != c.placed || !large.booked {
-			t.Errorf("%s: placed %v, booked %v", name, got, large.booked)
+		if got := late.PlacedCount == 1; got != c.placed || !large.reserved {
+			t.Errorf("%s: placed %v, booked %v", name, got, large.reserved)
 		}
 	}
 }
 
 // crowded is a full fleet with accelerators, and gangs and arrays that wait.
 func crowded(machines int) *Input {
-	in := &Input{Now: 1000 * clock.Second, Fresh: 60 * clock.Second, Teams: map[string]*Team{"t": {Name: "t"}}, Rates: map[string]float64{"g": 0.5},
-		MaxTasks: 1000, Patience: 60 * clock.Second}
+	in := &Input{Now: 1000 * clock.Second, MaxReportAge: 60 * clock.Second, Teams: map[string]*Team{"t": {Name: "t"}}, FetchRates: map[string]float64{"g": 0.5},
+		MaxTasksPerMachine: 1000, ImageLocalityWindow: 60 * clock.Second}
 	attempts := uint64(0)
-	in.Attempt = func() uint64 { attempts++; return attempts }
+	in.NextAttempt = func() uint64 { attempts++; return attempts }
 	for i := range machines {
-		m := onMachine(i)
-		m.Heard = in.Now
+		m := newAcceleratorMachine(i)
+		m.LastReportAt = in.Now
 		in.Machines = append(in.Machines, m)
 		for k := range 4 {
-			j := accelerate(fmt.Sprintf("r-%d-%d", i, k), wire.KindArray, 1, 1, 900, Micros(110+(i*7+k*13)%90))
+			j := newAcceleratorJob(fmt.Sprintf("r-%d-%d", i, k), wire.KindArray, 1, 1, 900, Micros(110+(i*7+k*13)%90))
 			j.Queue = nil
 			Attach(&Placement{Job: j, Index: 0, Task: wire.TaskID(j.ID, 0), Machine: m, Need: j.Need(), Team: "t", Priority: 1,
-				Image: "i", Running: 950 * clock.Second, SentAt: 950 * clock.Second}, in.Teams)
+				Image: "i", RunningSince: 950 * clock.Second, SentAt: 950 * clock.Second}, in.Teams)
 		}
 	}
 	for i := range machines / 5 {
@@ -142,9 +142,9 @@
 		case 2:
 			kind, gpus, tasks = wire.KindArray, 1, 20
 		}
-		j := accelerate(fmt.Sprintf("w-%d", i), kind, tasks, gpus, Micros(900+i%100), 90)
-		j.Starts = []Micros{j.Ready + 25*clock.Second}
-		j.StartBy = j.Starts[0]
+		j := newAcceleratorJob(fmt.Sprintf("w-%d", i), kind, tasks, gpus, Micros(900+i%100), 90)
+		j.StartTargets = []Micros{j.ReadyAt + 25*clock.Second}
+		j.LastStartTarget = j.StartTargets[0]
 		in.Jobs = append(in.Jobs, j)
 	}
 	return in
@@ -158,8 +158,8 @@
 			b.Run(fmt.Sprintf("%d-%v", n, over), func(b *testing.B) {
 				in := crowded(n)
 				if over {
-					due := &Due{Share: 1e9}
-					in.Due = func(*Job) *Due { return due }
+					due := &FairShare{Share: 1e9}
+					in.FairShare = func(*Job) *FairShare { return due }
 				}
 				Plan(in)
 				for b.Loop() {
--- a/internal/sched/graph.go
+++ b/internal/sched/graph.go
@@ -15,30 +15,30 @@
 // Init sets a new job's own values, to which those of its pipeline are added as
 // Link brings them.
 func (j *Job) Init() {
-	j.Priority, j.Start, j.Deadline = wire.PriorityOf(j.Spec.Priority), j.Submitted, j.ownDeadline()
+	j.Priority, j.PipelineStart, j.Deadline = wire.PriorityOf(j.Spec.Priority), j.Submitted, j.ownDeadline()
 }
 
 // Rank is HEFT's upward rank: the expected run time plus the largest rank among
 // the jobs that wait on it.
-func (j *Job) Rank() Micros { return j.Estimate + j.tail }
+func (j *Job) UpwardRank() Micros { return j.Estimate + j.dependentsRank }
 
 // Waiting reports whether the job must not start yet.
-func (j *Job) Waiting() bool { return j.Blocked > 0 }
+func (j *Job) HasUnmetDependencies() bool { return j.UnmetDependencies > 0 }
 
 // Link notes that j needs n. Whether it still waits for it is for the caller to
 // say, in Blocked.
-func Link(j, n *Job) {
-	j.Before, n.After = append(j.Before, n), append(n.After, j)
-	j.startFrom(n.Start)
+func AddDependency(j, n *Job) {
+	j.Dependencies, n.DirectDependents = append(j.Dependencies, n), append(n.DirectDependents, j)
+	j.startFrom(n.PipelineStart)
 	n.inherit()
 }
 
 // Unlink forgets what j needs, once it is ready or over, and returns that.
-func Unlink(j *Job) []*Job {
-	before := j.Before
-	j.Before = nil
+func RemoveDependencies(j *Job) []*Job {
+	before := j.Dependencies
+	j.Dependencies = nil
 	for _, n := range before {
-		n.After = slices.DeleteFunc(n.After, func(o *Job) bool { return o == j })
+		n.DirectDependents = slices.DeleteFunc(n.DirectDependents, func(o *Job) bool { return o == j })
 		n.inherit()
 	}
 	return before
@@ -46,11 +46,11 @@
 
 // startFrom hands an earlier start on to all that need j.
 func (j *Job) startFrom(start Micros) {
-	if start >= j.Start {
+	if start >= j.PipelineStart {
 		return
 	}
-	j.Start = start
-	for _, d := range j.After {
+	j.PipelineStart = start
+	for _, d := range j.DirectDependents {
 		d.startFrom(start)
 	}
 }
@@ -59,26 +59,26 @@
 // changed, the same for what j itself needs.
 func (j *Job) inherit() {
 	tail, deadline, priority := Micros(0), j.ownDeadline(), wire.PriorityOf(j.Spec.Priority)
-	for _, d := range j.After {
-		tail = max(tail, d.Rank())
+	for _, d := range j.DirectDependents {
+		tail = max(tail, d.UpwardRank())
 		priority = max(priority, d.Priority)
 		if d.Deadline < clock.Forever {
 			deadline = min(deadline, d.Deadline-d.Estimate)
 		}
 	}
-	if tail == j.tail && deadline == j.Deadline && priority == j.Priority {
+	if tail == j.dependentsRank && deadline == j.Deadline && priority == j.Priority {
 		return
 	}
-	j.tail, j.Deadline = tail, deadline
+	j.dependentsRank, j.Deadline = tail, deadline
 	if priority != j.Priority {
 		j.Priority = priority
 		for i := range j.Tasks { // what runs already is protected as well
-			if p := j.Tasks[i].Place; p != nil {
+			if p := j.Tasks[i].Placement; p != nil {
 				p.setPriority(priority)
 			}
 		}
 	}
-	for _, n := range j.Before {
+	for _, n := range j.Dependencies {
 		n.inherit()
 	}
 }
@@ -94,11 +94,11 @@
 // setPriority keeps the machine's sum of production work right.
 func (p *Placement) setPriority(priority int) {
 	if !p.Exited {
-		p.Machine.hold(p, -1)
+		p.Machine.adjustAllocated(p, -1)
 	}
 	p.Priority = priority
 	if !p.Exited {
-		p.Machine.hold(p, 1)
+		p.Machine.adjustAllocated(p, 1)
 	}
 }
 
@@ -109,7 +109,7 @@
 	seen := map[*Job]bool{j: true}
 	var visit func(*Job)
 	visit = func(n *Job) {
-		for _, d := range n.After {
+		for _, d := range n.DirectDependents {
 			if !seen[d] {
 				seen[d] = true
 				visit(d)
--- a/internal/sched/graph_test.go
+++ b/internal/sched/graph_test.go
@@ -12,10 +12,10 @@
 // and the pipeline's start, in seconds.
 func TestGraph(t *testing.T) {
 	const s = clock.Second
-	a := job("a", wire.PriorityLow, 1, 10, 0)
-	b := job("b", wire.PriorityLow, 2, 20, 0)
-	c := job("c", wire.PriorityNormal, 3, 30, 0)
-	d := job("d", wire.PriorityHigh, 9, 5, 0)
+	a := newJob("a", wire.PriorityLow, 1, 10, 0)
+	b := newJob("b", wire.PriorityLow, 2, 20, 0)
+	c := newJob("c", wire.PriorityNormal, 3, 30, 0)
+	d := newJob("d", wire.PriorityHigh, 9, 5, 0)
 	due := 91.0 // after 9 s: at 100 s
 	d.Spec.Deadline = &due
 	d.Init()
@@ -31,63 +31,63 @@
 			if w.deadline == 0 {
 				deadline = clock.Forever
 			}
-			if j := w.job; j.Rank() != w.rank*s || j.Start != w.start*s || j.Deadline != deadline || j.Priority != w.priority {
+			if j := w.job; j.UpwardRank() != w.rank*s || j.PipelineStart != w.start*s || j.Deadline != deadline || j.Priority != w.priority {
 				t.Errorf("%s: %s: rank %v, start %v, deadline %v, priority %d; want %+v", when, j.ID,
-					j.Rank().Seconds(), j.Start.Seconds(), j.Deadline.Seconds(), j.Priority, w)
+					j.UpwardRank().Seconds(), j.PipelineStart.Seconds(), j.Deadline.Seconds(), j.Priority, w)
 			}
 		}
 	}
 	low, normal, high := wire.PriorityLow, wire.PriorityNormal, wire.PriorityHigh
-	Link(b, a)
-	Link(c, a)
+	AddDependency(b, a)
+	AddDependency(c, a)
 	check("without the last stage", want{a, 40, 1, 0, normal}, want{b, 20, 1, 0, low}, want{c, 30, 1, 0, normal})
-	m := &Machine{Type: &wire.MachineType{CPUs: 8}, Places: map[string]*Placement{}}
+	m := &Machine{Type: &wire.MachineType{CPUs: 8}, Placements: map[string]*Placement{}}
 	a.Tasks = make([]Task, 1)
-	Attach(&Placement{Job: a, Task: "a/0", Machine: m, Need: Need{CPUs: 2}, Priority: a.Priority}, nil)
-	Link(d, b)
-	Link(d, c)
+	Attach(&Placement{Job: a, Task: "a/0", Machine: m, Need: Resources{CPUs: 2}, Priority: a.Priority}, nil)
+	AddDependency(d, b)
+	AddDependency(d, c)
 	check("whole", want{a, 45, 1, 65, high}, want{b, 25, 1, 95, high}, want{c, 35, 1, 95, high}, want{d, 5, 1, 100, high})
-	if p := a.Tasks[0].Place; p.Priority != high || m.held.CPUs != 2 {
+	if p := a.Tasks[0].Placement; p.Priority != high || m.allocated.CPUs != 2 {
 		t.Errorf("a running task did not inherit: %+v", p)
 	}
 	if got := a.Dependents(); len(got) != 3 || got[2] != d {
 		t.Errorf("dependents of a: %d, the last is not d", len(got))
 	}
-	Unlink(d)
+	RemoveDependencies(d)
 	check("last stage cancelled", want{a, 40, 1, 0, normal}, want{b, 20, 1, 0, low}, want{c, 30, 1, 0, normal})
-	Unlink(c)
+	RemoveDependencies(c)
 	check("c cancelled", want{a, 30, 1, 0, low})
-	prod := job("p", wire.PriorityProduction, 4, 1, 0)
-	Link(prod, a)
-	if m.Production() != 2 {
-		t.Errorf("production work holds %v CPUs, want 2", m.Production())
+	prod := newJob("p", wire.PriorityProduction, 4, 1, 0)
+	AddDependency(prod, a)
+	if m.ProductionCPUs() != 2 {
+		t.Errorf("production work holds %v CPUs, want 2", m.ProductionCPUs())
 	}
-	Unlink(prod)
-	if m.Production() != 0 {
-		t.Errorf("production work holds %v CPUs, want 0", m.Production())
+	RemoveDependencies(prod)
+	if m.ProductionCPUs() != 0 {
+		t.Errorf("production work holds %v CPUs, want 0", m.ProductionCPUs())
 	}
-	early := job("early", wire.PriorityLow, 0, 1, 0)
-	Link(a, early)
+	early := newJob("early", wire.PriorityLow, 0, 1, 0)
+	AddDependency(a, early)
 	check("an earlier job before it", want{a, 30, 0, 0, low}, want{b, 20, 0, 0, low})
 }
 
 // TestLentPriority: a priority that a later stage lends goes before lower ones,
 // but hurries nobody while there is time.
 func TestLentPriority(t *testing.T) {
-	stage := job("stage", wire.PriorityLow, 0, 20, 0)
-	last := job("last", wire.PriorityHigh, 0, 10, 0)
+	stage := newJob("stage", wire.PriorityLow, 0, 20, 0)
+	last := newJob("last", wire.PriorityHigh, 0, 10, 0)
 	due := 130.0
 	last.Spec.Deadline = &due
 	last.Init()
-	Link(last, stage)
-	normal := job("normal", wire.PriorityNormal, 0, 20, 500)
-	for at, want := range map[Micros]int{0: relaxed, 80 * clock.Second: pressed} {
+	AddDependency(last, stage)
+	normal := newJob("normal", wire.PriorityNormal, 0, 20, 500)
+	for at, want := range map[Micros]int{0: canWait, 80 * clock.Second: mustStartNow} {
 		if got := stage.urgency(at); got != want {
 			t.Errorf("at %v s: urgency %d, want %d", at.Seconds(), got, want)
 		}
 	}
 	jobs := []*Job{normal, stage, last}
-	Order(jobs, nil, 0)
+	SortJobs(jobs, nil, 0)
 	if jobs[0] != last || jobs[1] != stage {
 		t.Errorf("order %s, %s, %s", jobs[0].ID, jobs[1].ID, jobs[2].ID)
 	}
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -14,25 +14,25 @@
 // Input is what a scheduling pass looks at. Plan changes the model as it
 // decides: it creates placements and marks victims.
 type Input struct {
-	Now      Micros
-	Fresh    Micros // a report not older than this makes a machine usable
-	Jobs     []*Job // jobs with pending tasks
-	Machines []*Machine
-	Teams    map[string]*Team
-	Rates    map[string]float64 // smoothed fetch rate by type, GB a second
-	Attempt  func() uint64      // hands out attempt numbers
-	MaxTasks int                // places that one machine's record can hold
-	Patience Micros             // how much older a job may be that is passed for an image's sake
-	SpotLoss float64            // how often the cloud takes a spot machine, per second
+	Now                 Micros
+	MaxReportAge        Micros // a report not older than this makes a machine usable
+	Jobs                []*Job // jobs with pending tasks
+	Machines            []*Machine
+	Teams               map[string]*Team
+	FetchRates          map[string]float64 // smoothed fetch rate by type, GB a second
+	NextAttempt         func() uint64      // hands out attempt numbers
+	MaxTasksPerMachine  int                // places that one machine's record can hold
+	ImageLocalityWindow Micros             // how much older a job may be that is passed for an image's sake
+	SpotLossRate        float64            // how often the cloud takes a spot machine, per second
 	// What a job's team is due while there is more to do than the machines can
 	// take; nil in the usual order.
-	Due func(*Job) *Due
+	FairShare func(*Job) *FairShare
 }
 
 // Due is a team's part of the machines under overload, in CPUs.
-type Due struct {
-	Share float64
-	Held  float64 // by its tasks; Plan keeps it up to date
+type FairShare struct {
+	Share     float64
+	Allocated float64 // by its tasks; Plan keeps it up to date
 }
 
 // Unplaced is demand that found no room.
@@ -43,10 +43,10 @@
 
 // Output is what a pass decided.
 type Output struct {
-	Launch   []*Placement
-	Stop     []*Placement
-	Unplaced []Unplaced
-	Looked   int // how often a job was weighed against a machine: the pass's cost
+	Launch      []*Placement
+	Stop        []*Placement
+	Unplaced    []Unplaced
+	Evaluations int // how often a job was weighed against a machine: the pass's cost
 }
 
 // Order sorts jobs by the paper's levels (urgency, team, pipeline, rank).
@@ -55,25 +55,25 @@
 // first, so that a job of lower priority is not late only because one of higher
 // priority was early. Work that has missed its aim is not put last: tried, and
 // more of the rest came late too.
-func Order(jobs []*Job, teams map[string]*Team, now Micros) {
+func SortJobs(jobs []*Job, teams map[string]*Team, now Micros) {
 	use := func(j *Job) float64 {
 		if t := teams[j.Spec.Team]; t != nil {
-			return t.Use
+			return t.Usage
 		}
 		return 0
 	}
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		if a.overdue(now) && b.overdue(now) && a.urgency(now) == b.urgency(now) {
 			// The oldest first, or the largest would stay behind small ones for ever.
-			return cmp.Or(cmp.Compare(a.Ready, b.Ready), cmp.Compare(a.ID, b.ID))
+			return cmp.Or(cmp.Compare(a.ReadyAt, b.ReadyAt), cmp.Compare(a.ID, b.ID))
 		}
 		return cmp.Or(
 			cmp.Compare(a.urgency(now), b.urgency(now)),
 			cmp.Compare(b.Priority, a.Priority),
 			cmp.Compare(b2i(b.Deadline < clock.Forever), b2i(a.Deadline < clock.Forever)),
 			cmp.Compare(use(a), use(b)),
-			cmp.Compare(a.Start, b.Start),
-			cmp.Compare(b.Rank(), a.Rank()),
+			cmp.Compare(a.PipelineStart, b.PipelineStart),
+			cmp.Compare(b.UpwardRank(), a.UpwardRank()),
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
@@ -92,17 +92,17 @@
 func (j *Job) hope(now Micros) int {
 	end, widest := j.end(), j.widest()
 	switch {
-	case widest <= 0 || now-j.Ready > longest*(widest-j.Ready):
+	case widest <= 0 || now-j.ReadyAt > longest*(widest-j.ReadyAt):
 		return inTime // nobody waits for ever, however many come after him
 	case j.begun() && now+j.Estimate <= end:
 		return inTime // what has begun is ended: half of a job is of no use
-	case j.StartBy > 0 && now+pressedFor <= j.StartBy:
+	case j.LastStartTarget > 0 && now+pressedFor <= j.LastStartTarget:
 		return inTime
 	case end == clock.Forever || now+j.Estimate > end:
 		return late
 	case now+pressedFor+3*j.Estimate/2 > end:
 		return doubtful // its longest task ends later than the usual one, after a fetch
-	case j.StartBy == 0:
+	case j.LastStartTarget == 0:
 		return inTime
 	}
 	return lateEnd
@@ -110,8 +110,8 @@
 
 // end is when the job should be done by the widest of its aims; clock.Forever without one.
 func (j *Job) end() Micros {
-	if n := len(j.Targets); n > 0 {
-		return min(j.Deadline, j.Targets[n-1])
+	if n := len(j.FinishTargets); n > 0 {
+		return min(j.Deadline, j.FinishTargets[n-1])
 	}
 	return j.Deadline
 }
@@ -119,28 +119,28 @@
 // widest is the end of the job's widest aim of either kind; 0 without one.
 func (j *Job) widest() Micros {
 	if end := j.end(); end < clock.Forever {
-		return max(j.StartBy, end)
+		return max(j.LastStartTarget, end)
 	}
-	return j.StartBy
+	return j.LastStartTarget
 }
 
 // Prospect tells of a job that waits or runs whether its aims are kept, can be, or
 // cannot be any more.
-func (j *Job) Prospect(now Micros) admit.Prospect {
+func (j *Job) Feasibility(now Micros) admit.Feasibility {
 	end := j.end()
 	switch {
 	case len(j.Queue) == 0 && now+j.Estimate/2 <= end:
-		return admit.Kept
-	case j.StartBy > 0 && now > j.StartBy && !j.begun():
-		return admit.Lost
+		return admit.OnTime
+	case j.LastStartTarget > 0 && now > j.LastStartTarget && !j.begun():
+		return admit.Infeasible
 	}
 	switch j.hope(now) {
 	case inTime:
-		return admit.Open
+		return admit.Feasible
 	case doubtful:
-		return admit.Doubtful
+		return admit.AtRisk
 	}
-	return admit.Lost
+	return admit.Infeasible
 }
 
 // longest is how many times its widest aim a job may have waited before it goes with
@@ -149,11 +149,11 @@
 
 // Levels of urgency.
 const (
-	first   = iota // production
-	overdue        // has not begun for so long that its users think it forgotten
-	high           // of high priority
-	pressed        // must start now to meet its aim
-	relaxed
+	first        = iota // production
+	overdue             // has not begun for so long that its users think it forgotten
+	high                // of high priority
+	mustStartNow        // must start now to meet its aim
+	canWait
 )
 
 func (j *Job) urgency(now Micros) int {
@@ -167,34 +167,34 @@
 	case wire.PriorityOf(j.Spec.Priority) >= wire.PriorityHigh && !j.patient(now):
 		return high
 	}
-	if j.Prompt(now) {
-		return pressed
+	if j.NeedsImmediateStart(now) {
+		return mustStartNow
 	}
 	slack := j.Slack(now)
-	if j.Aim(now) < clock.Forever && slack >= 0 && slack < pressedFor+j.Estimate/2 {
-		return pressed
+	if j.TargetTime(now) < clock.Forever && slack >= 0 && slack < pressedFor+j.Estimate/2 {
+		return mustStartNow
 	}
-	return relaxed
+	return canWait
 }
 
 // overdue reports whether the job has waited so long without beginning that it goes before
 // all but production: an array with one task, a gang whole. Under overload the largest jobs
 // would otherwise be the last for ever, since what takes least goes first.
 func (j *Job) overdue(now Micros) bool {
-	return j.BeginBy > 0 && now >= j.BeginBy && !j.begun()
+	return j.StarvationDeadline > 0 && now >= j.StarvationDeadline && !j.begun()
 }
 
 // Prompt reports whether the job's users want it started before a machine that is
 // rented for it could have come. Nothing but room at hand helps it, so it is pressed from
 // the first moment on; and also for a while after that, as long as it has not begun.
-func (j *Job) Prompt(now Micros) bool {
-	return len(j.Starts) > 0 && j.Starts[0]-j.Ready < j.boot && !j.begun() && now-j.Ready <= longest*(j.StartBy-j.Ready)
+func (j *Job) NeedsImmediateStart(now Micros) bool {
+	return len(j.StartTargets) > 0 && j.StartTargets[0]-j.ReadyAt < j.fastestBoot && !j.begun() && now-j.ReadyAt <= longest*(j.LastStartTarget-j.ReadyAt)
 }
 
 // patient reports whether work of high priority has the time to let work go first that is
 // pressed: a machine rented for it later would still come before its users want it started.
 func (j *Job) patient(now Micros) bool {
-	return len(j.Starts) > 0 && now+j.boot+2*pressedFor < j.Starts[0]
+	return len(j.StartTargets) > 0 && now+j.fastestBoot+2*pressedFor < j.StartTargets[0]
 }
 
 // pressedFor is the least slack that counts as ample: machines boot and fetch
@@ -202,14 +202,14 @@
 const pressedFor = 15 * clock.Second
 
 // Slack is how long the job's tasks can wait and still meet its aim.
-func (j *Job) Slack(now Micros) Micros { return j.Aim(now) - now - j.Estimate }
+func (j *Job) Slack(now Micros) Micros { return j.TargetTime(now) - now - j.Estimate }
 
 // Aim is when the job should be done: its deadline or the earliest objective
 // of its class that it can still meet.
-func (j *Job) Aim(now Micros) Micros {
+func (j *Job) TargetTime(now Micros) Micros {
 	aim := j.Deadline
-	for _, t := range j.Targets {
-		if now+j.Estimate <= t || t == j.Targets[len(j.Targets)-1] {
+	for _, t := range j.FinishTargets {
+		if now+j.Estimate <= t || t == j.FinishTargets[len(j.FinishTargets)-1] {
 			return min(aim, t)
 		}
 	}
@@ -227,15 +227,15 @@
 // usable machine.
 type pass struct {
 	*Input
-	out   Output
-	use   []*Machine
-	room  []Need
-	share []float64 // of the CPUs that services hold
+	out            Output
+	usableMachines []*Machine
+	available      []Resources
+	share          []float64 // of the CPUs that services hold
 
-	keeps  [][]booking // by machine
-	ends   [][]ending
-	shapes map[shape]*candidates
-	booked int // tasks that room is kept for
+	reservations             [][]reservation // by machine
+	expectedReleases         [][]expectedRelease
+	candidatesByRequirements map[requirements]*candidates
+	reservedTasks            int // tasks that room is kept for
 
 	round int // of those under overload: see placeShares
 
@@ -269,27 +269,27 @@
 
 // Plan runs one scheduling cycle.
 func Plan(in *Input) Output {
-	p := &pass{Input: in, use: make([]*Machine, 0, len(in.Machines))}
+	p := &pass{Input: in, usableMachines: make([]*Machine, 0, len(in.Machines))}
 	for _, m := range in.Machines {
-		m.slot = -1
-		if !m.Usable(in.Now, in.Fresh) {
+		m.passIndex = -1
+		if !m.Usable(in.Now, in.MaxReportAge) {
 			continue
 		}
-		m.slot = len(p.use)
+		m.passIndex = len(p.usableMachines)
 		share := 0.0
-		for _, pl := range m.Places {
+		for _, pl := range m.Placements {
 			if pl.Job != nil && pl.Job.Service() && !pl.Exited {
-				share += pl.Need.On(m.Type) / m.Type.CPUs
+				share += pl.Need.DominantCPUs(m.Type) / m.Type.CPUs
 			}
 		}
-		p.use, p.room, p.share = append(p.use, m), append(p.room, m.Room()), append(p.share, share)
+		p.usableMachines, p.available, p.share = append(p.usableMachines, m), append(p.available, m.Available()), append(p.share, share)
 	}
-	p.cost, p.full = make([]float64, len(p.use)), make([]bool, len(p.use))
-	Order(in.Jobs, in.Teams, in.Now)
+	p.cost, p.full = make([]float64, len(p.usableMachines)), make([]bool, len(p.usableMachines))
+	SortJobs(in.Jobs, in.Teams, in.Now)
 	jobs := slices.DeleteFunc(slices.Clone(in.Jobs), func(j *Job) bool {
 		return !j.Active() || len(j.Queue) == 0 || in.Now < j.HoldUntil
 	})
-	if in.Due != nil {
+	if in.FairShare != nil {
 		rest := slices.IndexFunc(jobs, func(j *Job) bool { return j.Priority < wire.PriorityProduction })
 		if rest >= 0 {
 			p.placeLevels(jobs[:rest])
@@ -297,7 +297,7 @@
 			return p.out
 		}
 	}
-	p.rebook(jobs)
+	p.restoreReservations(jobs)
 	p.placeLevels(jobs)
 	return p.out
 }
@@ -335,13 +335,13 @@
 	}
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		if x, y := a.overdue(p.Now), b.overdue(p.Now); x || y {
-			return cmp.Or(cmp.Compare(b2i(y), b2i(x)), cmp.Compare(a.Ready, b.Ready))
+			return cmp.Or(cmp.Compare(b2i(y), b2i(x)), cmp.Compare(a.ReadyAt, b.ReadyAt))
 		}
-		if a.Turn.Needed && b.Turn.Needed {
-			return cmp.Or(cmp.Compare(b2i(b.begun()), b2i(a.begun())), cmp.Compare(a.Turn.Share, b.Turn.Share))
+		if a.MinShareStatus.Needed && b.MinShareStatus.Needed {
+			return cmp.Or(cmp.Compare(b2i(b.begun()), b2i(a.begun())), cmp.Compare(a.MinShareStatus.ServedShare, b.MinShareStatus.ServedShare))
 		}
 		return cmp.Or(
-			cmp.Compare(b2i(b.Turn.Needed), b2i(a.Turn.Needed)),
+			cmp.Compare(b2i(b.MinShareStatus.Needed), b2i(a.MinShareStatus.Needed)),
 			cmp.Compare(a.hope(p.Now), b.hope(p.Now)),
 			cmp.Compare(a.urgency(p.Now), b.urgency(p.Now)),
 			cmp.Compare(b.Priority, a.Priority),
@@ -349,29 +349,29 @@
 			cmp.Compare(rest[a], rest[b]),
 		)
 	})
-	p.rebook(jobs)
+	p.restoreReservations(jobs)
 	for _, p.round = range []int{belowFloor, belowShare, anyRoom} {
 		p.placeLevels(slices.DeleteFunc(slices.Clone(jobs), func(j *Job) bool { return len(j.Queue) == 0 || !p.entitled(j) }))
 	}
 }
 
 // begun reports whether some of the job's tasks have places or are done.
-func (j *Job) begun() bool { return j.Placed+j.DoneCount > 0 }
+func (j *Job) begun() bool { return j.PlacedCount+j.DoneCount > 0 }
 
 // rest is what a job yet needs, in CPU-seconds, and less the longer it waits: none is
 // passed by for ever.
 func (j *Job) rest(now Micros) float64 {
-	work := j.Work()
-	if widest := j.widest(); widest > j.Ready {
-		work *= 1 - min(float64(now-j.Ready)/float64(longest*(widest-j.Ready)), 1)
+	work := j.RemainingWork()
+	if widest := j.widest(); widest > j.ReadyAt {
+		work *= 1 - min(float64(now-j.ReadyAt)/float64(longest*(widest-j.ReadyAt)), 1)
 	}
 	return work
 }
 
 // Work is what the job yet needs, in CPU-seconds: half of what its placed tasks take in
 // all, and what its waiting ones will.
-func (j *Job) Work() float64 {
-	return (float64(j.Placed)/2 + float64(len(j.Queue))) * j.Size() * j.Estimate.Seconds()
+func (j *Job) RemainingWork() float64 {
+	return (float64(j.PlacedCount)/2 + float64(len(j.Queue))) * j.TaskCPUs() * j.Estimate.Seconds()
 }
 
 // entitled reports whether a job may have one more place in this round. The last place
@@ -381,10 +381,10 @@
 		return true
 	}
 	if p.round == belowFloor {
-		return j.Turn.Needed
+		return j.MinShareStatus.Needed
 	}
-	d := p.Due(j)
-	return d.Held < d.Share-slack
+	d := p.FairShare(j)
+	return d.Allocated < d.Share-slack
 }
 
 // last reports whether what finds no room now finds none in this pass.
@@ -405,7 +405,7 @@
 	if jobs[0].Priority < wire.PriorityHigh {
 		oldest := clock.Forever // when the first job that is passed over became ready
 		for _, j := range jobs {
-			if j.Ready > oldest+p.Patience {
+			if j.ReadyAt > oldest+p.ImageLocalityWindow {
 				continue
 			}
 			if j.Gang() {
@@ -414,7 +414,7 @@
 				p.placeEach(j, true)
 			}
 			if len(j.Queue) > 0 {
-				oldest = min(oldest, j.Ready)
+				oldest = min(oldest, j.ReadyAt)
 			}
 		}
 	}
@@ -437,11 +437,11 @@
 	least := jobs[0].Need()
 	for _, j := range jobs {
 		n := j.Need()
-		least = Need{min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.Memory, n.Memory)}
+		least = Resources{min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.Memory, n.Memory)}
 	}
 	p.open = p.open[:0]
-	for i := range p.use {
-		if jobs[0].Priority == wire.PriorityProduction || least.Fits(p.room[i]) {
+	for i := range p.usableMachines {
+		if jobs[0].Priority == wire.PriorityProduction || least.Fits(p.available[i]) {
 			p.open = append(p.open, i)
 		}
 	}
@@ -452,10 +452,10 @@
 func (p *pass) placeEach(j *Job, warm bool) {
 	team := p.Teams[j.Spec.Team]
 	probing := j.Probing(p.Now)
-	if !team.Allows(j.Need()) || !p.entitled(j) || probing && j.Placed > 0 {
+	if !team.Allows(j.Need()) || !p.entitled(j) || probing && j.PlacedCount > 0 {
 		return
 	}
-	held, taste := j.Zones(nil), probing || !j.Service() && j.overdue(p.Now)
+	held, taste := j.PlacementsByZone(nil), probing || !j.Service() && j.overdue(p.Now)
 	p.warm = warm
 	p.scoreAll(j, "")
 	if held == nil {
@@ -475,18 +475,18 @@
 		for _, v := range victims {
 			p.stop(v, 0)
 		}
-		p.unbook(j) // what is left books anew
-		p.place(j, i, p.Attempt())
+		p.cancelReservations(j) // what is left books anew
+		p.place(j, i, p.NextAttempt())
 		if taste {
 			return // it has begun; the rest waits as ever
 		}
 		if held != nil {
-			held[p.use[i].Zone]++
+			held[p.usableMachines[i].Zone]++
 		}
 		p.score(j, i)
 		p.rank(held, i)
 	}
-	p.book(j)
+	p.reserve(j)
 	if n := len(j.Queue); n > 0 && !warm && p.last() {
 		if probing {
 			n = 1
@@ -500,13 +500,13 @@
 
 // Zones counts, by zone, the places that a job's tasks hold, leaving out one;
 // nil if the job does not care for zones.
-func (j *Job) Zones(without *Placement) map[string]int {
+func (j *Job) PlacementsByZone(without *Placement) map[string]int {
 	if !j.Spec.Spread && !j.Spec.OneZone {
 		return nil
 	}
 	count := map[string]int{}
 	for i := range j.Tasks {
-		if pl := j.Tasks[i].Place; pl != nil && pl != without {
+		if pl := j.Tasks[i].Placement; pl != nil && pl != without {
 			count[pl.Machine.Zone]++
 		}
 	}
@@ -530,13 +530,13 @@
 
 // allowed leaves zones, which depend on the job's other tasks, to choose.
 func (p *pass) allowed(j *Job, m *Machine) bool {
-	if !j.Allows(m.Type, m.Zone, m.Spot) || len(m.Places) >= p.MaxTasks {
+	if !j.Allows(m.Type, m.Zone, m.Spot) || len(m.Placements) >= p.MaxTasksPerMachine {
 		return false
 	}
 	// A machine that failed its last task gets one task at a time, of a job
 	// that has not failed on it: a sick machine, always free, would otherwise
 	// draw in the whole queue.
-	return m.Errors == 0 || len(m.Places) == 0 && !j.FailedOn[m.ID]
+	return m.Errors == 0 || len(m.Placements) == 0 && !j.FailedOn[m.ID]
 }
 
 // delay is the expected wait for the image on m, in seconds.
@@ -544,16 +544,16 @@
 	if _, ok := m.Images[j.Spec.Image]; ok {
 		return 0
 	}
-	alone := j.Spec.ImageGB / p.Rates[m.Type.Name]
+	alone := j.Spec.ImageGB / p.FetchRates[m.Type.Name]
 	var others []string
-	for _, q := range m.Places {
+	for _, q := range m.Placements {
 		if q.Exited {
 			continue
 		}
 		if q.Image == j.Spec.Image {
 			return alone / 2 // its fetch is under way
 		}
-		if q.Running == 0 && q.Image != "" && !slices.Contains(others, q.Image) {
+		if q.RunningSince == 0 && q.Image != "" && !slices.Contains(others, q.Image) {
 			if _, cached := m.Images[q.Image]; !cached {
 				others = append(others, q.Image)
 			}
@@ -567,7 +567,7 @@
 func (p *pass) scoreAll(j *Job, zone string) {
 	p.taken, p.frail, p.heap = nil, p.frailty(j), p.heap[:0]
 	for _, i := range p.open {
-		if zone != "" && p.use[i].Zone != zone {
+		if zone != "" && p.usableMachines[i].Zone != zone {
 			continue
 		}
 		if p.score(j, i); p.cost[i] < math.Inf(1) {
@@ -581,11 +581,11 @@
 // priority may be stopped at once to make room; what that costs is only worked
 // out when the machine would otherwise be chosen.
 func (p *pass) score(j *Job, i int) {
-	p.out.Looked++
-	m := p.use[i]
+	p.out.Evaluations++
+	m := p.usableMachines[i]
 	p.cost[i], p.full[i] = math.Inf(1), false
 	delete(p.taken, i)
-	if !j.Need().Fits(p.room[i]) {
+	if !j.Need().Fits(p.available[i]) {
 		if j.Priority != wire.PriorityProduction || m.Errors > 0 {
 			return
 		}
@@ -593,10 +593,10 @@
 	}
 	if p.allowed(j, m) {
 		delay := p.delay(j, m)
-		if p.barred(j, i, delay) {
+		if p.blockedByReservation(j, i, delay) {
 			return
 		}
-		if p.warm && delay >= j.Spec.ImageGB/p.Rates[m.Type.Name] {
+		if p.warm && delay >= j.Spec.ImageGB/p.FetchRates[m.Type.Name] {
 			return
 		}
 		p.cost[i] = delay + p.packing(j, i)
@@ -613,7 +613,7 @@
 // startSlack is how long the job's tasks can wait and still meet the earliest of its
 // start aims that is ahead; for ever without one.
 func (j *Job) startSlack(now Micros) Micros {
-	for _, at := range j.Starts {
+	for _, at := range j.StartTargets {
 		if now < at {
 			return at - now
 		}
@@ -636,7 +636,7 @@
 		} else {
 			for _, i := range p.heap {
 				cost := p.cost[i]
-				if (cost < least || cost == least && i < best) && ZoneAllows(j, held, p.use[i].Zone) {
+				if (cost < least || cost == least && i < best) && ZoneAllows(j, held, p.usableMachines[i].Zone) {
 					best, least = i, cost
 				}
 			}
@@ -644,9 +644,9 @@
 		if best < 0 || !p.full[best] {
 			return best, p.taken[best]
 		}
-		p.out.Looked++
+		p.out.Evaluations++
 		p.full[best] = false
-		victims, lost := p.enough(p.use[best], j.Priority, j.Need(), p.room[best])
+		victims, lost := p.enough(p.usableMachines[best], j.Priority, j.Need(), p.available[best])
 		if victims == nil {
 			p.cost[best] = math.Inf(1)
 			continue
@@ -676,8 +676,8 @@
 // them, which is paid for anyway, then spot machines, then ordinary ones, the
 // fullest first: so machines empty and can be returned.
 func (p *pass) packing(j *Job, i int) float64 {
-	m := p.use[i]
-	room, cost := p.room[i].Left(m.Type), 0.0
+	m := p.usableMachines[i]
+	room, cost := p.available[i].RemainingCPUs(m.Type), 0.0
 	switch share := p.share[i]; {
 	case j.Service():
 		cost = 2 * (1 - share)
@@ -701,7 +701,7 @@
 
 // chained reports whether the job is part of a pipeline: a task lost with its
 // spot machine would hold up all that comes after.
-func (j *Job) chained() bool { return len(j.Spec.Awaits) > 0 || len(j.After) > 0 }
+func (j *Job) chained() bool { return len(j.Spec.DependsOn) > 0 || len(j.DirectDependents) > 0 }
 
 // frailty reports whether a job takes ordinary machines first, where both kinds
 // have room. Beside pipelines that is work that saves nothing and would more
@@ -714,12 +714,12 @@
 		return true
 	}
 	left := float64(len(j.Tasks) - j.DoneCount)
-	return j.Array() && j.Spec.Checkpoint <= 0 && left*j.Estimate.Seconds()*p.SpotLoss > math.Ln2
+	return j.Array() && j.Spec.CheckpointInterval <= 0 && left*j.Estimate.Seconds()*p.SpotLossRate > math.Ln2
 }
 
 // enough lists the least harmful tasks on m whose end makes room for need; nil
 // if there are none. The second result is the work lost, in CPU-seconds.
-func (p *pass) enough(m *Machine, priority int, need, room Need) ([]*Placement, float64) {
+func (p *pass) enough(m *Machine, priority int, need, room Resources) ([]*Placement, float64) {
 	var victims []*Placement
 	lost := 0.0
 	for _, v := range p.victims(m, priority) {
@@ -737,7 +737,7 @@
 // priority first, then the least loss.
 func (p *pass) victims(m *Machine, priority int) []*Placement {
 	var list []*Placement
-	for _, v := range m.Places {
+	for _, v := range m.Placements {
 		if v.Priority < priority && v.Job != nil && !v.Exited && !v.Stopping && !v.Job.Gang() {
 			list = append(list, v)
 		}
@@ -750,42 +750,42 @@
 
 // kept reports whether a place's account needs its job for its floor under overload: such
 // places are taken last.
-func (p *pass) kept(v *Placement) bool { return p.Due != nil && !v.Job.Turn.Spare }
+func (p *pass) kept(v *Placement) bool { return p.FairShare != nil && !v.Job.MinShareStatus.Surplus }
 
 // loss is the work, in CPU-seconds, that stopping v at once would waste.
 func (p *pass) loss(v *Placement) float64 {
-	if v.Running == 0 {
+	if v.RunningSince == 0 {
 		return 0
 	}
-	ran := p.Now - v.Running
-	if knot := clock.FromSeconds(v.Job.Spec.Checkpoint); knot > 0 {
+	ran := p.Now - v.RunningSince
+	if knot := clock.FromSeconds(v.Job.Spec.CheckpointInterval); knot > 0 {
 		ran %= knot
 	}
-	return ran.Seconds() * v.Need.On(v.Machine.Type)
+	return ran.Seconds() * v.Need.DominantCPUs(v.Machine.Type)
 }
 
 // makeRoom stops checkpointed work of lower priority, with time to save, for
 // n waiting tasks of j. The freed room goes to the queue's head by itself.
 func (p *pass) makeRoom(j *Job, n int) {
 	urgency := j.urgency(p.Now)
-	if urgency == relaxed {
+	if urgency == canWait {
 		return // nothing can wait longer
 	}
 	need := j.Need()
-	if p.Due != nil {
+	if p.FairShare != nil {
 		// Under overload ends free room all the time. Tried: pressed work asks what an
 		// account has beyond its floor to leave; what leaves again and again is never
 		// done, and the rest comes late for it.
 		return
 	}
 	for _, i := range p.yielding() {
-		m := p.use[i]
+		m := p.usableMachines[i]
 		if m.Errors > 0 || !p.allowed(j, m) {
 			continue
 		}
-		p.out.Looked++
-		room := p.room[i]
-		for _, v := range m.Places {
+		p.out.Evaluations++
+		room := p.available[i]
+		for _, v := range m.Placements {
 			if v.Stopping && !v.Exited {
 				room = room.Add(v.Need)
 			}
@@ -801,10 +801,10 @@
 			// Only work that can wait makes way. The freed room goes to the queue's
 			// head: work that would stand before j there must not be stopped for
 			// it, or it would start and stop for ever.
-			if v.Job.Spec.Checkpoint <= 0 || v.Running == 0 || v.Job.urgency(p.Now) <= urgency {
+			if v.Job.Spec.CheckpointInterval <= 0 || v.RunningSince == 0 || v.Job.urgency(p.Now) <= urgency {
 				continue
 			}
-			p.stop(v, v.Job.Spec.Save+1)
+			p.stop(v, v.Job.Spec.SaveDuration+1)
 			room = room.Add(v.Need)
 			for need.Fits(room) && n > 0 {
 				room = room.Sub(need)
@@ -821,9 +821,9 @@
 		return p.yield
 	}
 	p.known = true
-	for i, m := range p.use {
-		for _, v := range m.Places {
-			if !v.Exited && (v.Stopping || v.Job != nil && v.Job.Spec.Checkpoint > 0) {
+	for i, m := range p.usableMachines {
+		for _, v := range m.Placements {
+			if !v.Exited && (v.Stopping || v.Job != nil && v.Job.Spec.CheckpointInterval > 0) {
 				p.yield = append(p.yield, i)
 				break
 			}
@@ -838,31 +838,31 @@
 	p.out.Stop = append(p.out.Stop, v)
 	if grace == 0 {
 		// The worker runs the stop before the launch that rides with it.
-		p.room[v.Machine.slot] = p.room[v.Machine.slot].Add(v.Need)
+		p.available[v.Machine.passIndex] = p.available[v.Machine.passIndex].Add(v.Need)
 	}
 }
 
 // count keeps what a place's account holds up to date.
 func (p *pass) count(pl *Placement, sign float64) {
-	if p.Due != nil && pl.Job != nil && pl.Job.Priority < wire.PriorityProduction {
-		p.Due(pl.Job).Held += sign * pl.Need.On(pl.Machine.Type)
+	if p.FairShare != nil && pl.Job != nil && pl.Job.Priority < wire.PriorityProduction {
+		p.FairShare(pl.Job).Allocated += sign * pl.Need.DominantCPUs(pl.Machine.Type)
 	}
 }
 
 func (p *pass) place(j *Job, i int, attempt uint64) {
-	m := p.use[i]
+	m := p.usableMachines[i]
 	index := int(j.Queue[0])
 	j.Queue = j.Queue[1:]
 	pl := &Placement{
 		Job: j, Index: index, Task: wire.TaskID(j.ID, index), Attempt: attempt,
 		Machine: m, Session: m.Session, Need: j.Need(), Team: j.Spec.Team,
-		Priority: j.Priority, Image: j.Spec.Image, Delay: p.delay(j, m),
+		Priority: j.Priority, Image: j.Spec.Image, FetchDelay: p.delay(j, m),
 	}
 	Attach(pl, p.Teams)
 	p.count(pl, 1)
-	p.room[i] = p.room[i].Sub(pl.Need)
+	p.available[i] = p.available[i].Sub(pl.Need)
 	if j.Service() {
-		p.share[i] += pl.Need.On(m.Type) / m.Type.CPUs
+		p.share[i] += pl.Need.DominantCPUs(m.Type) / m.Type.CPUs
 	}
 	p.out.Launch = append(p.out.Launch, pl)
 }
@@ -870,43 +870,43 @@
 // Attach enters a placement into the model. A worker has a task once at most,
 // so a place that the same task held on the machine ends.
 func Attach(pl *Placement, teams map[string]*Team) {
-	if old := pl.Machine.Places[pl.Task]; old != nil {
+	if old := pl.Machine.Placements[pl.Task]; old != nil {
 		Detach(old, teams)
 	}
-	pl.Machine.hold(pl, 1)
-	pl.Machine.Places[pl.Task] = pl
+	pl.Machine.adjustAllocated(pl, 1)
+	pl.Machine.Placements[pl.Task] = pl
 	if t := teams[pl.Team]; t != nil {
-		t.Held, t.Size = t.Held.Add(pl.Need), t.Size+pl.Need.On(pl.Machine.Type)
+		t.Allocated, t.AllocatedCPUs = t.Allocated.Add(pl.Need), t.AllocatedCPUs+pl.Need.DominantCPUs(pl.Machine.Type)
 	}
 	if pl.Job != nil {
-		pl.Job.Placed++
+		pl.Job.PlacedCount++
 		pl.Job.Tasks[pl.Index].State = Placed
-		pl.Job.Tasks[pl.Index].Place = pl
+		pl.Job.Tasks[pl.Index].Placement = pl
 	}
 }
 
 // Detach removes a placement whose task has provably left its machine.
 func Detach(pl *Placement, teams map[string]*Team) {
-	if pl.Machine.Places[pl.Task] != pl {
+	if pl.Machine.Placements[pl.Task] != pl {
 		return
 	}
-	delete(pl.Machine.Places, pl.Task)
+	delete(pl.Machine.Placements, pl.Task)
 	if !pl.Exited {
-		pl.Machine.hold(pl, -1)
+		pl.Machine.adjustAllocated(pl, -1)
 	}
 	if t := teams[pl.Team]; t != nil {
-		t.Held, t.Size = t.Held.Sub(pl.Need), t.Size-pl.Need.On(pl.Machine.Type)
+		t.Allocated, t.AllocatedCPUs = t.Allocated.Sub(pl.Need), t.AllocatedCPUs-pl.Need.DominantCPUs(pl.Machine.Type)
 	}
 	if pl.Job != nil {
-		pl.Job.Placed--
-		pl.Job.Tasks[pl.Index].Place = nil
+		pl.Job.PlacedCount--
+		pl.Job.Tasks[pl.Index].Placement = nil
 	}
 }
 
 // Exit notes that the task was seen exited: it takes no room any more.
-func (pl *Placement) Exit() {
-	if !pl.Exited && pl.Machine.Places[pl.Task] == pl {
-		pl.Machine.hold(pl, -1)
+func (pl *Placement) MarkExited() {
+	if !pl.Exited && pl.Machine.Placements[pl.Task] == pl {
+		pl.Machine.adjustAllocated(pl, -1)
 	}
 	pl.Exited = true
 }
@@ -914,7 +914,7 @@
 // placeGang places all tasks of a gang within this pass or none of them, only where its
 // image is if warm is set: a gang begins with the last of its tasks.
 func (p *pass) placeGang(j *Job, warm bool) {
-	if j.Placed > 0 || len(j.Queue) < len(j.Tasks)-j.DoneCount || !p.entitled(j) {
+	if j.PlacedCount > 0 || len(j.Queue) < len(j.Tasks)-j.DoneCount || !p.entitled(j) {
 		return // old tasks have not left yet, or others of its account came before it
 	}
 	n := len(j.Queue)
@@ -931,8 +931,8 @@
 	}
 	for _, zone := range zones {
 		if picks := p.gangPicks(j, n, zone, warm); picks != nil {
-			p.unbook(j)
-			attempt := p.Attempt()
+			p.cancelReservations(j)
+			attempt := p.NextAttempt()
 			j.GangAttempt = attempt
 			for _, i := range picks {
 				p.place(j, i, attempt)
@@ -940,7 +940,7 @@
 			return
 		}
 	}
-	p.book(j)
+	p.reserve(j)
 	if p.last() && !warm {
 		p.out.Unplaced = append(p.out.Unplaced, Unplaced{j, n})
 	}
@@ -966,7 +966,7 @@
 	var picks []int
 	defer func() {
 		for _, i := range picks { // what was tried
-			p.room[i] = p.room[i].Add(j.Need())
+			p.available[i] = p.available[i].Add(j.Need())
 		}
 	}()
 	for range n {
@@ -974,8 +974,8 @@
 		if i < 0 || victims != nil { // a gang waits for room instead
 			return nil
 		}
-		held[p.use[i].Zone]++
-		p.room[i] = p.room[i].Sub(j.Need())
+		held[p.usableMachines[i].Zone]++
+		p.available[i] = p.available[i].Sub(j.Need())
 		p.score(j, i)
 		picks = append(picks, i)
 	}
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -7,13 +7,13 @@
 	"lilacthread/wire"
 )
 
-func job(id string, priority int, submitted, estimate, target Micros) *Job {
+func newJob(id string, priority int, submitted, estimate, target Micros) *Job {
 	name := []string{"best_effort", "normal", "urgent", "prod"}[priority]
-	j := &Job{ID: id, Submitted: submitted * clock.Second, Ready: submitted * clock.Second, Estimate: estimate * clock.Second,
+	j := &Job{ID: id, Submitted: submitted * clock.Second, ReadyAt: submitted * clock.Second, Estimate: estimate * clock.Second,
 		Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", Priority: name}}
 	j.Init()
 	if target > 0 {
-		j.Targets = []Micros{target * clock.Second}
+		j.FinishTargets = []Micros{target * clock.Second}
 	}
 	return j
 }
@@ -21,16 +21,16 @@
 // TestOrder covers each level: priority above, urgency from slack, team use,
 // start, rank.
 func TestOrder(t *testing.T) {
-	prod := job("prod", wire.PriorityProduction, 9, 0, 0)
-	pressed := job("pressed", wire.PriorityLow, 8, 50, 70) // 20 s of slack
-	normal := job("normal", wire.PriorityNormal, 5, 50, 500)
-	older := job("older", wire.PriorityLow, 1, 10, 500)
-	longer := job("longer", wire.PriorityLow, 2, 90, 500)
-	shorter := job("shorter", wire.PriorityLow, 2, 10, 500)
-	frugal := job("frugal", wire.PriorityLow, 7, 10, 500)
+	prod := newJob("prod", wire.PriorityProduction, 9, 0, 0)
+	pressed := newJob("pressed", wire.PriorityLow, 8, 50, 70) // 20 s of slack
+	normal := newJob("normal", wire.PriorityNormal, 5, 50, 500)
+	older := newJob("older", wire.PriorityLow, 1, 10, 500)
+	longer := newJob("longer", wire.PriorityLow, 2, 90, 500)
+	shorter := newJob("shorter", wire.PriorityLow, 2, 10, 500)
+	frugal := newJob("frugal", wire.PriorityLow, 7, 10, 500)
 	frugal.Spec.Team = "u"
 	jobs := []*Job{shorter, longer, older, frugal, normal, pressed, prod}
-	Order(jobs, map[string]*Team{"t": {Use: 5}, "u": {Use: 1}}, 0)
+	SortJobs(jobs, map[string]*Team{"t": {Usage: 5}, "u": {Usage: 1}}, 0)
 	want := []*Job{prod, pressed, normal, frugal, older, longer, shorter}
 	for i := range want {
 		if jobs[i] != want[i] {
@@ -55,17 +55,17 @@
 		stops  int
 	}{{1000, 1}, {100, 0}} {
 		m := &Machine{ID: "m-1", Type: typ, Zone: "a", Up: true, Acked: true,
-			Places: map[string]*Placement{}, Images: map[string]Micros{}, Sizes: map[string]float64{}}
-		low := job("low", wire.PriorityLow, 0, 60, c.target)
-		low.Spec.Tasks, low.Spec.Checkpoint, low.Spec.Save = 1, 10, 2
+			Placements: map[string]*Placement{}, Images: map[string]Micros{}, ImageSizes: map[string]float64{}}
+		low := newJob("low", wire.PriorityLow, 0, 60, c.target)
+		low.Spec.Tasks, low.Spec.CheckpointInterval, low.Spec.SaveDuration = 1, 10, 2
 		low.Tasks = make([]Task, 1)
 		teams := map[string]*Team{"t": {}}
-		Attach(&Placement{Job: low, Task: "low/0", Machine: m, Need: Need{CPUs: 4, Memory: 4}, Team: "t", Running: 1}, teams)
-		waiting := job("normal", wire.PriorityNormal, 0, 60, 95) // pressed by 35 s of slack
+		Attach(&Placement{Job: low, Task: "low/0", Machine: m, Need: Resources{CPUs: 4, Memory: 4}, Team: "t", RunningSince: 1}, teams)
+		waiting := newJob("normal", wire.PriorityNormal, 0, 60, 95) // pressed by 35 s of slack
 		waiting.Spec.CPUs, waiting.Spec.MemoryGB, waiting.Spec.Tasks = 4, 4, 1
 		waiting.Tasks, waiting.Queue = make([]Task, 1), []int32{0}
-		out := Plan(&Input{Now: 1, Fresh: clock.Second, Jobs: []*Job{low, waiting}, Machines: []*Machine{m},
-			Teams: teams, Rates: map[string]float64{"m": 1}, MaxTasks: 10, Attempt: func() uint64 { return 1 }})
+		out := Plan(&Input{Now: 1, MaxReportAge: clock.Second, Jobs: []*Job{low, waiting}, Machines: []*Machine{m},
+			Teams: teams, FetchRates: map[string]float64{"m": 1}, MaxTasksPerMachine: 10, NextAttempt: func() uint64 { return 1 }})
 		if len(out.Stop) != c.stops || len(out.Launch) != 0 {
 			t.Errorf("target %d: %d stops, %d launches", c.target, len(out.Stop), len(out.Launch))
 		}
--- a/internal/sched/size.go
+++ b/internal/sched/size.go
@@ -14,7 +14,7 @@
 // accelerators the two are the same.
 
 // On is what a task takes of a machine of the type, in its CPUs.
-func (n Need) On(t *wire.MachineType) float64 {
+func (n Resources) DominantCPUs(t *wire.MachineType) float64 {
 	if t.GPUs <= 0 {
 		return n.CPUs
 	}
@@ -22,7 +22,7 @@
 }
 
 // Left is what room there is on a machine of the type, in its CPUs.
-func (n Need) Left(t *wire.MachineType) float64 {
+func (n Resources) RemainingCPUs(t *wire.MachineType) float64 {
 	if t.GPUs <= 0 {
 		return n.CPUs
 	}
@@ -31,40 +31,40 @@
 
 // Measure works out what a task of the job takes of the type that suits it best. It
 // depends on the catalogue, without which it is the task's CPUs.
-func (j *Job) Measure(types []wire.MachineType) {
-	j.size, j.boot, j.large = 0, 0, false
+func (j *Job) ComputeSize(types []wire.MachineType) {
+	j.taskCPUs, j.fastestBoot, j.large = 0, 0, false
 	for i := range types {
 		t := &types[i]
 		if !j.Allows(t, j.Spec.Zone, false) {
 			continue
 		}
-		if s := j.Need().On(t); j.size == 0 || s < j.size {
-			j.size, j.large = s, s > t.CPUs/2+slack
+		if s := j.Need().DominantCPUs(t); j.taskCPUs == 0 || s < j.taskCPUs {
+			j.taskCPUs, j.large = s, s > t.CPUs/2+slack
 		}
-		if b := clock.FromSeconds(t.Boot); j.boot == 0 || b < j.boot {
-			j.boot = b
+		if b := clock.FromSeconds(t.BootTime); j.fastestBoot == 0 || b < j.fastestBoot {
+			j.fastestBoot = b
 		}
 	}
 }
 
 // Size is what a task of the job takes, in CPUs.
-func (j *Job) Size() float64 {
-	if j.size > 0 {
-		return j.size
+func (j *Job) TaskCPUs() float64 {
+	if j.taskCPUs > 0 {
+		return j.taskCPUs
 	}
 	return j.Spec.CPUs
 }
 
 // Whole is what the whole job takes at once, in CPUs.
-func (j *Job) Whole() float64 { return j.Size() * float64(j.Spec.Tasks) }
+func (j *Job) TotalCPUs() float64 { return j.TaskCPUs() * float64(j.Spec.Tasks) }
 
 // Decay brings a team's use up to now: what it holds adds up, and the past
 // fades over the window.
-func (t *Team) Decay(now, window Micros) {
-	dt := now - t.UseAt
+func (t *Team) DecayUsage(now, window Micros) {
+	dt := now - t.UsageUpdatedAt
 	if dt <= 0 {
 		return
 	}
-	t.Use = t.Use*math.Exp(-float64(dt)/float64(window)) + t.Size*dt.Seconds()
-	t.UseAt = now
+	t.Usage = t.Usage*math.Exp(-float64(dt)/float64(window)) + t.AllocatedCPUs*dt.Seconds()
+	t.UsageUpdatedAt = now
 }
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -13,12 +13,12 @@
 // services and thousands of waiting tasks.
 func bigInput(machines, jobs, tasks int) *Input {
 	typ := &wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64, CacheGB: 40, Price: 1, SpotPrice: 0.2}
-	in := &Input{Now: 100 * clock.Second, Fresh: 3 * clock.Second, Teams: map[string]*Team{"t": {}},
-		Rates: map[string]float64{"m": 0.3}, MaxTasks: 100, Patience: clock.Forever}
+	in := &Input{Now: 100 * clock.Second, MaxReportAge: 3 * clock.Second, Teams: map[string]*Team{"t": {}},
+		FetchRates: map[string]float64{"m": 0.3}, MaxTasksPerMachine: 100, ImageLocalityWindow: clock.Forever}
 	attempts := uint64(0)
-	in.Attempt = func() uint64 { attempts++; return attempts }
+	in.NextAttempt = func() uint64 { attempts++; return attempts }
 	newJob := func(id, kind string, priority, tasks int, cpus float64) *Job {
-		j := job(id, priority, 10, 50, 0)
+		j := newJob(id, priority, 10, 50, 0)
 		j.Spec.Kind, j.Spec.Tasks, j.Spec.CPUs, j.Spec.MemoryGB = kind, tasks, cpus, 2
 		j.Spec.Image, j.Spec.ImageGB, j.Spec.Spot = "img-"+id[len(id)-1:], 2, kind == wire.KindArray
 		j.Tasks, j.FailedOn = make([]Task, tasks), map[string]bool{}
@@ -30,12 +30,12 @@
 	old := newJob("old0", wire.KindArray, wire.PriorityLow, machines*4, 4)
 	for i := range machines {
 		m := &Machine{ID: fmt.Sprintf("m-%06d", i), Type: typ, Zone: "a", Spot: i%2 == 0, Up: true, Acked: true,
-			Heard: in.Now, Places: map[string]*Placement{}, Images: map[string]Micros{}, Sizes: map[string]float64{}}
+			LastReportAt: in.Now, Placements: map[string]*Placement{}, Images: map[string]Micros{}, ImageSizes: map[string]float64{}}
 		in.Machines = append(in.Machines, m)
 		for k := 0; i%3 == 0 && k < 4; k++ {
 			index := 4*i + k
 			Attach(&Placement{Job: old, Index: index, Task: wire.TaskID(old.ID, index), Machine: m, Need: old.Need(),
-				Team: "t", Priority: old.Priority, Image: old.Spec.Image, Running: 1}, in.Teams)
+				Team: "t", Priority: old.Priority, Image: old.Spec.Image, RunningSince: 1}, in.Teams)
 		}
 	}
 	for i := range jobs {
@@ -55,8 +55,8 @@
 	const machines, jobs, tasks = 500, 100, 50
 	in := bigInput(machines, jobs, tasks)
 	out := Plan(in)
-	if limit := 2*machines*jobs + 3*len(out.Launch); out.Looked > limit {
-		t.Errorf("weighed %d times, limit %d", out.Looked, limit)
+	if limit := 2*machines*jobs + 3*len(out.Launch); out.Evaluations > limit {
+		t.Errorf("weighed %d times, limit %d", out.Evaluations, limit)
 	}
 	if len(out.Launch) < 1000 || len(out.Unplaced) == 0 {
 		t.Errorf("%d launches, %d jobs unplaced: not the case meant", len(out.Launch), len(out.Unplaced))
@@ -74,10 +74,10 @@
 					b.StopTimer()
 					in := bigInput(n, n/5, 50)
 					if kind == "over" {
-						due := &Due{Share: 1e9}
-						in.Due = func(*Job) *Due { return due }
+						due := &FairShare{Share: 1e9}
+						in.FairShare = func(*Job) *FairShare { return due }
 						for i, j := range in.Jobs {
-							j.Turn = admit.Turn{Needed: i%2 == 0, Share: float64(i) / float64(len(in.Jobs))}
+							j.MinShareStatus = admit.MinShareStatus{Needed: i%2 == 0, ServedShare: float64(i) / float64(len(in.Jobs))}
 						}
 					}
 					if kind != "room" {
@@ -105,14 +105,14 @@
 	} {
 		in := bigInput(1, 0, 0)
 		m := in.Machines[0]
-		for _, p := range m.Places {
+		for _, p := range m.Placements {
 			Detach(p, in.Teams)
 		}
 		m.Images["warm"] = 1
 		m.Type.CPUs = 4 * float64(c.rooms)
-		in.Patience = c.patience
+		in.ImageLocalityWindow = c.patience
 		for i, id := range []string{"older", "younger"} {
-			j := job(id, wire.PriorityLow, Micros(10+20*i), 50, 0)
+			j := newJob(id, wire.PriorityLow, Micros(10+20*i), 50, 0)
 			j.Spec.CPUs, j.Spec.Tasks, j.Spec.ImageGB, j.Spec.Spot = 4, 1, 2, true
 			j.Spec.Image = []string{"cold", "warm"}[i]
 			j.Tasks, j.Queue = make([]Task, 1), []int32{0}
@@ -134,8 +134,8 @@
 	warm := func(m *Machine) { m.Images["img"] = 1 }
 	spot := func(m *Machine) { m.Spot = true }
 	fuller := func(m *Machine) {
-		task := fmt.Sprint("x/", len(m.Places))
-		Attach(&Placement{Task: task, Machine: m, Need: Need{CPUs: 8}, Running: 1}, nil)
+		task := fmt.Sprint("x/", len(m.Placements))
+		Attach(&Placement{Task: task, Machine: m, Need: Resources{CPUs: 8}, RunningSince: 1}, nil)
 	}
 	failing := func(m *Machine) { m.Errors = 1 }
 	plain := func(*Machine) {}
@@ -158,17 +158,17 @@
 		in := bigInput(0, 0, 0)
 		typ := &wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64}
 		for i, set := range []func(*Machine){c.first, c.second} {
-			m := &Machine{ID: fmt.Sprint("m-", i), Type: typ, Zone: "a", Up: true, Acked: true, Heard: in.Now,
-				Places: map[string]*Placement{}, Images: map[string]Micros{}, Sizes: map[string]float64{}}
+			m := &Machine{ID: fmt.Sprint("m-", i), Type: typ, Zone: "a", Up: true, Acked: true, LastReportAt: in.Now,
+				Placements: map[string]*Placement{}, Images: map[string]Micros{}, ImageSizes: map[string]float64{}}
 			in.Machines = append(in.Machines, m)
 			set(m)
 		}
-		j := job("j", wire.PriorityNormal, 10, 50, 0)
+		j := newJob("j", wire.PriorityNormal, 10, 50, 0)
 		j.Spec.CPUs, j.Spec.Tasks, j.Spec.Image, j.Spec.ImageGB, j.Spec.Spot = 4, 1, "img", 2, true
-		j.Tasks, j.Queue, j.Spec.Awaits = make([]Task, 1), []int32{0}, c.awaits
-		j.Spec.Checkpoint = c.checkpoint
+		j.Tasks, j.Queue, j.Spec.DependsOn = make([]Task, 1), []int32{0}, c.awaits
+		j.Spec.CheckpointInterval = c.checkpoint
 		if c.lives > 0 {
-			in.SpotLoss = 1 / c.lives
+			in.SpotLossRate = 1 / c.lives
 		}
 		in.Jobs = []*Job{j}
 		out := Plan(in)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -25,9 +25,9 @@
 
 // Server serves one node's public address.
 type Server struct {
-	owner Owner
-	open  atomic.Int64
-	limit int64
+	owner     Owner
+	openConns atomic.Int64
+	limit     int64
 }
 
 // New makes a server that keeps at most limit connections.
@@ -46,11 +46,11 @@
 		ConnState: func(c net.Conn, st http.ConnState) {
 			switch st {
 			case http.StateNew:
-				if s.open.Add(1) > s.limit {
+				if s.openConns.Add(1) > s.limit {
 					c.Close() // the load balancer tries another node
 				}
 			case http.StateClosed, http.StateHijacked:
-				s.open.Add(-1)
+				s.openConns.Add(-1)
 			}
 		},
 	}
@@ -74,15 +74,17 @@
 const workerShare = 60
 
 // beyond reports whether more than a percentage of the sockets is in use.
-func (s *Server) beyond(percent int64) bool { return s.open.Load() > s.limit*percent/100 }
+func (s *Server) usageExceeds(percent int64) bool { return s.openConns.Load() > s.limit*percent/100 }
 
 // Share is the part of the sockets that is in use.
-func (s *Server) Share() float64 { return float64(s.open.Load()) / float64(max(s.limit, 1)) }
+func (s *Server) ConnectionUsage() float64 {
+	return float64(s.openConns.Load()) / float64(max(s.limit, 1))
+}
 
 // ServeHTTP routes by hand: the paths are few, and job ids need no decoding.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	path := r.URL.Path
-	if s.beyond(userShare) && strings.HasPrefix(path, jobs) {
+	if s.usageExceeds(userShare) && strings.HasPrefix(path, jobs) {
 		// Sockets run short: users are shed first, workers last.
 		w.Header().Set("Connection", "close")
 		answer(w, controller.Answer{}, false)
@@ -99,11 +101,11 @@
 		}
 	case path == "/admission":
 		if method(w, r, http.MethodGet) {
-			tell(s, w, r, (*controller.Core).Admission)
+			writeSnapshot(s, w, r, (*controller.Core).Admission)
 		}
 	case path == "/relays":
 		if method(w, r, http.MethodGet) {
-			tell(s, w, r, (*controller.Core).Relays)
+			writeSnapshot(s, w, r, (*controller.Core).Relays)
 		}
 	case path == jobs:
 		if method(w, r, http.MethodPost) {
@@ -188,7 +190,7 @@
 }
 
 // tell answers an operator's question.
-func tell[T any](s *Server, w http.ResponseWriter, r *http.Request, ask func(*controller.Core) *T) {
+func writeSnapshot[T any](s *Server, w http.ResponseWriter, r *http.Request, ask func(*controller.Core) *T) {
 	a, ok := wait(s, r, 2*time.Second, func(c *controller.Core, reply func(*T)) { reply(ask(c)) })
 	if !ok {
 		problem(w, http.StatusServiceUnavailable, "busy")
@@ -210,7 +212,7 @@
 			problem(w, http.StatusBadRequest, err.Error())
 			return
 		}
-		ask = func(c *controller.Core, reply func(controller.Answer)) { c.Malformed(id, err.Error(), reply) }
+		ask = func(c *controller.Core, reply func(controller.Answer)) { c.RejectMalformed(id, err.Error(), reply) }
 	}
 	a, ok := wait(s, r, 4*time.Second, ask)
 	answer(w, a, ok)
@@ -245,7 +247,7 @@
 }
 
 func (s *Server) report(w http.ResponseWriter, r *http.Request) {
-	if s.beyond(workerShare) {
+	if s.usageExceeds(workerShare) {
 		w.Header().Set("Connection", "close")
 	}
 	body, ok := read(w, r)
@@ -258,7 +260,7 @@
 		problem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	a, ok := wait(s, r, 3*time.Second, func(c *controller.Core, reply func(controller.ReportAnswer)) { c.TakeReport(rep, reply) })
+	a, ok := wait(s, r, 3*time.Second, func(c *controller.Core, reply func(controller.ReportAnswer)) { c.HandleReport(rep, reply) })
 	switch {
 	case !ok:
 		problem(w, http.StatusServiceUnavailable, "busy")
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -21,16 +21,16 @@
 // cutOff is the world of a node that reaches nobody.
 type cutOff struct{}
 
-func (cutOff) Now() clock.Micros                                               { return 0 }
-func (cutOff) Wall() clock.Micros                                              { return 0 }
-func (cutOff) After(clock.Micros, func())                                      {}
-func (cutOff) Ask(_ string, _ *peer.Msg, _ clock.Micros, done func(*peer.Msg)) { done(nil) }
-func (cutOff) Order(_ string, _ *wire.Orders, done func(store.Outcome, *wire.Report)) {
+func (cutOff) Now() clock.Micros                                                { return 0 }
+func (cutOff) Wall() clock.Micros                                               { return 0 }
+func (cutOff) After(clock.Micros, func())                                       {}
+func (cutOff) Call(_ string, _ *peer.Msg, _ clock.Micros, done func(*peer.Msg)) { done(nil) }
+func (cutOff) SendOrders(_ string, _ *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	done(store.Refused, nil)
 }
-func (cutOff) Sockets() float64        { return 0 }
-func (cutOff) State() store.Service    { return noState{} }
-func (cutOff) Cloud() controller.Cloud { return noCloud{} }
+func (cutOff) ConnectionUsage() float64 { return 0 }
+func (cutOff) State() store.Service     { return noState{} }
+func (cutOff) Cloud() controller.Cloud  { return noCloud{} }
 
 type noState struct{}
 
@@ -63,7 +63,7 @@
 func TestWorkersMakeRoom(t *testing.T) {
 	s := New(&owner{}, 10)
 	for open, want := range map[int64]string{5: "", 7: "close"} {
-		s.open.Store(open)
+		s.openConns.Store(open)
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/checkin", strings.NewReader("x")))
 		if got := w.Header().Get("Connection"); got != want {
@@ -97,7 +97,7 @@
 // at once while workers still reach the owner.
 func TestShedsUsersFirst(t *testing.T) {
 	s := New(newOwner(), 10)
-	s.open.Store(9)
+	s.openConns.Store(9)
 	for path, want := range map[string]string{"/v2/runs/nobody": "1", "/checkin": ""} {
 		w := httptest.NewRecorder()
 		method := http.MethodGet
@@ -110,7 +110,7 @@
 			t.Errorf("%s: %d, Retry-After %q", path, w.Code, w.Header().Get("Retry-After"))
 		}
 	}
-	s.open.Store(8)
+	s.openConns.Store(8)
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v2/runs/nobody", nil))
 	if w.Code != 404 {
--- a/internal/sim/bench_test.go
+++ b/internal/sim/bench_test.go
@@ -11,21 +11,21 @@
 
 // bigWorld is a leader, and its followers if there are to be more nodes, of n machines,
 // each of which runs eight tasks.
-func bigWorld(b testing.TB, nodes, n int) *World {
+func newLoadedWorld(b testing.TB, nodes, n int) *World {
 	w := NewWorld(nodes, []string{"a"}, 7)
 	s := &script{w: w}
 	s.team("core", 0, 0)
 	w.Cloud.Types = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchRate: 1, Price: 1,
-		SpotPrice: 0.3, Boot: 10, Zones: []string{"a"}}}
+		SpotPrice: 0.3, BootTime: 10, Zones: []string{"a"}}}
 	w.Config.Params.Workers.Report, w.Config.Params.Workers.Lease = 5, 25
 	w.Config.Params.Cloud.RPS = 20
 	for _, node := range w.Nodes {
 		node.Start()
 	}
 	for i := range n / 10 {
-		w.At(sec, s.verb("submit", parseArgs([]string{fmt.Sprintf("req-%06d", i), "array", "tasks=80", "cpus=2", "run=100000"})))
+		w.At(second, s.compile("submit", parseArgs([]string{fmt.Sprintf("req-%06d", i), "array", "tasks=80", "cpus=2", "run=100000"})))
 	}
-	w.Run(150 * sec)
+	w.Run(150 * second)
 	if have := len(w.Cloud.Machines); have < n*9/10 {
 		b.Fatalf("%d machines: not the case meant", have)
 	}
@@ -42,7 +42,7 @@
 // and the answer's encoding included.
 func BenchmarkReport(b *testing.B) {
 	sizes(b, func(b *testing.B, n int) {
-		w := bigWorld(b, 1, n)
+		w := newLoadedWorld(b, 1, n)
 		ids := sortedKeys(w.Cloud.Machines)
 		i := 0
 		for b.Loop() {
@@ -54,7 +54,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			a := w.Nodes[0].core.OnReport(r)
+			a := w.Nodes[0].core.ProcessReport(r)
 			if a.Code != 200 {
 				b.Fatal(a.Code)
 			}
@@ -71,7 +71,7 @@
 	for name, repeated := range map[string]bool{"whole": false, "repeated": true} {
 		b.Run(name, func(b *testing.B) {
 			sizes(b, func(b *testing.B, n int) {
-				w := bigWorld(b, 1, n)
+				w := newLoadedWorld(b, 1, n)
 				ids := sortedKeys(w.Cloud.Machines)
 				last := map[string]uint64{}
 				for i := 0; b.Loop(); i++ {
@@ -79,12 +79,12 @@
 					m := &peer.Msg{Kind: fb.KindReports, Node: "node-1"}
 					for k := range batch {
 						rep := w.Cloud.Machines[ids[(i*batch+k)%len(ids)]].snapshot()
-						item := peer.RelayedReport{Machine: rep.Machine, Session: rep.Session, Seq: rep.Seq, Token: rep.Token, Base: last[rep.Machine]}
-						if !repeated || item.Base == 0 {
+						item := peer.RelayedReport{Machine: rep.Machine, Session: rep.Session, Seq: rep.Seq, Token: rep.Token, BaseSeq: last[rep.Machine]}
+						if !repeated || item.BaseSeq == 0 {
 							item.Body = wire.Encode(rep)
 						}
 						last[rep.Machine] = rep.Seq
-						m.Relayed = append(m.Relayed, item)
+						m.RelayedReports = append(m.RelayedReports, item)
 					}
 					frame := m.Encode()
 					b.StartTimer()
@@ -92,9 +92,9 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					w.Nodes[0].core.OnPeer(got, func(a *peer.Msg) {
-						if a.Answers[0].Code != 200 {
-							b.Fatal(a.Answers[0].Code)
+					w.Nodes[0].core.HandlePeerMessage(got, func(a *peer.Msg) {
+						if a.ReportAnswers[0].Code != 200 {
+							b.Fatal(a.ReportAnswers[0].Code)
 						}
 						a.Encode()
 					})
@@ -109,9 +109,9 @@
 // reports and what the stand-ins of everything else cost.
 func BenchmarkSecond(b *testing.B) {
 	sizes(b, func(b *testing.B, n int) {
-		w := bigWorld(b, 1, n)
+		w := newLoadedWorld(b, 1, n)
 		for b.Loop() {
-			w.Run(w.now + sec)
+			w.Run(w.now + second)
 		}
 	})
 }
@@ -119,17 +119,17 @@
 // BenchmarkTakeover is the load of all records by a new leader.
 func BenchmarkTakeover(b *testing.B) {
 	sizes(b, func(b *testing.B, n int) {
-		w := bigWorld(b, 1, n)
+		w := newLoadedWorld(b, 1, n)
 		for b.Loop() {
 			w.Nodes[0].Kill()
 			w.Nodes[0].Start()
 			from := w.now
 			for !w.Nodes[0].core.Serving() {
-				w.Run(w.now + sec/100)
+				w.Run(w.now + second/100)
 			}
 			b.ReportMetric((w.now - from).Seconds(), "virtual-s")
 			b.StopTimer()
-			w.Run(w.now + 30*sec)
+			w.Run(w.now + 30*second)
 			b.StartTimer()
 		}
 	})
@@ -138,7 +138,7 @@
 // BenchmarkStart is the start of a process that follows: what it reads and what it costs.
 func BenchmarkStart(b *testing.B) {
 	sizes(b, func(b *testing.B, n int) {
-		w := bigWorld(b, 3, n)
+		w := newLoadedWorld(b, 3, n)
 		follower := w.Nodes[0]
 		if follower == w.Leader() {
 			follower = w.Nodes[1]
@@ -148,7 +148,7 @@
 			follower.Start()
 			from := w.now
 			for !follower.core.Ready() {
-				w.Run(w.now + sec/100)
+				w.Run(w.now + second/100)
 			}
 			b.ReportMetric((w.now - from).Seconds(), "virtual-s")
 		}
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -10,21 +10,21 @@
 
 // Cloud is the stand-in of the cloud; it also keeps the machines' workers.
 type Cloud struct {
-	w           *World
-	Types       []wire.MachineType
-	Capacity    map[string]int // by type/zone/kind; missing: unlimited
-	Machines    map[string]*Worker
-	bids        map[string][]string
-	intended    map[string]bool   // names of rentals sent under LevelIntents
-	bidOf       map[string]string // of the machines rented under LevelIntents
-	LateReturns int               // that were carried out
-	StaleLost   int               // tasks that a return took along whose caller leads no more
-	count       int
-	Outage      bool
-	NoBoot      int    // so many of the next machines never come up
-	LateRent    Micros // the next rental is executed this much later, with no answer
-	LateReturn  Micros // the next return is executed this much later, with no answer
-	Boot        Micros // boot time; 0: the type's
+	w                  *World
+	Types              []wire.MachineType
+	Capacity           map[string]int // by type/zone/kind; missing: unlimited
+	Machines           map[string]*Worker
+	bids               map[string][]string
+	intended           map[string]bool   // names of rentals sent under LevelIntents
+	bidOf              map[string]string // of the machines rented under LevelIntents
+	DelayedReleases    int               // that were carried out
+	StaleReleaseLosses int               // tasks that a return took along whose caller leads no more
+	rentedCount        int
+	Outage             bool
+	BootFailures       int    // so many of the next machines never come up
+	NextRentDelay      Micros // the next rental is executed this much later, with no answer
+	NextReleaseDelay   Micros // the next return is executed this much later, with no answer
+	BootTime           Micros // boot time; 0: the type's
 }
 
 func newCloud(w *World) *Cloud {
@@ -48,7 +48,7 @@
 }
 
 func (c *Cloud) rent(r *wire.RentRequest) ([]string, bool) {
-	if ids, ok := c.bids[r.Request]; ok {
+	if ids, ok := c.bids[r.RequestID]; ok {
 		return ids, true
 	}
 	t := c.typ(r.Type)
@@ -66,24 +66,24 @@
 	}
 	var ids []string
 	for range n {
-		c.count++
-		x := newWorker(c.w, fmt.Sprintf("m-%06d", c.count), t, r.Zone, r.Spot)
+		c.rentedCount++
+		x := newWorker(c.w, fmt.Sprintf("m-%06d", c.rentedCount), t, r.Zone, r.Spot)
 		c.Machines[x.id] = x
 		ids = append(ids, x.id)
-		if c.intended[r.Request] {
-			c.bidOf[x.id] = r.Request
+		if c.intended[r.RequestID] {
+			c.bidOf[x.id] = r.RequestID
 		}
-		if c.NoBoot > 0 {
-			c.NoBoot--
+		if c.BootFailures > 0 {
+			c.BootFailures--
 			continue
 		}
-		boot := Micros(t.Boot * 1e6)
-		if c.Boot > 0 {
-			boot = c.Boot
+		boot := Micros(t.BootTime * 1e6)
+		if c.BootTime > 0 {
+			boot = c.BootTime
 		}
 		c.w.After(boot, x.boot)
 	}
-	c.bids[r.Request] = ids
+	c.bids[r.RequestID] = ids
 	return ids, true
 }
 
@@ -93,7 +93,7 @@
 	if x == nil {
 		return
 	}
-	x.die()
+	x.terminate()
 	delete(c.Machines, id)
 	if key := kindKey(x.typ.Name, x.zone, x.spot); c.Capacity[key] > 0 || c.limited(key) {
 		c.Capacity[key]++
@@ -111,15 +111,15 @@
 
 func (c *cloudClient) call(f func() func(), refused, unknown func()) {
 	w := c.e.n.w
-	w.call(c.e.n.name, "cloud", 5*sec, func(respond func(func())) {
-		w.After(80*ms, func() {
+	w.call(c.e.n.name, "cloud", 5*second, func(respond func(func())) {
+		w.After(80*millisecond, func() {
 			if w.Cloud.Outage {
-				respond(c.e.alive(refused))
+				respond(c.e.whileRunning(refused))
 				return
 			}
-			respond(c.e.alive(f()))
+			respond(c.e.whileRunning(f()))
 		})
-	}, c.e.alive(unknown))
+	}, c.e.whileRunning(unknown))
 }
 
 func (c *cloudClient) Catalog(done func(store.Outcome, *wire.Catalog)) {
@@ -130,13 +130,13 @@
 }
 
 func (c *cloudClient) Rent(r *wire.RentRequest, done func(store.Outcome, []string)) {
-	if c.e.n.core.Level() >= controller.LevelIntents {
-		c.cloud().intended[r.Request] = true
+	if c.e.n.core.FormatLevel() >= controller.LevelIntents {
+		c.cloud().intended[r.RequestID] = true
 	}
-	if d := c.cloud().LateRent; d > 0 {
-		c.cloud().LateRent = 0
+	if d := c.cloud().NextRentDelay; d > 0 {
+		c.cloud().NextRentDelay = 0
 		c.e.n.w.After(d, func() { c.cloud().rent(r) })
-		c.e.After(5*sec, func() { done(store.Unknown, nil) })
+		c.e.After(5*second, func() { done(store.Unknown, nil) })
 		return
 	}
 	c.call(func() func() {
@@ -150,12 +150,12 @@
 
 // checkAccounted holds the controllers to an invariant of their own: a machine that they
 // rented stands in a record, or in the intent under which it was rented.
-func (c *Cloud) checkAccounted() {
+func (c *Cloud) checkRentedRecorded() {
 	for _, id := range sortedKeys(c.bidOf) {
-		if s := c.w.State; c.Machines[id] == nil || s.items["m/"+id] != nil || s.grouped[id] != "" {
+		if s := c.w.State; c.Machines[id] == nil || s.items["m/"+id] != nil || s.groupKeys[id] != "" {
 			delete(c.bidOf, id) // found, or returned, is known from then on
 		} else if s.items["i/"+c.bidOf[id]] == nil {
-			c.w.Rules.broke("unaccounted", "%s", id)
+			c.w.Rules.addViolation("unaccounted", "%s", id)
 			delete(c.bidOf, id)
 		}
 	}
@@ -164,29 +164,29 @@
 func (c *cloudClient) Release(ids []string, done func(store.Outcome)) {
 	s, w := c.cloud().w.State, c.e.n.w
 	for _, id := range ids {
-		if c.e.n.core.Level() >= controller.LevelIntents && !s.toReturn(id) {
-			w.Rules.broke("unintended", "%s is returned", id)
+		if c.e.n.core.FormatLevel() >= controller.LevelIntents && !s.hasReleaseIntent(id) {
+			w.Rules.addViolation("unintended", "%s is returned", id)
 		}
 	}
 	remove := func() {
 		for _, id := range ids {
-			if x := w.Cloud.Machines[id]; x != nil && (s.Leader() != c.e.n.name || c.e.n.life != c.e.life) {
+			if x := w.Cloud.Machines[id]; x != nil && (s.Leader() != c.e.n.name || c.e.n.incarnation != c.e.incarnation) {
 				for _, t := range x.tasks {
-					if j := w.Rules.jobs[t.job.ID]; t.state != wire.TaskExited && j.final == "" && !j.askCancel {
-						w.Cloud.StaleLost++
+					if j := w.Rules.jobs[t.job.ID]; t.state != wire.TaskExited && j.finalPhase == "" && !j.cancelRequested {
+						w.Cloud.StaleReleaseLosses++
 					}
 				}
 			}
 			w.Cloud.remove(id)
 		}
 	}
-	if d := c.cloud().LateReturn; d > 0 {
-		c.cloud().LateReturn = 0
+	if d := c.cloud().NextReleaseDelay; d > 0 {
+		c.cloud().NextReleaseDelay = 0
 		w.After(d, func() {
-			w.Cloud.LateReturns++
+			w.Cloud.DelayedReleases++
 			remove()
 		})
-		c.e.After(5*sec, func() { done(store.Unknown) })
+		c.e.After(5*second, func() { done(store.Unknown) })
 		return
 	}
 	c.call(func() func() {
@@ -208,7 +208,7 @@
 	l := &wire.MachineList{}
 	for _, id := range sortedKeys(c.Machines) {
 		x := c.Machines[id]
-		if id <= after || c.w.now-x.born < lag {
+		if id <= after || c.w.now-x.rentedAt < lag {
 			continue
 		}
 		if len(l.Machines) == limit {
@@ -220,7 +220,7 @@
 			state = wire.MachineRunning
 		}
 		l.Machines = append(l.Machines, wire.ListedMachine{ID: id, Addr: x.addr, Type: x.typ.Name, Zone: x.zone,
-			Spot: x.spot, State: state, Age: (c.w.now - x.born - lag).Seconds()})
+			Spot: x.spot, State: state, AgeSeconds: (c.w.now - x.rentedAt - lag).Seconds()})
 	}
 	return l
 }
--- a/internal/sim/real_test.go
+++ b/internal/sim/real_test.go
@@ -26,7 +26,7 @@
 type deployment struct {
 	t     *testing.T
 	bin   string
-	live  *Live
+	live  *RealTimeServer
 	dir   string
 	nodes []config.Config
 	procs []*exec.Cmd
@@ -41,7 +41,7 @@
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	var err error
-	if d.live, d.nodes, err = Loopback(len(d.procs)); err != nil {
+	if d.live, d.nodes, err = StartLoopback(len(d.procs)); err != nil {
 		t.Fatal(err)
 	}
 	for i := range d.nodes {
@@ -92,7 +92,7 @@
 	node := at % len(d.nodes)
 	c := d.keep[node]
 	if at/len(d.nodes)%2 == 0 {
-		c = rpc.NewOnce(d.nodes[node].Listen)
+		c = rpc.NewSingleUse(d.nodes[node].Listen)
 	}
 	status, _, _, err := c.Call(method, path, in, &st, 2*time.Second)
 	if err != nil {
@@ -112,10 +112,10 @@
 // reports come seconds later at any controller, and machines start anew.
 func TestRealTroubles(t *testing.T) {
 	playReal(t, func(d *deployment, turn int) {
-		d.live.Do(func(w *World) {
+		d.live.WithWorld(func(w *World) {
 			ids := sortedKeys(w.Cloud.Machines)
 			if turn == 1 {
-				w.copies = &copying{share: 0.7, by: 7 * sec, rng: rand.New(rand.NewPCG(5, 5))}
+				w.reportCopies = &reportCopier{share: 0.7, delay: 7 * second, rng: rand.New(rand.NewPCG(5, 5))}
 			}
 			if len(ids) == 0 {
 				return
@@ -123,10 +123,10 @@
 			id := ids[turn%len(ids)]
 			switch turn % 120 {
 			case 40:
-				w.deaf[id] = true
-				w.After(8*sec, func() { delete(w.deaf, id) })
+				w.inboundLost[id] = true
+				w.After(8*second, func() { delete(w.inboundLost, id) })
 			case 90:
-				w.Cloud.Machines[id].Reborn()
+				w.Cloud.Machines[id].Restart()
 			}
 		})
 	})
@@ -135,7 +135,7 @@
 // TestRealRelaying does the first while the controllers relay the workers' reports and orders.
 func TestRealRelaying(t *testing.T) {
 	playReal(t, func(d *deployment, _ int) {
-		d.live.Do(func(w *World) { w.ReportChanges = true })
+		d.live.WithWorld(func(w *World) { w.ReportChanges = true })
 	}, "--policy", "../scale/testdata/relay.star")
 }
 
@@ -148,7 +148,7 @@
 	for i := range jobs {
 		jobs[i] = &wire.Job{ID: fmt.Sprintf("req-%06d", 100+i), Class: "c", Team: "core", Kind: wire.KindArray, Priority: "normal",
 			Tasks: 4, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, Estimate: 0.6}
-		d.live.Do(func(w *World) { w.Rules.Known(jobs[i]) })
+		d.live.WithWorld(func(w *World) { w.Rules.AddJob(jobs[i]) })
 	}
 	begin, kills, turn := time.Now(), 0, 0
 	for time.Since(begin) < 60*time.Second && len(over) < len(jobs) {
@@ -157,7 +157,7 @@
 		if turn%8 == 0 && time.Since(begin) < 15*time.Second {
 			victim := turn / 8 % len(d.nodes)
 			if turn%16 == 0 { // the leader
-				d.live.Do(func(w *World) {
+				d.live.WithWorld(func(w *World) {
 					for i := range d.nodes {
 						if d.nodes[i].Name == w.State.Leader() {
 							victim = i
@@ -174,17 +174,17 @@
 			if over[j.ID] || !accepted[j.ID] && i > turn/2 {
 				continue
 			}
-			var known facts
-			d.live.Do(func(w *World) { known = w.Rules.Asking(j.ID) })
+			var known knownFacts
+			d.live.WithWorld(func(w *World) { known = w.Rules.BeginRequest(j.ID) })
 			if !accepted[j.ID] {
 				code, st := d.ask(turn+i, "POST", "/v2/runs", j)
-				d.live.Do(func(w *World) { w.Rules.Submitted(j.ID, known, controller.Answer{Code: code, Status: st}) })
+				d.live.WithWorld(func(w *World) { w.Rules.CheckSubmitAnswer(j.ID, known, controller.Answer{Code: code, Status: st}) })
 				accepted[j.ID] = code == 200 || code == 201
 				break
 			}
 			if (turn+i)%4 == 0 {
 				code, st := d.ask(turn+i, "GET", "/v2/runs/"+j.ID, nil)
-				d.live.Do(func(w *World) { w.Rules.Polled(j.ID, known, controller.Answer{Code: code, Status: st}) })
+				d.live.WithWorld(func(w *World) { w.Rules.CheckStatusAnswer(j.ID, known, controller.Answer{Code: code, Status: st}) })
 				if st.Phase == wire.PhaseDone {
 					over[j.ID] = true
 				}
@@ -192,16 +192,16 @@
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
-	d.live.Do(func(w *World) {
-		w.Rules.Sweep(w.now)
-		w.Rules.Finish()
-		if len(w.Rules.Broken) > 0 {
-			t.Errorf("rules broken: %v", w.Rules.Broken)
+	d.live.WithWorld(func(w *World) {
+		w.Rules.CheckOverdue(w.now)
+		w.Rules.CheckFinal()
+		if len(w.Rules.Violations) > 0 {
+			t.Errorf("rules broken: %v", w.Rules.Violations)
 		}
 		t.Logf("%d of %d jobs over after %v and %d kills; %d requests in the state service's busiest second",
-			len(over), len(jobs), time.Since(begin).Round(time.Second/10), kills, w.State.Busiest)
-		if limit := int(w.Config.Params.State.RPS); w.State.Busiest > limit {
-			t.Errorf("%d requests in a second, %d allowed", w.State.Busiest, limit)
+			len(over), len(jobs), time.Since(begin).Round(time.Second/10), kills, w.State.PeakRequests)
+		if limit := int(w.Config.Params.State.RPS); w.State.PeakRequests > limit {
+			t.Errorf("%d requests in a second, %d allowed", w.State.PeakRequests, limit)
 		}
 	})
 	if len(over) < len(jobs) {
--- a/internal/sim/live.go
+++ b/internal/sim/real_time_server.go
@@ -22,7 +22,7 @@
 // Live plays a world in real time on loopback: its state service, cloud and workers
 // take requests over HTTP from controllers that are real processes. Rules are checked as
 // in virtual time; whoever submits tells the checker (Known, Submitted, Polled).
-type Live struct {
+type RealTimeServer struct {
 	mu    sync.Mutex // guards the world
 	w     *World
 	start time.Time
@@ -34,8 +34,8 @@
 	done  sync.WaitGroup
 	fail  error
 	// Addresses of the state service and the cloud.
-	State, Cloud string
-	Traffic      Traffic
+	StateAddr, CloudAddr string
+	Traffic              Traffic
 }
 
 // Traffic counts what workers and controllers exchange; bodies only, in bytes.
@@ -53,18 +53,18 @@
 
 // Serve begins to play a world whose controllers take reports at the given addresses,
 // by name. Close ends it.
-func Serve(w *World, nodes map[string]string) (*Live, error) {
-	l := &Live{w: w, start: time.Now(), nodes: map[string]*rpc.Client{}, addrs: nodes, links: map[string]*workerLink{}, stop: make(chan struct{})}
-	w.live, w.Nodes = l, nil
+func Serve(w *World, nodes map[string]string) (*RealTimeServer, error) {
+	l := &RealTimeServer{w: w, start: time.Now(), nodes: map[string]*rpc.Client{}, addrs: nodes, links: map[string]*workerLink{}, stop: make(chan struct{})}
+	w.server, w.Nodes = l, nil
 	for _, name := range sortedKeys(nodes) {
 		w.Nodes = append(w.Nodes, &Node{w: w, name: name})
 		l.nodes[name] = rpc.New(nodes[name])
 	}
 	var err error
-	if l.State, err = l.listen(http.HandlerFunc(l.state)); err != nil {
+	if l.StateAddr, err = l.listen(http.HandlerFunc(l.state)); err != nil {
 		return nil, err
 	}
-	if l.Cloud, err = l.listen(http.HandlerFunc(l.cloud)); err != nil {
+	if l.CloudAddr, err = l.listen(http.HandlerFunc(l.cloud)); err != nil {
 		l.Close()
 		return nil, err
 	}
@@ -74,27 +74,27 @@
 }
 
 // Do runs f on the world.
-func (l *Live) Do(f func(w *World)) {
+func (l *RealTimeServer) WithWorld(f func(w *World)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.w.Run(Micros(time.Since(l.start).Microseconds()))
 	f(l.w)
 }
 
-func (l *Live) run() {
+func (l *RealTimeServer) run() {
 	defer l.done.Done()
 	for {
 		select {
 		case <-l.stop:
 			return
 		case <-time.After(2 * time.Millisecond):
-			l.Do(func(*World) {})
+			l.WithWorld(func(*World) {})
 		}
 	}
 }
 
 // Close stops the world and everything that it serves.
-func (l *Live) Close() error {
+func (l *RealTimeServer) Close() error {
 	close(l.stop)
 	l.done.Wait()
 	l.mu.Lock()
@@ -106,7 +106,7 @@
 }
 
 // listen serves a handler at a port of its own.
-func (l *Live) listen(h http.Handler) (string, error) {
+func (l *RealTimeServer) listen(h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -118,7 +118,7 @@
 }
 
 // serve gives a worker an address for orders; the world is held.
-func (l *Live) serve(x *Worker) {
+func (l *RealTimeServer) serveWorker(x *Worker) {
 	addr, err := l.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var o wire.Orders
 		if r.URL.Path == "/orders" && !decode(w, r, &o) {
@@ -129,7 +129,7 @@
 			return
 		}
 		status, report := http.StatusServiceUnavailable, (*wire.Report)(nil)
-		l.Do(func(*World) {
+		l.WithWorld(func(*World) {
 			switch {
 			case x.dead || x.hung:
 			case r.URL.Path == "/show":
@@ -139,7 +139,7 @@
 				status = http.StatusOK
 				l.Traffic.Orders++
 				l.Traffic.OrderBytes += uint64(len(wire.Encode(&o)))
-				if outcome, report = x.orders(&o); outcome != store.OK {
+				if outcome, report = x.executeOrders(&o); outcome != store.OK {
 					status = http.StatusConflict
 				}
 			}
@@ -154,7 +154,7 @@
 }
 
 // report carries a worker's report to a controller; the world is held.
-func (l *Live) report(node string, rep *wire.Report, answered func(controller.ReportAnswer)) {
+func (l *RealTimeServer) postReport(node string, rep *wire.Report, answered func(controller.ReportAnswer)) {
 	c := l.link(rep.Machine, node)
 	l.Traffic.Reports++
 	l.Traffic.ReportBytes += uint64(len(wire.Encode(rep)))
@@ -171,7 +171,7 @@
 			time.Sleep(4 * time.Second)
 			a = controller.ReportAnswer{}
 		}
-		l.Do(func(*World) {
+		l.WithWorld(func(*World) {
 			l.Traffic.count(status, len(raw))
 			answered(a)
 		})
@@ -191,7 +191,7 @@
 }
 
 // link is a worker's connection to a controller; the one that it had to another is closed.
-func (l *Live) link(machine, node string) *rpc.Client {
+func (l *RealTimeServer) link(machine, node string) *rpc.Client {
 	link := l.links[machine]
 	if link == nil {
 		link = new(workerLink)
@@ -207,16 +207,16 @@
 }
 
 // deaf reports whether nothing reaches a machine.
-func (l *Live) deaf(machine string) (deaf bool) {
-	l.Do(func(w *World) { deaf = w.deaf[machine] })
+func (l *RealTimeServer) deaf(machine string) (deaf bool) {
+	l.WithWorld(func(w *World) { deaf = w.inboundLost[machine] })
 	return deaf
 }
 
 // copyLater posts a late copy of a report to some controller, if copies are on.
-func (l *Live) copyLater(rep *wire.Report) {
+func (l *RealTimeServer) copyLater(rep *wire.Report) {
 	var n *Node
 	var after Micros
-	l.Do(func(w *World) { n, after = w.drawCopy() })
+	l.WithWorld(func(w *World) { n, after = w.pickCopyTarget() })
 	if n != nil {
 		time.AfterFunc(time.Duration(after)*time.Microsecond, func() {
 			l.nodes[n.name].Call(http.MethodPost, "/checkin", rep, nil, 4*time.Second)
@@ -246,13 +246,13 @@
 }
 
 // state is the state service's interface.
-func (l *Live) state(w http.ResponseWriter, r *http.Request) {
+func (l *RealTimeServer) state(w http.ResponseWriter, r *http.Request) {
 	path, query := r.URL.Path, r.URL.Query()
 	var status int
 	var body any
 	do := func(f func(s *State)) {
-		l.Do(func(w *World) {
-			w.State.count()
+		l.WithWorld(func(w *World) {
+			w.State.countRequest()
 			if w.State.Outage {
 				status, body = http.StatusServiceUnavailable, &wire.Problem{Error: "trouble"}
 				return
@@ -280,11 +280,11 @@
 			return
 		}
 		do(func(s *State) {
-			switch s.judge(&t) {
+			switch s.checkLimits(&t) {
 			case store.Invalid:
 				status, body = http.StatusBadRequest, &wire.Problem{Error: "too large"}
 				return
-			case store.Limited:
+			case store.RateLimited:
 				status, body = http.StatusTooManyRequests, &wire.Problem{Error: "too many"}
 				return
 			}
@@ -302,7 +302,7 @@
 		if !decode(w, r, &q) {
 			return
 		}
-		do(func(s *State) { body = &wire.LeaseAnswer{Lease: s.grant(Micros(q.TTL) * ms)} })
+		do(func(s *State) { body = &wire.LeaseAnswer{Lease: s.grant(Micros(q.TTL) * millisecond)} })
 	case strings.HasPrefix(path, "/grants/"):
 		text, _ := strings.CutSuffix(path[len("/grants/"):], "/renew")
 		id, err := strconv.ParseUint(text, 10, 64)
@@ -313,16 +313,16 @@
 		do(func(s *State) {
 			body = &none
 			if r.Method == http.MethodDelete {
-				s.drop(id)
+				s.removeLease(id)
 			} else if !s.renew(id) {
 				status = http.StatusNotFound
 			}
 		})
 	case path == "/watch":
 		answers := make(chan *wire.WatchAnswer, 1)
-		l.Do(func(w *World) {
-			w.State.count()
-			w.State.watch(query.Get("starts"), number(r, "since"), Micros(number(r, "hold_ms"))*ms,
+		l.WithWorld(func(w *World) {
+			w.State.countRequest()
+			w.State.watch(query.Get("starts"), number(r, "since"), Micros(number(r, "hold_ms"))*millisecond,
 				func(a *wire.WatchAnswer) { answers <- a })
 		})
 		select {
@@ -338,16 +338,16 @@
 }
 
 // cloud is the cloud's interface.
-func (l *Live) cloud(w http.ResponseWriter, r *http.Request) {
+func (l *RealTimeServer) cloud(w http.ResponseWriter, r *http.Request) {
 	var rent wire.RentRequest
-	var names wire.MachineNames
+	var names wire.MachineIDs
 	switch path := r.URL.Path; {
 	case path == "/machines" && r.Method == http.MethodPost && !decode(w, r, &rent),
 		path == "/machines/release" && !decode(w, r, &names):
 		return
 	}
 	status, body := http.StatusOK, any(nil)
-	l.Do(func(w *World) {
+	l.WithWorld(func(w *World) {
 		switch path := r.URL.Path; {
 		case w.Cloud.Outage:
 			status, body = http.StatusServiceUnavailable, &wire.Problem{Error: "trouble"}
@@ -360,7 +360,7 @@
 			body = &struct{}{}
 		case path == "/machines" && r.Method == http.MethodPost:
 			ids, ok := w.Cloud.rent(&rent)
-			if body = &(wire.MachineNames{Machines: ids}); !ok {
+			if body = &(wire.MachineIDs{Machines: ids}); !ok {
 				status, body = http.StatusServiceUnavailable, &wire.Problem{Error: "no capacity"}
 			}
 		default:
@@ -372,7 +372,7 @@
 
 // Loopback begins to play a small world with so many controllers, which are to be started
 // with the settings given: one zone, machines that boot in half a second.
-func Loopback(nodes int) (*Live, []config.Config, error) {
+func StartLoopback(nodes int) (*RealTimeServer, []config.Config, error) {
 	w := NewWorld(nodes, []string{"a"}, 7)
 	p := &w.Config.Params
 	p.Teams = []config.Team{{Name: "core"}}
@@ -380,13 +380,13 @@
 	p.Cloud.RPS, p.Cloud.ListLag = 10, 0.5
 	p.State.WriteRPS = 400
 	w.Cloud.Types = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchRate: 10, Price: 1,
-		SpotPrice: 0.3, Boot: 0.5, Zones: []string{"a"}}}
+		SpotPrice: 0.3, BootTime: 0.5, Zones: []string{"a"}}}
 	return Deploy(w)
 }
 
 // Deploy begins to play a world with its controllers, spread over its zones, which are to be
 // started with the settings given.
-func Deploy(w *World) (*Live, []config.Config, error) {
+func Deploy(w *World) (*RealTimeServer, []config.Config, error) {
 	zones := w.Config.Params.Zones
 	settings := make([]config.Config, len(w.Nodes))
 	listen := map[string]string{}
@@ -408,7 +408,7 @@
 	}
 	for i := range settings {
 		c := &settings[i]
-		c.Endpoints.State, c.Endpoints.Cloud = l.State, l.Cloud
+		c.Endpoints.State, c.Endpoints.Cloud = l.StateAddr, l.CloudAddr
 		for j, o := range settings {
 			if j != i {
 				c.Peers = append(c.Peers, config.Peer{Name: o.Name, Zone: o.Zone, Addr: o.PeerListen})
--- a/internal/sim/script.go
+++ b/internal/sim/script.go
@@ -18,7 +18,7 @@
 type script struct {
 	w      *World
 	until  Micros
-	expect []func() error
+	checks []func() error
 	at     int // the line being done
 }
 
@@ -46,7 +46,7 @@
 	return ""
 }
 
-func (a args) num(key string, def float64) float64 {
+func (a args) number(key string, def float64) float64 {
 	v, ok := a.pairs[key]
 	if !ok {
 		return def
@@ -59,21 +59,21 @@
 }
 
 // span is a time given in seconds.
-func (a args) span(key string, def float64) Micros { return Micros(a.num(key, def) * 1e6) }
+func (a args) duration(key string, def float64) Micros { return Micros(a.number(key, def) * 1e6) }
 
 // mode is how a link is to be cut.
-func (a args) mode() Cut {
-	if a.has("hold") {
+func (a args) cutMode() Cut {
+	if a.hasFlag("hold") {
 		return Hold
 	}
 	return Drop
 }
 
-func (a args) has(flag string) bool { return slices.Contains(a.words, flag) }
+func (a args) hasFlag(flag string) bool { return slices.Contains(a.words, flag) }
 
 // Play runs a scenario and returns what went wrong.
 func Play(text string) (err error) {
-	s := &script{until: 300 * sec}
+	s := &script{until: 300 * second}
 	defer func() {
 		if r := recover(); r != nil {
 			if what, ok := r.(string); ok { // a mistake in the scenario
@@ -109,7 +109,7 @@
 		}
 		at, fields = Micros(t*1e6), fields[2:]
 	}
-	verb := s.verb(fields[0], parseArgs(fields[1:]))
+	verb := s.compile(fields[0], parseArgs(fields[1:]))
 	if verb == nil {
 		panic("unknown verb " + fields[0])
 	}
@@ -134,21 +134,21 @@
 	}
 	var sweep func()
 	sweep = func() {
-		s.w.Rules.Sweep(s.w.now)
-		s.w.Cloud.checkAccounted()
-		if s.w.now%(5*sec) == 0 {
-			s.w.judgeWaiting()
+		s.w.Rules.CheckOverdue(s.w.now)
+		s.w.Cloud.checkRentedRecorded()
+		if s.w.now%(5*second) == 0 {
+			s.w.checkLeftWaiting()
 		}
-		s.w.After(sec, sweep)
+		s.w.After(second, sweep)
 	}
 	sweep()
 	s.w.Run(s.until)
-	s.w.Rules.Finish()
-	s.w.State.judgeKeys()
-	if len(s.w.Rules.Broken) > 0 {
-		return fmt.Errorf("rules broken: %s", strings.Join(s.w.Rules.Broken, "; "))
+	s.w.Rules.CheckFinal()
+	s.w.State.checkOrphanedKeys()
+	if len(s.w.Rules.Violations) > 0 {
+		return fmt.Errorf("rules broken: %s", strings.Join(s.w.Rules.Violations, "; "))
 	}
-	for _, e := range s.expect {
+	for _, e := range s.checks {
 		if err := e(); err != nil {
 			return err
 		}
@@ -158,7 +158,7 @@
 
 func (s *script) team(name string, guarantee, limit float64) {
 	s.w.Config.Params.Teams = append(s.w.Config.Params.Teams, config.Team{Name: name, CPUs: guarantee, CPUsMax: limit})
-	s.w.Rules.Limits[name] = limit
+	s.w.Rules.TeamLimits[name] = limit
 }
 
 func (s *script) node(name string) *Node {
@@ -226,14 +226,14 @@
 	"notice": true, "take": true, "wave": true, "upgrade": true}
 
 // verb gives what a line does, and tells the checker until when its trouble lasts.
-func (s *script) verb(name string, a args) func() {
+func (s *script) compile(name string, a args) func() {
 	do := s.action(name, a)
 	if do == nil || !troubles[name] {
 		return do
 	}
 	return func() {
 		do()
-		s.w.Rules.Trouble(s.w.now + Micros((a.num("for", 20)+a.num("by", 0)+a.num("in", 0))*1e6))
+		s.w.Rules.ExtendFaultWindow(s.w.now + Micros((a.number("for", 20)+a.number("by", 0)+a.number("in", 0))*1e6))
 	}
 }
 
@@ -313,8 +313,8 @@
 }
 
 // line does a verb at an instant, if there is then a leader or machine to do it to.
-func (s *script) line(at Micros, a args) {
-	do := s.verb(a.words[0], args{words: a.words[1:], pairs: a.pairs})
+func (s *script) tryAt(at Micros, a args) {
+	do := s.compile(a.words[0], args{words: a.words[1:], pairs: a.pairs})
 	s.w.At(at, func() {
 		defer func() {
 			if r := recover(); r != nil {
@@ -328,28 +328,28 @@
 }
 
 // over expects a job to be done or, if its user wished so, cancelled.
-func (s *script) over(id string) func() error {
+func (s *script) checkFinished(id string) func() error {
 	return func() error {
 		u := s.w.Users[id]
-		if u != nil && u.code == 422 && u.job.Awaits != nil {
+		if u != nil && u.lastCode == 422 && u.job.DependsOn != nil {
 			return nil // the job that it awaits was not accepted in time
 		}
-		if u == nil || u.Last != wire.PhaseDone && (u.Last != wire.PhaseCancelled || !s.w.Rules.mayCancel(s.w.Rules.jobs[id])) {
+		if u == nil || u.LastPhase != wire.PhaseDone && (u.LastPhase != wire.PhaseCancelled || !s.w.Rules.cancelAllowed(s.w.Rules.jobs[id])) {
 			return fmt.Errorf("%s is not over", id)
 		}
 		return nil
 	}
 }
 
-func many(i int) string { return fmt.Sprintf("req-%d", 100000+i) }
+func manyJobID(i int) string { return fmt.Sprintf("req-%d", 100000+i) }
 
 func (s *script) job(a args) *wire.Job {
 	kinds := map[string]string{"array": wire.KindArray, "gang": wire.KindGang, "service": wire.KindService}
 	priorities := map[string]string{"low": "best_effort", "normal": "normal", "high": "urgent", "production": "prod"}
 	j := &wire.Job{ID: a.word(0), Class: "c", Team: "core", Kind: kinds[a.word(1)], Priority: "normal",
-		Tasks: int(a.num("tasks", 1)), CPUs: a.num("cpus", 2), GPUs: a.num("gpus", 0), MemoryGB: a.num("mem", 2), Image: "img", ImageGB: 1,
-		Estimate: a.num("run", 10), Checkpoint: a.num("checkpoint", 0), Save: a.num("save", 0),
-		Zone: a.pairs["zone"], OneZone: a.has("together"), Spread: a.has("spread"), Spot: a.has("spot")}
+		Tasks: int(a.number("tasks", 1)), CPUs: a.number("cpus", 2), GPUs: a.number("gpus", 0), MemoryGB: a.number("mem", 2), Image: "img", ImageGB: 1,
+		Estimate: a.number("run", 10), CheckpointInterval: a.number("checkpoint", 0), SaveDuration: a.number("save", 0),
+		Zone: a.pairs["zone"], OneZone: a.hasFlag("together"), Spread: a.hasFlag("spread"), Spot: a.hasFlag("spot")}
 	if t := a.pairs["team"]; t != "" {
 		j.Team = t
 	}
@@ -360,13 +360,13 @@
 		j.Image = i
 	}
 	if n := a.pairs["awaits"]; n != "" {
-		j.Awaits = strings.Split(n, ",")
+		j.DependsOn = strings.Split(n, ",")
 	}
-	for i := range int(a.num("awaits-many", 0)) {
-		j.Awaits = append(j.Awaits, many(i))
+	for i := range int(a.number("awaits-many", 0)) {
+		j.DependsOn = append(j.DependsOn, manyJobID(i))
 	}
 	if _, ok := a.pairs["deadline"]; ok {
-		d := a.num("deadline", 0)
+		d := a.number("deadline", 0)
 		j.Deadline = &d
 	}
 	if p := a.pairs["priority"]; p != "" {
--- a/internal/sim/script_chaos.go
+++ b/internal/sim/script_chaos.go
@@ -15,33 +15,33 @@
 // With a size above 1, jobs are so many times larger, and troubles come over many machines at
 // once. With pairs, a second trouble meets each within some seconds, and users cancel more often.
 type chaos struct {
-	s                          *script
-	rng                        *rand.Rand
-	from, to, every, pipelines Micros
-	size, more                 int
-	pairs                      bool
-	jobs                       int // submitted
-	waves                      []string
+	s                                 *script
+	rng                               *rand.Rand
+	from, to, every, dependenciesFrom Micros
+	jobScale, extraFaults             int
+	pairedFaults                      bool
+	jobs                              int // submitted
+	waves                             []string
 }
 
 // play draws the whole day.
-func (c *chaos) play(seed uint64) {
+func (c *chaos) schedule(seed uint64) {
 	c.rng = rand.New(rand.NewPCG(seed, 2))
-	c.waves = []string{"hang", "cut", "sick", "taken", "deaf", "reborn", "mute"}[:4+min(c.more/3, 2)+c.more/12]
+	c.waves = []string{"hang", "cut", "sick", "taken", "deaf", "reborn", "mute"}[:4+min(c.extraFaults/3, 2)+c.extraFaults/12]
 	for range 4 {
-		c.submit(sec)
+		c.submit(second)
 	}
 	for t := c.from; t < c.to; t += c.every/2 + Micros(c.rng.Int64N(int64(c.every))) {
 		c.submit(t)
 		c.trouble(t)
-		if c.pairs {
-			c.trouble(t + Micros(c.rng.Int64N(int64(8*sec))))
+		if c.pairedFaults {
+			c.trouble(t + Micros(c.rng.Int64N(int64(8*second))))
 		}
 	}
 }
 
 func (c *chaos) line(t Micros, format string, args ...any) {
-	c.s.line(t, parseArgs(strings.Fields(fmt.Sprintf(format, args...))))
+	c.s.tryAt(t, parseArgs(strings.Fields(fmt.Sprintf(format, args...))))
 }
 
 func (c *chaos) mode() string { return []string{"hold", "drop"}[c.rng.IntN(2)] }
@@ -51,7 +51,7 @@
 	c.jobs++
 	id := fmt.Sprintf("req-%06d", c.jobs)
 	awaits := ""
-	if t >= c.pipelines {
+	if t >= c.dependenciesFrom {
 		for range c.rng.IntN(3) {
 			awaits += fmt.Sprintf(",req-%06d", max(1, c.jobs-1-c.rng.IntN(4)))
 		}
@@ -61,21 +61,21 @@
 	}
 	switch c.rng.IntN(4) {
 	case 0:
-		c.line(t, "submit %s service tasks=%d cpus=1 spread priority=production %s", id, c.size*(1+c.rng.IntN(2)), awaits)
-		c.line(c.to+60*sec, "cancel %s", id)
+		c.line(t, "submit %s service tasks=%d cpus=1 spread priority=production %s", id, c.jobScale*(1+c.rng.IntN(2)), awaits)
+		c.line(c.to+60*second, "cancel %s", id)
 	case 1:
-		c.line(t, "submit %s gang tasks=%d run=%d cpus=2 %s", id, min(c.size, 20)*(2+c.rng.IntN(3)), 10+c.rng.IntN(20), awaits)
-		c.s.expect = append(c.s.expect, c.s.over(id))
+		c.line(t, "submit %s gang tasks=%d run=%d cpus=2 %s", id, min(c.jobScale, 20)*(2+c.rng.IntN(3)), 10+c.rng.IntN(20), awaits)
+		c.s.checks = append(c.s.checks, c.s.checkFinished(id))
 	default:
 		c.line(t, "submit %s array tasks=%d run=%d checkpoint=%d save=2 priority=low cpus=%d %s", id,
-			c.size*(1+c.rng.IntN(8)), 5+c.rng.IntN(40), c.rng.IntN(2)*8, 1+c.rng.IntN(3), awaits)
-		c.s.expect = append(c.s.expect, c.s.over(id))
+			c.jobScale*(1+c.rng.IntN(8)), 5+c.rng.IntN(40), c.rng.IntN(2)*8, 1+c.rng.IntN(3), awaits)
+		c.s.checks = append(c.s.checks, c.s.checkFinished(id))
 	}
-	if c.rng.IntN(6) == 0 || c.pairs && c.rng.IntN(4) == 0 {
-		c.line(t+Micros(c.rng.IntN(30))*sec, "cancel %s", id)
+	if c.rng.IntN(6) == 0 || c.pairedFaults && c.rng.IntN(4) == 0 {
+		c.line(t+Micros(c.rng.IntN(30))*second, "cancel %s", id)
 	}
 	if c.rng.IntN(4) == 0 {
-		c.line(t+Micros(10+c.rng.IntN(200))*sec, "resubmit %s", id)
+		c.line(t+Micros(10+c.rng.IntN(200))*second, "resubmit %s", id)
 	}
 }
 
@@ -83,11 +83,11 @@
 func (c *chaos) trouble(t Micros) {
 	victim := fmt.Sprintf("of=req-%06d", 1+c.rng.IntN(c.jobs))
 	span := 2 + c.rng.IntN(20)
-	if c.size > 1 && c.rng.IntN(3) == 0 {
+	if c.jobScale > 1 && c.rng.IntN(3) == 0 {
 		kind := c.waves[c.rng.IntN(len(c.waves))]
 		c.line(t, "wave %s share=0.%d for=%d", kind, 1+c.rng.IntN(6), span)
 	}
-	switch c.rng.IntN(16 + c.more) {
+	switch c.rng.IntN(16 + c.extraFaults) {
 	case 0:
 		c.line(t, "kill leader for=%d", span)
 	case 1:
@@ -110,7 +110,7 @@
 		c.line(t, "outage cloud for=%d", span)
 	case 11:
 		c.line(t, "late-txn leader by=%d", span)
-		c.line(t+2*sec, "kill leader for=4")
+		c.line(t+2*second, "kill leader for=4")
 	case 12:
 		c.line(t, "late-rent by=%d", span)
 		c.line(t, "lost-answer leader")
@@ -139,7 +139,7 @@
 		if c.rng.IntN(2) == 0 {
 			c.line(t, "cut leader peers %s for=%d", c.mode(), 3*span)
 		}
-		c.line(t+Micros(1+c.rng.IntN(12))*sec, "outage state for=%d", 30+c.rng.IntN(40))
+		c.line(t+Micros(1+c.rng.IntN(12))*second, "outage state for=%d", 30+c.rng.IntN(40))
 	case 24:
 		c.line(t, "late-return by=%d", span)
 	case 25: // carried out, the answer lost, and others read it
@@ -151,7 +151,7 @@
 		c.line(t, "mute %s for=%d", victim, 2*span)
 	case 27:
 		c.line(t, "copies for-next share=0.%d by=%d for=%d", 1+c.rng.IntN(9), 2+c.rng.IntN(20), 3*span)
-		c.line(t+Micros(c.rng.Int64N(int64(3*span)))*sec, "kill leader for=%d", 1+c.rng.IntN(8))
+		c.line(t+Micros(c.rng.Int64N(int64(3*span)))*second, "kill leader for=%d", 1+c.rng.IntN(8))
 	case 28:
 		c.line(t, "freeze leader for=%d", span)
 	case 29:
--- a/internal/sim/script_expect.go
+++ b/internal/sim/script_expect.go
@@ -45,18 +45,18 @@
 	return func() {
 		if w.now > 0 {
 			if err := check(); err != nil {
-				s.expect = append(s.expect, func() error { return err })
+				s.checks = append(s.checks, func() error { return err })
 			}
 			return
 		}
-		s.expect = append(s.expect, check)
+		s.checks = append(s.checks, check)
 	}
 }
 
 // expectMachines: how many machines there are.
 func (s *script) expectMachines(a args) error {
 	w := s.w
-	if n := len(w.Cloud.Machines); n > int(a.num("max", 1e9)) || n < int(a.num("min", 0)) {
+	if n := len(w.Cloud.Machines); n > int(a.number("max", 1e9)) || n < int(a.number("min", 0)) {
 		return fmt.Errorf("t=%v: %d machines", w.now.Seconds(), n)
 	}
 	return nil
@@ -66,10 +66,10 @@
 func (s *script) expectOver(a args) error {
 	w := s.w
 	if a.word(1) != "all" {
-		return s.over(a.word(1))()
+		return s.checkFinished(a.word(1))()
 	}
 	for _, id := range sortedKeys(w.Users) {
-		if err := s.over(id)(); err != nil {
+		if err := s.checkFinished(id)(); err != nil {
 			return err
 		}
 	}
@@ -82,13 +82,13 @@
 	most, n := Micros(0), 0
 	for _, id := range sortedKeys(w.Users) {
 		if u := w.Users[id]; !u.accepted {
-			return fmt.Errorf("t=%v: %s is not accepted (answer %d)", w.now.Seconds(), id, u.code)
-		} else if since := w.Rules.jobs[id].since - u.first; since > most {
+			return fmt.Errorf("t=%v: %s is not accepted (answer %d)", w.now.Seconds(), id, u.lastCode)
+		} else if since := w.Rules.jobs[id].acceptedAt - u.firstAttempt; since > most {
 			most = since
 		}
 		n += w.Users[id].refused
 	}
-	if most.Seconds() > a.num("within", 60) || n > int(a.num("refused", 1e9)) || n < int(a.num("min-refused", 0)) {
+	if most.Seconds() > a.number("within", 60) || n > int(a.number("refused", 1e9)) || n < int(a.number("min-refused", 0)) {
 		return fmt.Errorf("t=%v: accepted after up to %v s, %d refusals", w.now.Seconds(), most.Seconds(), n)
 	}
 	return nil
@@ -97,7 +97,7 @@
 // expectOverload: as the leader has it.
 func (s *script) expectOverload(a args) error {
 	w := s.w
-	if l := w.Leader(); l == nil || !l.Up() || !l.core.Admission().Over {
+	if l := w.Leader(); l == nil || !l.Up() || !l.core.Admission().Overloaded {
 		return fmt.Errorf("t=%v: no overload", w.now.Seconds())
 	}
 	return nil
@@ -106,8 +106,8 @@
 // expectKnownRefused: of jobs that were accepted.
 func (s *script) expectKnownRefused(a args) error {
 	w := s.w
-	if w.KnownRefused > 0 {
-		return fmt.Errorf("t=%v: %d accepted jobs were refused", w.now.Seconds(), w.KnownRefused)
+	if w.AcceptedJobRefusals > 0 {
+		return fmt.Errorf("t=%v: %d accepted jobs were refused", w.now.Seconds(), w.AcceptedJobRefusals)
 	}
 	return nil
 }
@@ -115,8 +115,8 @@
 // expectAnswers: to submissions, of any kind.
 func (s *script) expectAnswers(a args) error {
 	w := s.w
-	list := slices.Sorted(slices.Values(w.Answers))
-	if at := list[len(list)*99/100]; at.Seconds() > a.num("p99", 0.2) {
+	list := slices.Sorted(slices.Values(w.SubmitLatencies))
+	if at := list[len(list)*99/100]; at.Seconds() > a.number("p99", 0.2) {
 		return fmt.Errorf("t=%v: p99 of %d answers %v s", w.now.Seconds(), len(list), at.Seconds())
 	}
 	return nil
@@ -125,8 +125,8 @@
 // expectValue: the largest value that was asked for.
 func (s *script) expectValue(a args) error {
 	w := s.w
-	if w.State.Largest > int(a.num("max", 1e9)) || w.State.Largest < int(a.num("min", 0)) {
-		return fmt.Errorf("t=%v: a value of %d bytes", w.now.Seconds(), w.State.Largest)
+	if w.State.LargestValue > int(a.number("max", 1e9)) || w.State.LargestValue < int(a.number("min", 0)) {
+		return fmt.Errorf("t=%v: a value of %d bytes", w.now.Seconds(), w.State.LargestValue)
 	}
 	return nil
 }
@@ -134,8 +134,8 @@
 // expectRequests: to the state service, in its busiest second.
 func (s *script) expectRequests(a args) error {
 	w := s.w
-	if w.State.Busiest > int(a.num("max", 0)) || w.State.Busiest < int(a.num("min", 0)) {
-		return fmt.Errorf("t=%v: %d requests in a second", w.now.Seconds(), w.State.Busiest)
+	if w.State.PeakRequests > int(a.number("max", 0)) || w.State.PeakRequests < int(a.number("min", 0)) {
+		return fmt.Errorf("t=%v: %d requests in a second", w.now.Seconds(), w.State.PeakRequests)
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 // expectTerm: the term of the latest election.
 func (s *script) expectTerm(a args) error {
 	w := s.w
-	if n := w.State.term(); n < int(a.num("min", 0)) || n > int(a.num("max", 1e9)) {
+	if n := w.State.term(); n < int(a.number("min", 0)) || n > int(a.number("max", 1e9)) {
 		return fmt.Errorf("t=%v: term %d", w.now.Seconds(), n)
 	}
 	return nil
@@ -152,11 +152,11 @@
 // expectRelayed: reports, or with the word orders these.
 func (s *script) expectRelayed(a args) error {
 	w := s.w
-	n := w.Relayed
-	if a.has("orders") {
+	n := w.RelayedReports
+	if a.hasFlag("orders") {
 		n = w.RelayedOrders
 	}
-	if n < int(a.num("min", 0)) || n > int(a.num("max", 1e9)) {
+	if n < int(a.number("min", 0)) || n > int(a.number("max", 1e9)) {
 		return fmt.Errorf("t=%v: %d relayed", w.now.Seconds(), n)
 	}
 	return nil
@@ -165,8 +165,8 @@
 // expectCarried: workers by a controller, as the leader has it.
 func (s *script) expectCarried(a args) error {
 	w := s.w
-	n := w.Leader().core.Relays().Carried[a.word(1)]
-	if n < int(a.num("min", 0)) || n > int(a.num("max", 1e9)) {
+	n := w.Leader().core.Relays().WorkersPerRelay[a.word(1)]
+	if n < int(a.number("min", 0)) || n > int(a.number("max", 1e9)) {
 		return fmt.Errorf("t=%v: %s carries %d", w.now.Seconds(), a.word(1), n)
 	}
 	return nil
@@ -175,7 +175,7 @@
 // expectLeasesLost: leases of workers with tasks that ended.
 func (s *script) expectLeasesLost(a args) error {
 	w := s.w
-	if w.LeasesLost > int(a.num("max", 0)) {
+	if w.LeasesLost > int(a.number("max", 0)) {
 		return fmt.Errorf("t=%v: %d leases lost", w.now.Seconds(), w.LeasesLost)
 	}
 	return nil
@@ -184,8 +184,8 @@
 // expectLooks: that were answered.
 func (s *script) expectLooks(a args) error {
 	w := s.w
-	if w.Looked < int(a.num("min", 1)) {
-		return fmt.Errorf("t=%v: %d close looks", w.now.Seconds(), w.Looked)
+	if w.ProbeAnswers < int(a.number("min", 1)) {
+		return fmt.Errorf("t=%v: %d close looks", w.now.Seconds(), w.ProbeAnswers)
 	}
 	return nil
 }
@@ -193,8 +193,8 @@
 // expectKeptCopies: that came to a new leader.
 func (s *script) expectKeptCopies(a args) error {
 	w := s.w
-	if w.Copied < int(a.num("min", 1)) {
-		return fmt.Errorf("t=%v: %d reports came to a new leader", w.now.Seconds(), w.Copied)
+	if w.CopiesDelivered < int(a.number("min", 1)) {
+		return fmt.Errorf("t=%v: %d reports came to a new leader", w.now.Seconds(), w.CopiesDelivered)
 	}
 	return nil
 }
@@ -202,8 +202,8 @@
 // expectLateTxns: that were carried out late, with no answer.
 func (s *script) expectLateTxns(a args) error {
 	w := s.w
-	if w.State.Delayed < int(a.num("min", 1)) {
-		return fmt.Errorf("t=%v: %d late transactions", w.now.Seconds(), w.State.Delayed)
+	if w.State.DelayedTxns < int(a.number("min", 1)) {
+		return fmt.Errorf("t=%v: %d late transactions", w.now.Seconds(), w.State.DelayedTxns)
 	}
 	return nil
 }
@@ -211,8 +211,8 @@
 // expectStarts: of tasks, on the whole day.
 func (s *script) expectStarts(a args) error {
 	w := s.w
-	if n := w.Rules.started; n > int(a.num("max", 1e9)) || n < int(a.num("min", 0)) {
-		return fmt.Errorf("t=%v: %d starts", w.now.Seconds(), w.Rules.started)
+	if n := w.Rules.taskStarts; n > int(a.number("max", 1e9)) || n < int(a.number("min", 0)) {
+		return fmt.Errorf("t=%v: %d starts", w.now.Seconds(), w.Rules.taskStarts)
 	}
 	return nil
 }
@@ -220,7 +220,7 @@
 // expectStaleLost: tasks that a return took along whose caller leads no more.
 func (s *script) expectStaleLost(a args) error {
 	w := s.w
-	if n := w.Cloud.StaleLost; n > int(a.num("max", 0)) {
+	if n := w.Cloud.StaleReleaseLosses; n > int(a.number("max", 0)) {
 		return fmt.Errorf("t=%v: %d tasks went with stale returns", w.now.Seconds(), n)
 	}
 	return nil
@@ -229,8 +229,8 @@
 // expectLateReturns: that were carried out.
 func (s *script) expectLateReturns(a args) error {
 	w := s.w
-	if w.Cloud.LateReturns < int(a.num("min", 1)) {
-		return fmt.Errorf("t=%v: %d late returns", w.now.Seconds(), w.Cloud.LateReturns)
+	if w.Cloud.DelayedReleases < int(a.number("min", 1)) {
+		return fmt.Errorf("t=%v: %d late returns", w.now.Seconds(), w.Cloud.DelayedReleases)
 	}
 	return nil
 }
@@ -238,7 +238,7 @@
 // expectRented: machines, on the whole day.
 func (s *script) expectRented(a args) error {
 	w := s.w
-	if n := w.Cloud.count; n > int(a.num("max", 1e9)) || n < int(a.num("min", 0)) {
+	if n := w.Cloud.rentedCount; n > int(a.number("max", 1e9)) || n < int(a.number("min", 0)) {
 		return fmt.Errorf("t=%v: %d machines were rented", w.now.Seconds(), n)
 	}
 	return nil
@@ -253,7 +253,7 @@
 			n++
 		}
 	}
-	if n > int(a.num("max", 0)) {
+	if n > int(a.number("max", 0)) {
 		return fmt.Errorf("t=%v: %d intents stand", w.now.Seconds(), n)
 	}
 	return nil
@@ -262,8 +262,8 @@
 // expectRefusedTxns: transactions that the state service refused.
 func (s *script) expectRefusedTxns(a args) error {
 	w := s.w
-	if w.State.Refused > int(a.num("max", 0)) || w.State.Refused < int(a.num("min", 0)) {
-		return fmt.Errorf("t=%v: %d transactions refused", w.now.Seconds(), w.State.Refused)
+	if w.State.RefusedTxns > int(a.number("max", 0)) || w.State.RefusedTxns < int(a.number("min", 0)) {
+		return fmt.Errorf("t=%v: %d transactions refused", w.now.Seconds(), w.State.RefusedTxns)
 	}
 	return nil
 }
@@ -272,13 +272,13 @@
 func (s *script) expectRunning(a args) error {
 	w := s.w
 	n := 0
-	for task, on := range w.Rules.on {
+	for task, on := range w.Rules.machinesByTask {
 		if strings.HasPrefix(task, a.word(1)+"/") {
 			n += len(on)
 		}
 	}
-	if least := int(a.num("min", 0)); n < least || least == 0 && n != int(a.num("tasks", 0)) {
-		return fmt.Errorf("t=%v: %s has %d tasks on machines, not %v", w.now.Seconds(), a.word(1), n, max(a.num("tasks", 0), float64(least)))
+	if least := int(a.number("min", 0)); n < least || least == 0 && n != int(a.number("tasks", 0)) {
+		return fmt.Errorf("t=%v: %s has %d tasks on machines, not %v", w.now.Seconds(), a.word(1), n, max(a.number("tasks", 0), float64(least)))
 	}
 	return nil
 }
@@ -291,11 +291,11 @@
 		return fmt.Errorf("nobody submitted %s", a.word(0))
 	}
 	want := map[string]string{"done": wire.PhaseDone, "cancelled": wire.PhaseCancelled, "running": wire.PhaseRunning, "queued": wire.PhaseQueued}[a.word(1)]
-	if a.word(1) == "refused" && u.code == 422 || a.word(1) == "malformed" && u.code == 400 {
+	if a.word(1) == "refused" && u.lastCode == 422 || a.word(1) == "malformed" && u.lastCode == 400 {
 		return nil
 	}
-	if u.Last != want {
-		return fmt.Errorf("t=%v: %s is %q, not %q (answer %d)", w.now.Seconds(), a.word(0), u.Last, a.word(1), u.code)
+	if u.LastPhase != want {
+		return fmt.Errorf("t=%v: %s is %q, not %q (answer %d)", w.now.Seconds(), a.word(0), u.LastPhase, a.word(1), u.lastCode)
 	}
 	return nil
 }
--- a/internal/sim/script_machines.go
+++ b/internal/sim/script_machines.go
@@ -7,7 +7,7 @@
 // doNoBoot: machines that never come up.
 func (s *script) doNoBoot(a args) func() {
 	w := s.w
-	return func() { w.Cloud.NoBoot = int(a.num("count", 1)) }
+	return func() { w.Cloud.BootFailures = int(a.number("count", 1)) }
 }
 
 // doHang: a machine stands still.
@@ -16,28 +16,28 @@
 	return func() {
 		x := s.worker(a)
 		x.Hang(true)
-		w.After(a.span("for", 5), func() { x.Hang(false) })
+		w.After(a.duration("for", 5), func() { x.Hang(false) })
 	}
 }
 
 // doDead: a machine stops with all that is on it; the list goes on naming it.
 func (s *script) doDead(a args) func() {
-	return func() { s.worker(a).die() }
+	return func() { s.worker(a).terminate() }
 }
 
 // doReborn: a machine is back at once, and counts from the beginning.
 func (s *script) doReborn(a args) func() {
-	return func() { s.worker(a).Reborn() }
+	return func() { s.worker(a).Restart() }
 }
 
 // doSick: a machine fails its tasks.
 func (s *script) doSick(a args) func() {
-	return func() { s.worker(a).Sick = true }
+	return func() { s.worker(a).Unhealthy = true }
 }
 
 // doNotice: a spot notice.
 func (s *script) doNotice(a args) func() {
-	return func() { s.worker(a).Notify(a.span("in", 8)) }
+	return func() { s.worker(a).SendSpotNotice(a.duration("in", 8)) }
 }
 
 // doTake: the cloud takes a machine.
@@ -52,24 +52,24 @@
 	return func() {
 		rng := rand.New(rand.NewPCG(uint64(w.now), 3))
 		for _, id := range sortedKeys(w.Cloud.Machines) {
-			if rng.Float64() >= a.num("share", 0.3) {
+			if rng.Float64() >= a.number("share", 0.3) {
 				continue
 			}
 			switch x := w.Cloud.Machines[id]; a.word(0) {
 			case "hang":
 				x.Hang(true)
-				w.After(a.span("for", 10), func() { x.Hang(false) })
+				w.After(a.duration("for", 10), func() { x.Hang(false) })
 			case "cut":
-				s.verb("isolate", args{words: []string{"", "hold"}, pairs: map[string]string{"machine": id, "for": a.pairs["for"]}})()
+				s.compile("isolate", args{words: []string{"", "hold"}, pairs: map[string]string{"machine": id, "for": a.pairs["for"]}})()
 			case "deaf":
-				w.markFor(w.deaf, id, a.span("for", 10))
+				w.addHostFor(w.inboundLost, id, a.duration("for", 10))
 			case "mute":
-				w.markFor(w.mute, id, a.span("for", 10))
+				w.addHostFor(w.outboundLost, id, a.duration("for", 10))
 			case "reborn":
-				x.Reborn()
+				x.Restart()
 			case "sick":
-				x.Sick = true
-				w.After(a.span("for", 10), func() { x.Sick = false })
+				x.Unhealthy = true
+				w.After(a.duration("for", 10), func() { x.Unhealthy = false })
 			case "taken":
 				w.Cloud.remove(id)
 			default:
--- a/internal/sim/script_network.go
+++ b/internal/sim/script_network.go
@@ -8,7 +8,7 @@
 func (s *script) doCut(a args) func() {
 	w := s.w
 	return func() {
-		mode := a.mode()
+		mode := a.cutMode()
 		var to []string
 		for _, word := range a.words[1:] {
 			if word != "hold" && word != "drop" {
@@ -18,7 +18,7 @@
 		for _, from := range s.hosts(a.word(0)) {
 			for _, t := range to {
 				if t != from {
-					w.cutFor(from, t, mode, a.span("for", 20))
+					w.cutFor(from, t, mode, a.duration("for", 20))
 				}
 			}
 		}
@@ -29,7 +29,7 @@
 func (s *script) doZoneCut(a args) func() {
 	w := s.w
 	return func() {
-		mode := a.mode()
+		mode := a.cutMode()
 		inside, outside := []string{s.node(a.word(1)).name}, []string{"state", "cloud", "users"}
 		for _, id := range sortedKeys(w.Cloud.Machines) {
 			if w.Cloud.Machines[id].zone == a.word(0) {
@@ -45,7 +45,7 @@
 		}
 		for _, from := range inside {
 			for _, to := range outside {
-				w.cutFor(from, to, mode, a.span("for", 20))
+				w.cutFor(from, to, mode, a.duration("for", 20))
 			}
 		}
 	}
@@ -55,8 +55,8 @@
 func (s *script) doSlowLinks(a args) func() {
 	w := s.w
 	return func() {
-		w.SlowLinks = a.span("by", 0.3)
-		w.After(a.span("for", 20), func() { w.SlowLinks = 0 })
+		w.LinkDelay = a.duration("by", 0.3)
+		w.After(a.duration("for", 20), func() { w.LinkDelay = 0 })
 	}
 }
 
@@ -64,10 +64,10 @@
 func (s *script) doIsolate(a args) func() {
 	w := s.w
 	return func() {
-		mode := a.mode()
+		mode := a.cutMode()
 		x := s.worker(a)
 		for _, n := range w.Nodes {
-			w.cutFor(x.id, n.name, mode, a.span("for", 20))
+			w.cutFor(x.id, n.name, mode, a.duration("for", 20))
 		}
 	}
 }
@@ -78,8 +78,8 @@
 	return func() {
 		n := s.node(a.word(0)).name
 		ids := sortedKeys(w.Cloud.Machines)
-		for _, id := range ids[:int(a.num("share", 0.5)*float64(len(ids)))] {
-			w.cutFor(n, id, Hold, a.span("for", 20))
+		for _, id := range ids[:int(a.number("share", 0.5)*float64(len(ids)))] {
+			w.cutFor(n, id, Hold, a.duration("for", 20))
 		}
 	}
 }
@@ -88,8 +88,8 @@
 func (s *script) doSlowReports(a args) func() {
 	w := s.w
 	return func() {
-		w.SlowReports = a.span("by", 2)
-		w.After(a.span("for", 2), func() { w.SlowReports = 0 })
+		w.ReportDelay = a.duration("by", 2)
+		w.After(a.duration("for", 2), func() { w.ReportDelay = 0 })
 	}
 }
 
@@ -97,7 +97,7 @@
 func (s *script) doDeaf(a args) func() {
 	w := s.w
 	return func() {
-		w.markFor(w.deaf, s.worker(a).id, a.span("for", 20))
+		w.addHostFor(w.inboundLost, s.worker(a).id, a.duration("for", 20))
 	}
 }
 
@@ -105,7 +105,7 @@
 func (s *script) doMute(a args) func() {
 	w := s.w
 	return func() {
-		w.markFor(w.mute, s.worker(a).id, a.span("for", 20))
+		w.addHostFor(w.outboundLost, s.worker(a).id, a.duration("for", 20))
 	}
 }
 
@@ -113,11 +113,11 @@
 func (s *script) doCopies(a args) func() {
 	w := s.w
 	return func() {
-		c := &copying{share: a.num("share", 0.5), by: a.span("by", 20), rng: rand.New(rand.NewPCG(uint64(w.now), 4)), forNext: a.has("for-next")}
-		w.copies = c
-		w.After(a.span("for", 60), func() {
-			if w.copies == c {
-				w.copies = nil
+		c := &reportCopier{share: a.number("share", 0.5), delay: a.duration("by", 20), rng: rand.New(rand.NewPCG(uint64(w.now), 4)), untilElection: a.hasFlag("for-next")}
+		w.reportCopies = c
+		w.After(a.duration("for", 60), func() {
+			if w.reportCopies == c {
+				w.reportCopies = nil
 			}
 		})
 	}
--- a/internal/sim/script_nodes.go
+++ b/internal/sim/script_nodes.go
@@ -6,15 +6,15 @@
 
 // doSockets: a controller says that so much of its connections is in use.
 func (s *script) doSockets(a args) func() {
-	return func() { s.node(a.word(0)).sockets = a.num("share", 0.9) }
+	return func() { s.node(a.word(0)).socketUsage = a.number("share", 0.9) }
 }
 
 // doSlow: the state service takes longer.
 func (s *script) doSlow(a args) func() {
 	w := s.w
 	return func() {
-		w.State.Slow = a.span("by", 0.2)
-		w.After(a.span("for", 20), func() { w.State.Slow = 0 })
+		w.State.AnswerDelay = a.duration("by", 0.2)
+		w.After(a.duration("for", 20), func() { w.State.AnswerDelay = 0 })
 	}
 }
 
@@ -30,14 +30,14 @@
 		}
 		for _, n := range nodes {
 			n.Kill()
-			w.After(a.span("for", 5), n.Start)
+			w.After(a.duration("for", 5), n.Start)
 		}
 	}
 }
 
 // doFreeze: a process stands still while its clocks run on.
 func (s *script) doFreeze(a args) func() {
-	return func() { s.node(a.word(0)).Freeze(a.span("for", 5)) }
+	return func() { s.node(a.word(0)).Freeze(a.duration("for", 5)) }
 }
 
 // doTwin: one more process, on a machine of its own, that bears a node's name.
@@ -45,7 +45,7 @@
 	w := s.w
 	return func() {
 		name := s.node(a.word(0)).name
-		w.Nodes = append(w.Nodes, &Node{w: w, name: name + "-twin", twin: name})
+		w.Nodes = append(w.Nodes, &Node{w: w, name: name + "-twin", duplicateOf: name})
 		w.Nodes[len(w.Nodes)-1].Start()
 	}
 }
@@ -54,8 +54,8 @@
 func (s *script) doThrottle(a args) func() {
 	w := s.w
 	return func() {
-		w.State.Rate = a.num("rate", 5)
-		w.After(a.span("for", 20), func() { w.State.Rate = 0 })
+		w.State.WriteRateOverride = a.number("rate", 5)
+		w.After(a.duration("for", 20), func() { w.State.WriteRateOverride = 0 })
 	}
 }
 
@@ -64,10 +64,10 @@
 	w := s.w
 	return func() {
 		for _, n := range w.Nodes {
-			if n.old && (a.word(0) == n.name || a.word(0) == "next") {
-				n.old = false
+			if n.oldVersion && (a.word(0) == n.name || a.word(0) == "next") {
+				n.oldVersion = false
 				n.Kill()
-				w.After(a.span("for", 3), n.Start)
+				w.After(a.duration("for", 3), n.Start)
 				return
 			}
 		}
@@ -79,8 +79,8 @@
 	w := s.w
 	return func() {
 		n := s.node(a.word(0)).name
-		w.State.Refuse[n] = true
-		w.After(a.span("for", 20), func() { w.State.Refuse[n] = false; w.State.notify() })
+		w.State.RefusedNodes[n] = true
+		w.After(a.duration("for", 20), func() { w.State.RefusedNodes[n] = false; w.State.notify() })
 	}
 }
 
@@ -91,10 +91,10 @@
 		switch a.word(0) {
 		case "state":
 			w.State.SetOutage(true)
-			w.After(a.span("for", 20), func() { w.State.SetOutage(false) })
+			w.After(a.duration("for", 20), func() { w.State.SetOutage(false) })
 		case "cloud":
 			w.Cloud.Outage = true
-			w.After(a.span("for", 20), func() { w.Cloud.Outage = false })
+			w.After(a.duration("for", 20), func() { w.Cloud.Outage = false })
 		}
 	}
 }
@@ -103,8 +103,8 @@
 func (s *script) doLateTxn(a args) func() {
 	w := s.w
 	return func() {
-		w.State.Late[s.node(a.word(0)).name] = a.span("by", 10)
-		w.State.LateKeys = a.pairs["keys"]
+		w.State.NextTxnDelay[s.node(a.word(0)).name] = a.duration("by", 10)
+		w.State.DelayedKeyPrefix = a.pairs["keys"]
 	}
 }
 
@@ -112,31 +112,31 @@
 func (s *script) doLateWrites(a args) func() {
 	w := s.w
 	return func() {
-		w.State.LateOnes = &lateWrites{a.num("share", 0.3), rand.New(rand.NewPCG(uint64(w.now), 5)), a.has("at-once")}
-		w.After(a.span("for", 20), func() { w.State.LateOnes = nil })
+		w.State.WriteDelays = &delayedWrites{a.number("share", 0.3), rand.New(rand.NewPCG(uint64(w.now), 5)), a.hasFlag("at-once")}
+		w.After(a.duration("for", 20), func() { w.State.WriteDelays = nil })
 	}
 }
 
 // doLostAnswer: a node's next transaction gets no answer.
 func (s *script) doLostAnswer(a args) func() {
 	w := s.w
-	return func() { w.State.Lost[s.node(a.word(0)).name] = true }
+	return func() { w.State.LoseNextAnswer[s.node(a.word(0)).name] = true }
 }
 
 // doLateOrder: the next order is executed late.
 func (s *script) doLateOrder(a args) func() {
 	w := s.w
-	return func() { w.LateOrder = a.span("by", 10) }
+	return func() { w.NextOrderDelay = a.duration("by", 10) }
 }
 
 // doLateReturn: the next return is executed late.
 func (s *script) doLateReturn(a args) func() {
 	w := s.w
-	return func() { w.Cloud.LateReturn = a.span("by", 20) }
+	return func() { w.Cloud.NextReleaseDelay = a.duration("by", 20) }
 }
 
 // doLateRent: the next rental is executed late.
 func (s *script) doLateRent(a args) func() {
 	w := s.w
-	return func() { w.Cloud.LateRent = a.span("by", 20) }
+	return func() { w.Cloud.NextRentDelay = a.duration("by", 20) }
 }
--- a/internal/sim/script_setup.go
+++ b/internal/sim/script_setup.go
@@ -25,7 +25,7 @@
 
 // doTeam: a team and its limits.
 func (s *script) doTeam(a args) func() {
-	return func() { s.team(a.word(0), a.num("cpus", 0), a.num("max", 0)) }
+	return func() { s.team(a.word(0), a.number("cpus", 0), a.number("max", 0)) }
 }
 
 // doType: a machine type.
@@ -36,16 +36,16 @@
 		if z := a.pairs["zones"]; z != "" {
 			zones = strings.Split(z, ",")
 		}
-		w.Cloud.Types = append(w.Cloud.Types, wire.MachineType{Name: a.word(0), CPUs: a.num("cpus", 8), GPUs: a.num("gpus", 0),
-			MemoryGB: a.num("mem", 32), CacheGB: 50, FetchRate: a.num("fetch", 1), Price: a.num("price", 1),
-			SpotPrice: a.num("spot", 0.3), Boot: a.num("boot", 10), Zones: zones})
+		w.Cloud.Types = append(w.Cloud.Types, wire.MachineType{Name: a.word(0), CPUs: a.number("cpus", 8), GPUs: a.number("gpus", 0),
+			MemoryGB: a.number("mem", 32), CacheGB: 50, FetchRate: a.number("fetch", 1), Price: a.number("price", 1),
+			SpotPrice: a.number("spot", 0.3), BootTime: a.number("boot", 10), Zones: zones})
 	}
 }
 
 // doCapacity: how many machines of a kind the cloud has.
 func (s *script) doCapacity(a args) func() {
 	w := s.w
-	return func() { w.Cloud.Capacity[a.word(0)] = int(a.num("count", 0)) }
+	return func() { w.Cloud.Capacity[a.word(0)] = int(a.number("count", 0)) }
 }
 
 // doAdmission: on, with the policy's names.
@@ -60,7 +60,7 @@
 		if err != nil {
 			panic(err.Error())
 		}
-		w.pol = pol
+		w.policy = pol
 	}
 }
 
@@ -68,9 +68,9 @@
 func (s *script) doRelay(a args) func() {
 	w := s.w
 	return func() {
-		pol := *w.pol
-		pol.Relay = policy.Relay{On: true, Workers: int(a.num("workers", 1))}
-		w.pol = &pol
+		pol := *w.policy
+		pol.Relay = policy.Relay{Enabled: true, MinWorkers: int(a.number("workers", 1))}
+		w.policy = &pol
 	}
 }
 
@@ -84,21 +84,21 @@
 func (s *script) doObjective(a args) func() {
 	w := s.w
 	return func() {
-		w.Config.Params.Objectives = append(w.Config.Params.Objectives, config.Objective{Kind: a.word(0), Class: a.word(1), Within: a.num("within", 60)})
-		w.Rules.Widest[a.word(1)] = max(w.Rules.Widest[a.word(1)], a.span("within", 60))
+		w.Config.Params.Objectives = append(w.Config.Params.Objectives, config.Objective{Kind: a.word(0), Class: a.word(1), Within: a.number("within", 60)})
+		w.Rules.LongestObjective[a.word(1)] = max(w.Rules.LongestObjective[a.word(1)], a.duration("within", 60))
 	}
 }
 
 // doFair: starvation is a rule on this day.
 func (s *script) doFair(a args) func() {
 	w := s.w
-	return func() { w.Rules.Fair = true }
+	return func() { w.Rules.CheckStarvation = true }
 }
 
 // doImpatient: users come back sooner than told.
 func (s *script) doImpatient(a args) func() {
 	w := s.w
-	return func() { w.Impatient = a.span("after", 0.2) }
+	return func() { w.RetryInterval = a.duration("after", 0.2) }
 }
 
 // doRepeat: a verb again and again, where it can be done just then.
@@ -107,9 +107,9 @@
 	return func() {
 		at, each := w.now, args{words: a.words, pairs: maps.Clone(a.pairs)}
 		delete(each.pairs, "count")
-		for range int(a.num("count", 1)) {
-			s.line(at, each)
-			at += a.span("every", 1)
+		for range int(a.number("count", 1)) {
+			s.tryAt(at, each)
+			at += a.duration("every", 1)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 func (s *script) doSettings(a args) func() {
 	w := s.w
 	return func() {
-		next := fmt.Sprintf(`{"next":{"value_kb":%v,"txn_ops":%v,"write_rps":%v}}`, a.num("value", 2), a.num("ops", 8), a.num("rate", 42))
+		next := fmt.Sprintf(`{"next":{"value_kb":%v,"txn_ops":%v,"write_rps":%v}}`, a.number("value", 2), a.number("ops", 8), a.number("rate", 42))
 		if err := json.Unmarshal([]byte(next), &w.Config.Params.State); err != nil {
 			panic(err.Error())
 		}
@@ -128,7 +128,7 @@
 // doLimits: the next limits are in force.
 func (s *script) doLimits(a args) func() {
 	w := s.w
-	return func() { w.State.Next = true }
+	return func() { w.State.NextLimitsInForce = true }
 }
 
 // doWorkers: the workers' intervals.
@@ -136,14 +136,14 @@
 	w := s.w
 	return func() {
 		p := &w.Config.Params.Workers
-		p.Report, p.Lease, p.Cancel = a.num("report", 1), a.num("lease", 10), a.num("cancel", p.Cancel)
+		p.Report, p.Lease, p.Cancel = a.number("report", 1), a.number("lease", 10), a.number("cancel", p.Cancel)
 	}
 }
 
 // doStrict: see World.Strict.
 func (s *script) doStrict(a args) func() {
 	w := s.w
-	return func() { w.Strict = true }
+	return func() { w.CheckCancelCascade = true }
 }
 
 // doOld: nodes that run the version in production.
@@ -153,10 +153,10 @@
 		for _, word := range a.words {
 			if word == "all" {
 				for _, n := range w.Nodes {
-					n.old = true
+					n.oldVersion = true
 				}
 			} else {
-				s.node(word).old = true
+				s.node(word).oldVersion = true
 			}
 		}
 	}
@@ -165,9 +165,9 @@
 // doChaos: see chaos.
 func (s *script) doChaos(a args) func() {
 	return func() {
-		day := chaos{s: s, from: a.span("from", 20), to: a.span("to", 200), every: a.span("every", 8), pipelines: a.span("pipelines", 1e9),
-			size: int(a.num("size", 1)), more: int(a.num("more", 0)), pairs: a.has("pairs")}
-		day.play(uint64(a.num("seed", 1)))
+		day := chaos{s: s, from: a.duration("from", 20), to: a.duration("to", 200), every: a.duration("every", 8), dependenciesFrom: a.duration("pipelines", 1e9),
+			jobScale: int(a.number("size", 1)), extraFaults: int(a.number("more", 0)), pairedFaults: a.hasFlag("pairs")}
+		day.schedule(uint64(a.number("seed", 1)))
 	}
 }
 
--- a/internal/sim/script_users.go
+++ b/internal/sim/script_users.go
@@ -16,11 +16,11 @@
 func (s *script) doSubmit(a args) func() {
 	w := s.w
 	job := s.job(a)
-	w.broken[job.ID] = a.has("broken") // submitted with a mistake: it fails on every machine
+	w.failingJobs[job.ID] = a.hasFlag("broken") // submitted with a mistake: it fails on every machine
 	return func() {
-		if a.has("malformed") { // a field is missing
-			u := w.Follow(job)
-			u.submitAs(u.malformed)
+		if a.hasFlag("malformed") { // a field is missing
+			u := w.UserFor(job)
+			u.submitWith(u.malformedSubmission)
 			return
 		}
 		w.Submit(job)
@@ -31,8 +31,8 @@
 func (s *script) doMany(a args) func() {
 	w := s.w
 	return func() {
-		for i := range int(a.num("count", 10)) {
-			w.At(sec, s.verb("submit", parseArgs([]string{many(i), "array", "cpus=1", "run=" + a.pairs["run"]})))
+		for i := range int(a.number("count", 10)) {
+			w.At(second, s.compile("submit", parseArgs([]string{manyJobID(i), "array", "cpus=1", "run=" + a.pairs["run"]})))
 		}
 	}
 }
@@ -41,20 +41,20 @@
 func (s *script) doBurst(a args) func() {
 	w := s.w
 	return func() {
-		id, count := a.word(0), int(a.num("count", 10))
+		id, count := a.word(0), int(a.number("count", 10))
 		first, err := strconv.Atoi(strings.TrimPrefix(id, "req-"))
 		if err != nil {
 			panic("burst: " + id)
 		}
-		every := int(a.num("cancel", 0)) // so many are cancelled: each at some instant of its first seconds
+		every := int(a.number("cancel", 0)) // so many are cancelled: each at some instant of its first seconds
 		rng := rand.New(rand.NewPCG(uint64(first), 7))
 		for i := range count {
 			job := s.job(a)
 			job.ID = fmt.Sprintf("req-%06d", first+i)
-			at := w.now + a.span("over", 0)*Micros(i)/Micros(count)
+			at := w.now + a.duration("over", 0)*Micros(i)/Micros(count)
 			w.At(at, func() { w.Submit(job) })
 			if every > 0 && i%every == 0 {
-				s.line(at+Micros(rng.Int64N(int64(a.span("within", 20)))), args{words: []string{"cancel", job.ID}})
+				s.tryAt(at+Micros(rng.Int64N(int64(a.duration("within", 20)))), args{words: []string{"cancel", job.ID}})
 			}
 		}
 	}
@@ -65,22 +65,22 @@
 	w := s.w
 	return func() {
 		first, _ := strconv.Atoi(strings.TrimPrefix(a.word(0), "req-")) // checked when it was submitted
-		for i := range int(a.num("count", 1)) {
+		for i := range int(a.number("count", 1)) {
 			u := w.Users[fmt.Sprintf("req-%06d", first+i)]
 			if u == nil {
 				panic("resubmit: nobody submitted " + a.word(0))
 			}
 			other := *u.job
 			switch {
-			case a.has("malformed"):
-				u.submitAs(u.malformed)
+			case a.hasFlag("malformed"):
+				u.submitWith(u.malformedSubmission)
 				continue
-			case a.has("other"):
+			case a.hasFlag("other"):
 				other.CPUs = 1e6
-			case a.has("less"):
+			case a.hasFlag("less"):
 				other.Tasks = 1
 			}
-			u.submitAs(func(c *controller.Core, reply func(controller.Answer)) { c.Submit(&other, reply) })
+			u.submitWith(func(c *controller.Core, reply func(controller.Answer)) { c.Submit(&other, reply) })
 		}
 	}
 }
@@ -93,9 +93,9 @@
 		if u == nil {
 			u = &User{w: w, job: &wire.Job{ID: a.word(0)}}
 		}
-		u.at = a.pairs["at"]
+		u.connectedNode = a.pairs["at"]
 		u.Poll(nil)
-		u.at = ""
+		u.connectedNode = ""
 	}
 }
 
@@ -114,7 +114,7 @@
 func (s *script) doCloseLooks(a args) func() {
 	w := s.w
 	return func() {
-		w.looks = &looks{a.num("cancels", 0), rand.New(rand.NewPCG(uint64(w.now), 6))}
-		w.After(a.span("for", 1e6), func() { w.looks = nil })
+		w.prober = &prober{a.number("cancels", 0), rand.New(rand.NewPCG(uint64(w.now), 6))}
+		w.After(a.duration("for", 1e6), func() { w.prober = nil })
 	}
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -87,128 +87,130 @@
 		return &wire.Job{ID: id, Team: "core", Kind: wire.KindArray, Tasks: 2, CPUs: 2, Zone: "a"}
 	}
 	after := func() *wire.Job {
-		return &wire.Job{ID: "req-000002", Team: "core", Kind: wire.KindArray, Tasks: 1, Awaits: []string{id}}
+		return &wire.Job{ID: "req-000002", Team: "core", Kind: wire.KindArray, Tasks: 1, DependsOn: []string{id}}
 	}
 	cases := map[string]func(c *Checker){
 		"ran_twice": func(c *Checker) {
-			c.Started(0, task, "m-1", "t", "a", false)
-			c.Started(0, task, "m-2", "t", "a", false)
+			c.TaskStarted(0, task, "m-1", "t", "a", false)
+			c.TaskStarted(0, task, "m-2", "t", "a", false)
 		},
 		"quota": func(c *Checker) {
-			c.Limits["core"] = 3
-			c.Started(0, task, "m-1", "t", "a", false)
-			c.Started(0, "req-000001/1", "m-1", "t", "a", false)
+			c.TeamLimits["core"] = 3
+			c.TaskStarted(0, task, "m-1", "t", "a", false)
+			c.TaskStarted(0, "req-000001/1", "m-1", "t", "a", false)
 		},
-		"wrong_place": func(c *Checker) { c.Started(0, task, "m-1", "t", "b", false) },
+		"wrong_place": func(c *Checker) { c.TaskStarted(0, task, "m-1", "t", "b", false) },
 		"ran_cancelled": func(c *Checker) {
-			c.Started(0, task, "m-1", "t", "a", false)
-			c.AskedCancel(id)
-			c.ToldCancelled(id, 40*sec)
-			c.Sweep(41 * sec)
+			c.TaskStarted(0, task, "m-1", "t", "a", false)
+			c.CancelRequested(id)
+			c.CancelConfirmed(id, 40*second)
+			c.CheckOverdue(41 * second)
 		},
 		"forgotten": func(c *Checker) {
-			c.Submitted(id, c.Asking(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
-			c.Polled(id, c.Asking(id), controller.Answer{Code: 404})
+			c.CheckSubmitAnswer(id, c.BeginRequest(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
+			c.CheckStatusAnswer(id, c.BeginRequest(id), controller.Answer{Code: 404})
 		},
-		"invented": func(c *Checker) { c.Polled("req-000009", c.Asking("req-000009"), told(wire.PhaseQueued)) },
-		"not_done": func(c *Checker) { c.Polled(id, c.Asking(id), told(wire.PhaseDone)) },
+		"invented": func(c *Checker) {
+			c.CheckStatusAnswer("req-000009", c.BeginRequest("req-000009"), told(wire.PhaseQueued))
+		},
+		"not_done": func(c *Checker) { c.CheckStatusAnswer(id, c.BeginRequest(id), told(wire.PhaseDone)) },
 		"went_back": func(c *Checker) {
-			c.Completed(task)
-			c.Completed("req-000001/1")
-			c.Polled(id, c.Asking(id), told(wire.PhaseDone))
-			c.Polled(id, c.Asking(id), told(wire.PhaseRunning))
+			c.TaskCompleted(task)
+			c.TaskCompleted("req-000001/1")
+			c.CheckStatusAnswer(id, c.BeginRequest(id), told(wire.PhaseDone))
+			c.CheckStatusAnswer(id, c.BeginRequest(id), told(wire.PhaseRunning))
 		},
 		"too_early": func(c *Checker) {
-			c.Known(after())
-			c.Started(0, "req-000002/0", "m-1", "t", "a", false)
+			c.AddJob(after())
+			c.TaskStarted(0, "req-000002/0", "m-1", "t", "a", false)
 		},
 		"orphaned": func(c *Checker) {
-			c.Known(after())
-			c.Submitted("req-000002", c.Asking("req-000002"), controller.Answer{Code: 201, Status: wire.JobStatus{Phase: wire.PhaseQueued}})
-			c.AskedCancel(id)
-			c.ToldCancelled(id, 40*sec)
-			c.Now = func() Micros { return 41 * sec }
-			c.Polled("req-000002", c.Asking("req-000002"), controller.Answer{Code: 200, Status: wire.JobStatus{Phase: wire.PhaseQueued}})
+			c.AddJob(after())
+			c.CheckSubmitAnswer("req-000002", c.BeginRequest("req-000002"), controller.Answer{Code: 201, Status: wire.JobStatus{Phase: wire.PhaseQueued}})
+			c.CancelRequested(id)
+			c.CancelConfirmed(id, 40*second)
+			c.Now = func() Micros { return 41 * second }
+			c.CheckStatusAnswer("req-000002", c.BeginRequest("req-000002"), controller.Answer{Code: 200, Status: wire.JobStatus{Phase: wire.PhaseQueued}})
 		},
 		"starved": func(c *Checker) {
-			c.Fair, c.Widest["c"], c.Widest["d"] = true, 60*sec, 60*sec
+			c.CheckStarvation, c.LongestObjective["c"], c.LongestObjective["d"] = true, 60*second, 60*second
 			for i, class := range []string{"c", "c", "d", "d"} {
 				id := fmt.Sprintf("req-%06d", 10+i)
-				c.Known(&wire.Job{ID: id, Class: class, Team: "core", Kind: wire.KindArray, Tasks: 1, CPUs: 1, Estimate: 10})
-				c.Submitted(id, c.Asking(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
-				c.Started(0, id+"/0", "m-1", "t", "a", false)
-				c.Now = func() Micros { return 30 * sec }
+				c.AddJob(&wire.Job{ID: id, Class: class, Team: "core", Kind: wire.KindArray, Tasks: 1, CPUs: 1, Estimate: 10})
+				c.CheckSubmitAnswer(id, c.BeginRequest(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
+				c.TaskStarted(0, id+"/0", "m-1", "t", "a", false)
+				c.Now = func() Micros { return 30 * second }
 				if class == "d" {
-					c.Now = func() Micros { return 90 * sec }
+					c.Now = func() Micros { return 90 * second }
 				}
-				c.Completed(id + "/0")
-				c.Now = func() Micros { return sec }
+				c.TaskCompleted(id + "/0")
+				c.Now = func() Micros { return second }
 			}
-			c.Now = func() Micros { return 200 * sec }
-			c.Finish()
+			c.Now = func() Micros { return 200 * second }
+			c.CheckFinal()
 		},
 		"starved: team core: 0.33 accepted": func(c *Checker) {
-			c.Fair = true
+			c.CheckStarvation = true
 			for i := range 2 {
-				c.Known(&wire.Job{ID: fmt.Sprintf("req-%06d", 10+i), Class: "c", Team: "core", Kind: wire.KindArray, Tasks: 1})
+				c.AddJob(&wire.Job{ID: fmt.Sprintf("req-%06d", 10+i), Class: "c", Team: "core", Kind: wire.KindArray, Tasks: 1})
 			}
-			c.Known(job())
-			c.Submitted(id, c.Asking(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
-			c.Started(0, task, "m-1", "t", "a", false)
-			c.Now = func() Micros { return 200 * sec }
-			c.Finish()
-			c.Broken = c.Broken[max(len(c.Broken)-2, 0):]
+			c.AddJob(job())
+			c.CheckSubmitAnswer(id, c.BeginRequest(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
+			c.TaskStarted(0, task, "m-1", "t", "a", false)
+			c.Now = func() Micros { return 200 * second }
+			c.CheckFinal()
+			c.Violations = c.Violations[max(len(c.Violations)-2, 0):]
 		},
 		"forgotten: req-000001: no question": func(c *Checker) {
-			c.Submitted(id, c.Asking(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
-			c.Trouble(100 * sec)
-			for at := 10 * sec; at < 185*sec; at += 5 * sec {
+			c.CheckSubmitAnswer(id, c.BeginRequest(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
+			c.ExtendFaultWindow(100 * second)
+			for at := 10 * second; at < 185*second; at += 5 * second {
 				c.Now = func() Micros { return at }
-				c.Polled(id, c.Asking(id), controller.Answer{Code: 503})
-				if c.Sweep(at); len(c.Broken) > 0 && at < 180*sec {
-					c.Broken = []string{"too soon"}
+				c.CheckStatusAnswer(id, c.BeginRequest(id), controller.Answer{Code: 503})
+				if c.CheckOverdue(at); len(c.Violations) > 0 && at < 180*second {
+					c.Violations = []string{"too soon"}
 				}
 			}
 		},
 		"late: req-000010, one of the largest": func(c *Checker) {
-			c.Fair = true
+			c.CheckStarvation = true
 			for i := range 10 {
 				id := fmt.Sprintf("req-%06d", 10+i)
-				c.Known(&wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindArray, Tasks: 20 - i, CPUs: 1})
-				c.Submitted(id, c.Asking(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
+				c.AddJob(&wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindArray, Tasks: 20 - i, CPUs: 1})
+				c.CheckSubmitAnswer(id, c.BeginRequest(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
 				if i > 0 {
-					c.Started(0, id+"/0", "m-1", "t", "a", false)
+					c.TaskStarted(0, id+"/0", "m-1", "t", "a", false)
 				}
 			}
 			delete(c.jobs, id)
-			c.Now = func() Micros { return 300 * sec }
-			c.Finish()
+			c.Now = func() Micros { return 300 * second }
+			c.CheckFinal()
 		},
 		"starved: largest of class c": func(c *Checker) {
-			c.Fair = true
+			c.CheckStarvation = true
 			for i := range 20 {
 				id := fmt.Sprintf("req-%06d", 10+i)
-				c.Known(&wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindGang, Tasks: 2 + i, CPUs: 1})
-				c.Submitted(id, c.Asking(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
+				c.AddJob(&wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindGang, Tasks: 2 + i, CPUs: 1})
+				c.CheckSubmitAnswer(id, c.BeginRequest(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
 				for k := range 2 + i { // the five largest without their last task
 					if i < 15 || k < 1+i {
-						c.Started(0, fmt.Sprintf("%s/%d", id, k), "m-1", "t", "a", false)
+						c.TaskStarted(0, fmt.Sprintf("%s/%d", id, k), "m-1", "t", "a", false)
 					}
 				}
 			}
 			delete(c.jobs, id)
-			c.Now = func() Micros { return 300 * sec }
-			c.Finish()
-			c.Broken = slices.DeleteFunc(c.Broken, func(s string) bool { return strings.HasPrefix(s, "late") })
+			c.Now = func() Micros { return 300 * second }
+			c.CheckFinal()
+			c.Violations = slices.DeleteFunc(c.Violations, func(s string) bool { return strings.HasPrefix(s, "late") })
 		},
-		"nothing_ran": func(c *Checker) { c.Finish() },
+		"nothing_ran": func(c *Checker) { c.CheckFinal() },
 	}
 	for rule, break_ := range cases {
 		c := NewChecker()
-		c.Known(job())
+		c.AddJob(job())
 		break_(c)
-		if len(c.Broken) == 0 || !strings.HasPrefix(c.Broken[0], rule) {
-			t.Errorf("%s not caught: %v", rule, c.Broken)
+		if len(c.Violations) == 0 || !strings.HasPrefix(c.Violations[0], rule) {
+			t.Errorf("%s not caught: %v", rule, c.Violations)
 		}
 	}
 }
@@ -239,22 +241,22 @@
 		w := NewWorld(1, []string{"a", "b"}, 7)
 		for _, zone := range []string{"a", "b"} {
 			x := newWorker(w, "m-"+zone, typ, zone, false)
-			x.up, x.Sick = true, c.sick
+			x.up, x.Unhealthy = true, c.sick
 			w.Cloud.Machines[x.id] = x
 		}
 		job := c.job
 		job.ID, job.Team = "req-000001", "core"
-		w.Rules.Limits["core"] = c.limit
-		w.Rules.Known(&job)
+		w.Rules.TeamLimits["core"] = c.limit
+		w.Rules.AddJob(&job)
 		w.Rules.jobs[job.ID].accepted = true
-		w.Rules.Trouble(50 * sec)
-		for w.now = 5 * sec; w.now <= 145*sec; w.now += 5 * sec {
-			w.judgeWaiting()
-			if w.now == 140*sec && len(w.Rules.Broken) > 0 {
-				t.Errorf("%s: found too soon: %v", name, w.Rules.Broken)
+		w.Rules.ExtendFaultWindow(50 * second)
+		for w.now = 5 * second; w.now <= 145*second; w.now += 5 * second {
+			w.checkLeftWaiting()
+			if w.now == 140*second && len(w.Rules.Violations) > 0 {
+				t.Errorf("%s: found too soon: %v", name, w.Rules.Violations)
 			}
 		}
-		if got := len(w.Rules.Broken) > 0; got != c.left {
+		if got := len(w.Rules.Violations) > 0; got != c.left {
 			t.Errorf("%s: left waiting %v, not %v", name, got, c.left)
 		}
 	}
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -16,32 +16,32 @@
 
 // State is the stand-in of the state service.
 type State struct {
-	w        *World
-	revision uint64
-	items    map[string]*wire.Item
-	grouped  map[string]string // machine -> the record of several that names it
-	leases   map[uint64]*lease
-	nextID   uint64
-	log      []wire.Event
-	watches  []*watch
-	Outage   bool
-	Slow     Micros            // answers take this much longer
-	Refuse   map[string]bool   // nodes that get 503
-	Late     map[string]Micros // nodes whose next transaction is applied this much later, with no answer
-	LateKeys string            // of those, only transactions that write a key with this prefix
-	Lost     map[string]bool   // nodes whose next transaction is applied, with no answer
-	LateOnes *lateWrites       // a share of all nodes' transactions is applied late, with no answer
-	Delayed  int               // transactions that were so far
-
-	Rate    float64 // changes a second in place of the settings'; 0: those
-	tokens  float64 // changes that may be made now
-	filled  Micros
-	Next    bool // the next limits are in force
-	Largest int  // the largest value asked for
-	Refused int  // transactions refused with 400 or 429
-	Busiest int  // requests in the busiest second
-	second  Micros
-	asked   int // requests in that second
+	w                *World
+	revision         uint64
+	items            map[string]*wire.Item
+	groupKeys        map[string]string // machine -> the record of several that names it
+	leases           map[uint64]*lease
+	nextID           uint64
+	log              []wire.Event
+	watches          []*watch
+	Outage           bool
+	AnswerDelay      Micros            // answers take this much longer
+	RefusedNodes     map[string]bool   // nodes that get 503
+	NextTxnDelay     map[string]Micros // nodes whose next transaction is applied this much later, with no answer
+	DelayedKeyPrefix string            // of those, only transactions that write a key with this prefix
+	LoseNextAnswer   map[string]bool   // nodes whose next transaction is applied, with no answer
+	WriteDelays      *delayedWrites    // a share of all nodes' transactions is applied late, with no answer
+	DelayedTxns      int               // transactions that were so far
+
+	WriteRateOverride float64 // changes a second in place of the settings'; 0: those
+	tokens            float64 // changes that may be made now
+	filled            Micros
+	NextLimitsInForce bool // the next limits are in force
+	LargestValue      int  // the largest value asked for
+	RefusedTxns       int  // transactions refused with 400 or 429
+	PeakRequests      int  // requests in the busiest second
+	second            Micros
+	asked             int // requests in that second
 }
 
 type lease struct {
@@ -57,18 +57,18 @@
 }
 
 func newState(w *World) *State {
-	s := &State{w: w, items: map[string]*wire.Item{}, grouped: map[string]string{}, leases: map[uint64]*lease{},
-		Refuse: map[string]bool{}, Late: map[string]Micros{}, Lost: map[string]bool{}, tokens: 1e9}
+	s := &State{w: w, items: map[string]*wire.Item{}, groupKeys: map[string]string{}, leases: map[uint64]*lease{},
+		RefusedNodes: map[string]bool{}, NextTxnDelay: map[string]Micros{}, LoseNextAnswer: map[string]bool{}, tokens: 1e9}
 	var expire func()
 	expire = func() {
 		if !s.Outage {
 			for _, id := range s.leaseIDs() {
 				if w.now >= s.leases[id].end {
-					s.drop(id)
+					s.removeLease(id)
 				}
 			}
 		}
-		w.After(50*ms, expire)
+		w.After(50*millisecond, expire)
 	}
 	w.After(0, expire)
 	return s
@@ -83,12 +83,12 @@
 	return ids
 }
 
-func (s *State) drop(id uint64) {
+func (s *State) removeLease(id uint64) {
 	delete(s.leases, id)
 	var gone []wire.Change
 	for _, k := range sortedKeys(s.items) {
 		if s.items[k].Lease == id {
-			gone = append(gone, wire.Change{Delete: k})
+			gone = append(gone, wire.Change{DeleteKey: k})
 		}
 	}
 	if len(gone) > 0 {
@@ -130,7 +130,7 @@
 // lateWrites is the users' trouble of that name: of a share of the transactions, whoever
 // sends them, there is no answer, and they are applied 2 to 12 s later, after newer ones;
 // or at once, so that only the answer is lost.
-type lateWrites struct {
+type delayedWrites struct {
 	share  float64
 	rng    *rand.Rand
 	atOnce bool
@@ -138,32 +138,32 @@
 
 // drawLate says whether a transaction gets no answer, and how much later it is applied.
 func (s *State) drawLate() (Micros, bool) {
-	l := s.LateOnes
+	l := s.WriteDelays
 	if l == nil || l.rng.Float64() >= l.share {
 		return 0, false
 	}
 	if l.atOnce {
-		return ms, true
+		return millisecond, true
 	}
-	return 2*sec + Micros(l.rng.Int64N(int64(10*sec))), true
+	return 2*second + Micros(l.rng.Int64N(int64(10*second))), true
 }
 
 func (s *State) apply(changes []wire.Change) {
 	s.revision++
 	for _, c := range changes {
-		if c.Delete != "" {
-			s.members(c.Delete, nil)
-			delete(s.items, c.Delete)
-			s.log = append(s.log, wire.Event{Delete: c.Delete, Version: s.revision})
+		if c.DeleteKey != "" {
+			s.members(c.DeleteKey, nil)
+			delete(s.items, c.DeleteKey)
+			s.log = append(s.log, wire.Event{DeleteKey: c.DeleteKey, Version: s.revision})
 			continue
 		}
-		s.members(c.Put, c.Value)
+		s.members(c.PutKey, c.Value)
 		s.checkPlaces(c)
-		if c.Put == lead.TermKey {
-			s.w.elected()
+		if c.PutKey == lead.TermKey {
+			s.w.onElection()
 		}
-		s.items[c.Put] = &wire.Item{Key: c.Put, Value: c.Value, Version: s.revision, Lease: c.Lease}
-		s.log = append(s.log, wire.Event{Put: c.Put, Value: c.Value, Version: s.revision})
+		s.items[c.PutKey] = &wire.Item{Key: c.PutKey, Value: c.Value, Version: s.revision, Lease: c.Lease}
+		s.log = append(s.log, wire.Event{PutKey: c.PutKey, Value: c.Value, Version: s.revision})
 	}
 	s.notify()
 }
@@ -178,15 +178,15 @@
 	}
 	if it := s.items[key]; it != nil && msgpack.Unmarshal(it.Value, &rec) == nil {
 		for _, id := range rec.Machines {
-			if s.grouped[id] == key {
-				delete(s.grouped, id)
+			if s.groupKeys[id] == key {
+				delete(s.groupKeys, id)
 			}
 		}
 	}
 	rec.Machines = nil
 	if value != nil && msgpack.Unmarshal(value, &rec) == nil {
 		for _, id := range rec.Machines {
-			s.grouped[id] = key
+			s.groupKeys[id] = key
 		}
 	}
 }
@@ -198,17 +198,17 @@
 	var rec struct {
 		Machines []string `msgpack:"m"`
 	}
-	if strings.HasPrefix(c.Put, "t/") && msgpack.Unmarshal(c.Value, &rec) == nil {
+	if strings.HasPrefix(c.PutKey, "t/") && msgpack.Unmarshal(c.Value, &rec) == nil {
 		for _, id := range rec.Machines {
-			if s.items["m/"+id] == nil && s.grouped[id] == "" {
-				s.w.Rules.broke("unrecorded", "%s names %s", c.Put, id)
+			if s.items["m/"+id] == nil && s.groupKeys[id] == "" {
+				s.w.Rules.addViolation("unrecorded", "%s names %s", c.PutKey, id)
 			}
 		}
 	}
 }
 
 // toReturn reports whether an intent to return a machine stands.
-func (s *State) toReturn(id string) bool {
+func (s *State) hasReleaseIntent(id string) bool {
 	for key, it := range s.items {
 		var rec struct {
 			Machines []string `msgpack:"m"`
@@ -222,23 +222,23 @@
 
 // judgeKeys holds the controllers to leaving nothing behind that no record explains: what lies
 // beside a job goes with it, a record of machines names some.
-func (s *State) judgeKeys() {
+func (s *State) checkOrphanedKeys() {
 	for _, key := range sortedKeys(s.items) {
 		kind, rest, _ := strings.Cut(key, "/")
 		id, _, beside := strings.Cut(rest, "/")
 		switch {
 		case kind == "j" && beside, kind == "t":
 			if s.items["j/"+id] == nil {
-				s.w.Rules.broke("left_behind", "%s", key)
+				s.w.Rules.addViolation("left_behind", "%s", key)
 			}
-		case kind == "g" && !slices.Contains(slices.Collect(maps.Values(s.grouped)), key):
-			s.w.Rules.broke("left_behind", "%s", key)
+		case kind == "g" && !slices.Contains(slices.Collect(maps.Values(s.groupKeys)), key):
+			s.w.Rules.addViolation("left_behind", "%s", key)
 		}
 	}
 }
 
 // phase is the final state that the service holds of a job, or "".
-func (s *State) phase(id string) string {
+func (s *State) finalPhase(id string) string {
 	for _, key := range []string{"j/" + id + "/s", "f/" + id} {
 		var rec struct {
 			Phase string `msgpack:"phase"`
@@ -291,7 +291,7 @@
 	var out []wire.Event
 	newer := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > rev })
 	for _, e := range s.log[newer:] {
-		if strings.HasPrefix(e.Put, prefix) || strings.HasPrefix(e.Delete, prefix) {
+		if strings.HasPrefix(e.PutKey, prefix) || strings.HasPrefix(e.DeleteKey, prefix) {
 			out = append(out, e)
 		}
 	}
@@ -306,7 +306,7 @@
 			v = it.Version
 		}
 		if v != g.Version {
-			a.Failed = append(a.Failed, g.Key)
+			a.FailedGuards = append(a.FailedGuards, g.Key)
 		}
 	}
 	for _, c := range t.Then {
@@ -314,7 +314,7 @@
 			return store.Refused, a
 		}
 	}
-	if len(a.Failed) > 0 {
+	if len(a.FailedGuards) > 0 {
 		a.Revision = s.revision
 		return store.Failed, a
 	}
@@ -327,18 +327,18 @@
 
 // judge applies the limits of the settings, or the next ones once they are in
 // force, to a transaction.
-func (s *State) judge(t *wire.Txn) store.Outcome {
+func (s *State) checkLimits(t *wire.Txn) store.Outcome {
 	limits := s.w.Config.Params.State
-	if s.Next {
+	if s.NextLimitsInForce {
 		limits = limits.Lowest()
 	}
-	if s.Rate > 0 {
-		limits.WriteRPS = s.Rate
+	if s.WriteRateOverride > 0 {
+		limits.WriteRPS = s.WriteRateOverride
 	}
 	invalid := len(t.Then) > limits.TxnOps || len(t.If) > 4*limits.TxnOps || wire.TxnSize(t) > wire.MaxBody
 	for _, c := range t.Then {
 		if c.Value != nil {
-			s.Largest = max(s.Largest, wire.JSONSize(c.Value))
+			s.LargestValue = max(s.LargestValue, wire.JSONSize(c.Value))
 			invalid = invalid || wire.JSONSize(c.Value) > limits.ValueBytes()
 		}
 	}
@@ -346,11 +346,11 @@
 	s.filled = s.w.now
 	switch {
 	case invalid:
-		s.Refused++
+		s.RefusedTxns++
 		return store.Invalid
 	case s.tokens < float64(len(t.Then)):
-		s.Refused++
-		return store.Limited
+		s.RefusedTxns++
+		return store.RateLimited
 	}
 	s.tokens -= float64(len(t.Then))
 	return store.OK
@@ -360,12 +360,12 @@
 type stateClient struct{ e *env }
 
 // count counts a request.
-func (s *State) count() {
-	if at := s.w.now / sec; at != s.second {
+func (s *State) countRequest() {
+	if at := s.w.now / second; at != s.second {
 		s.second, s.asked = at, 0
 	}
 	s.asked++
-	s.Busiest = max(s.Busiest, s.asked)
+	s.PeakRequests = max(s.PeakRequests, s.asked)
 }
 
 func (c *stateClient) state() *State { return c.e.n.w.State }
@@ -373,19 +373,19 @@
 // call runs f at the service unless it is out for this node.
 func (c *stateClient) call(f func() func(), refused, unknown func()) {
 	s := c.state()
-	c.e.n.w.call(c.e.n.name, "state", 1500*ms, func(respond func(func())) {
-		s.count()
-		if s.Outage || s.Refuse[c.e.n.name] {
-			respond(c.e.alive(refused))
+	c.e.n.w.call(c.e.n.name, "state", 1500*millisecond, func(respond func(func())) {
+		s.countRequest()
+		if s.Outage || s.RefusedNodes[c.e.n.name] {
+			respond(c.e.whileRunning(refused))
 			return
 		}
-		answer := c.e.alive(f())
-		if s.Slow == 0 {
+		answer := c.e.whileRunning(f())
+		if s.AnswerDelay == 0 {
 			respond(answer)
 			return
 		}
-		c.e.n.w.After(s.Slow, func() { respond(answer) })
-	}, c.e.alive(unknown))
+		c.e.n.w.After(s.AnswerDelay, func() { respond(answer) })
+	}, c.e.whileRunning(unknown))
 }
 
 // page lists keys after one, as many as allowed.
@@ -424,28 +424,28 @@
 
 func (c *stateClient) Txn(t *wire.Txn, done func(store.Outcome, *wire.TxnAnswer)) {
 	s, name := c.state(), c.e.n.name
-	hit := slices.ContainsFunc(t.Then, func(ch wire.Change) bool { return strings.HasPrefix(ch.Put+ch.Delete, s.LateKeys) })
-	d, late := s.Late[name]
+	hit := slices.ContainsFunc(t.Then, func(ch wire.Change) bool { return strings.HasPrefix(ch.PutKey+ch.DeleteKey, s.DelayedKeyPrefix) })
+	d, late := s.NextTxnDelay[name]
 	if late = late && hit; late {
-		delete(s.Late, name)
-	} else if !s.Outage && !s.Refuse[name] {
+		delete(s.NextTxnDelay, name)
+	} else if !s.Outage && !s.RefusedNodes[name] {
 		d, late = s.drawLate()
 	}
 	if late {
-		s.Delayed++
+		s.DelayedTxns++
 		c.e.n.w.After(d, func() { s.txn(t) })
-		c.e.After(1500*ms, func() { done(store.Unknown, &wire.TxnAnswer{}) })
+		c.e.After(1500*millisecond, func() { done(store.Unknown, &wire.TxnAnswer{}) })
 		return
 	}
-	lost := s.Lost[name]
-	delete(s.Lost, name)
+	lost := s.LoseNextAnswer[name]
+	delete(s.LoseNextAnswer, name)
 	c.call(func() func() {
-		if o := s.judge(t); o != store.OK {
+		if o := s.checkLimits(t); o != store.OK {
 			return func() { done(o, &wire.TxnAnswer{}) }
 		}
 		o, a := s.txn(t)
 		if lost {
-			return func() { c.e.After(1500*ms, func() { done(store.Unknown, &wire.TxnAnswer{}) }) }
+			return func() { c.e.After(1500*millisecond, func() { done(store.Unknown, &wire.TxnAnswer{}) }) }
 		}
 		return func() { done(o, a) }
 	}, func() { done(store.Refused, &wire.TxnAnswer{}) }, func() { done(store.Unknown, &wire.TxnAnswer{}) })
@@ -470,7 +470,7 @@
 func (c *stateClient) Grant(ttl int64, done func(store.Outcome, uint64)) {
 	s := c.state()
 	c.call(func() func() {
-		id := s.grant(Micros(ttl) * ms)
+		id := s.grant(Micros(ttl) * millisecond)
 		return func() { done(store.OK, id) }
 	}, func() { done(store.Refused, 0) }, func() { done(store.Unknown, 0) })
 }
@@ -488,19 +488,19 @@
 func (c *stateClient) Revoke(id uint64, done func(store.Outcome)) {
 	s := c.state()
 	c.call(func() func() {
-		s.drop(id)
+		s.removeLease(id)
 		return func() { done(store.OK) }
 	}, func() { done(store.Refused) }, func() { done(store.Unknown) })
 }
 
 func (c *stateClient) Watch(prefix string, since uint64, wait int64, done func(store.Outcome, *wire.WatchAnswer)) {
 	s, w := c.state(), c.e.n.w
-	w.call(c.e.n.name, "state", Micros(wait)*ms+3*sec, func(respond func(func())) {
-		s.count()
-		s.watch(prefix, since, Micros(wait)*ms, func(a *wire.WatchAnswer) {
-			if !s.Refuse[c.e.n.name] { // an open watch waits on, as in an outage
-				respond(c.e.alive(func() { done(store.OK, a) }))
+	w.call(c.e.n.name, "state", Micros(wait)*millisecond+3*second, func(respond func(func())) {
+		s.countRequest()
+		s.watch(prefix, since, Micros(wait)*millisecond, func(a *wire.WatchAnswer) {
+			if !s.RefusedNodes[c.e.n.name] { // an open watch waits on, as in an outage
+				respond(c.e.whileRunning(func() { done(store.OK, a) }))
 			}
 		})
-	}, c.e.alive(func() { done(store.Unknown, &wire.WatchAnswer{}) }))
+	}, c.e.whileRunning(func() { done(store.Unknown, &wire.WatchAnswer{}) }))
 }
--- a/internal/sim/waiting.go
+++ b/internal/sim/waiting.go
@@ -9,11 +9,11 @@
 
 // waitsAtMost is how long a job may be left waiting, once all troubles are over, while a
 // machine that fits has room and its team is under its limit.
-const waitsAtMost = 90 * sec
+const waitsAtMost = 90 * second
 
 // judgeWaiting holds the day to that, looking every few seconds: an array or service by each
 // of its tasks, a gang as a whole.
-func (w *World) judgeWaiting() {
+func (w *World) checkLeftWaiting() {
 	c := w.Rules
 	held := w.places()
 	used := map[string]float64{}
@@ -24,18 +24,18 @@
 	}
 	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
-		waits := j.accepted && j.final == "" && j.doneAt == 0 && !c.mayCancel(j) &&
-			!slices.ContainsFunc(j.job.Awaits, func(id string) bool { return c.jobs[id] == nil || c.jobs[id].doneAt == 0 })
+		waits := j.accepted && j.finalPhase == "" && j.doneAt == 0 && !c.cancelAllowed(j) &&
+			!slices.ContainsFunc(j.job.DependsOn, func(id string) bool { return c.jobs[id] == nil || c.jobs[id].doneAt == 0 })
 		if !waits || !w.hasRoom(j, held[id], used[j.job.Team]) {
-			j.roomSince = 0
+			j.placeableSince = 0
 			continue
 		}
-		if j.roomSince == 0 {
-			j.roomSince = w.now
+		if j.placeableSince == 0 {
+			j.placeableSince = w.now
 		}
-		if w.now-max(j.roomSince, c.troubled) > waitsAtMost {
-			c.broke("left_waiting", "%s has had room for 90 s", id)
-			j.roomSince = w.now
+		if w.now-max(j.placeableSince, c.faultWindowEnd) > waitsAtMost {
+			c.addViolation("left_waiting", "%s has had room for 90 s", id)
+			j.placeableSince = w.now
 		}
 	}
 }
@@ -58,7 +58,7 @@
 
 // hasRoom reports whether what a job still lacks, or one task of it unless it is a gang, could
 // be placed now: on machines that run and are well, in the zones that are left to it.
-func (w *World) hasRoom(j *judged, held map[string]string, used float64) bool {
+func (w *World) hasRoom(j *trackedJob, held map[string]string, used float64) bool {
 	s := j.job
 	lacks := s.Tasks - len(held)
 	for i := range j.doneTasks {
@@ -72,7 +72,7 @@
 	if s.Kind != wire.KindGang {
 		lacks = 1
 	}
-	if limit := w.Rules.Limits[s.Team]; limit > 0 && used+float64(lacks)*s.CPUs > limit+1e-6 {
+	if limit := w.Rules.TeamLimits[s.Team]; limit > 0 && used+float64(lacks)*s.CPUs > limit+1e-6 {
 		return false
 	}
 	inZone := map[string]int{}
@@ -103,7 +103,7 @@
 
 // fits reports whether a machine is well and may run tasks of a job.
 func (x *Worker) fits(s *wire.Job) bool {
-	return x.up && !x.dead && !x.hung && !x.Sick && x.notice == 0 && (s.Spot || !x.spot) &&
+	return x.up && !x.dead && !x.hung && !x.Unhealthy && x.reclaimAt == 0 && (s.Spot || !x.spot) &&
 		(s.Zone == "" || s.Zone == x.zone) && (len(s.Types) == 0 || slices.Contains(s.Types, x.typ.Name))
 }
 
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -8,16 +8,16 @@
 
 // Worker is the stand-in of one machine's worker.
 type Worker struct {
-	w    *World
-	id   string
-	addr string // where it takes orders; in virtual time its name
-	typ  *wire.MachineType
-	zone string
-	spot bool
-	born Micros
+	w        *World
+	id       string
+	addr     string // where it takes orders; in virtual time its name
+	typ      *wire.MachineType
+	zone     string
+	spot     bool
+	rentedAt Micros
 
 	up, dead, hung bool
-	Sick           bool // every task fails
+	Unhealthy      bool // every task fails
 	session, seq   uint64
 	life           int // answers to requests of an earlier one don't arrive
 	token          uint64
@@ -26,7 +26,7 @@
 	tasks          map[string]*simTask // by task and attempt
 	order          []string
 	images         map[string]bool
-	notice         Micros
+	reclaimAt      Micros
 	backlog        []func() // what a hanging machine does when it goes on
 
 	sent    Micros // the latest report
@@ -47,7 +47,7 @@
 }
 
 func newWorker(w *World, id string, t *wire.MachineType, zone string, spot bool) *Worker {
-	return &Worker{w: w, id: id, addr: id, typ: t, zone: zone, spot: spot, born: w.now, session: 1,
+	return &Worker{w: w, id: id, addr: id, typ: t, zone: zone, spot: spot, rentedAt: w.now, session: 1,
 		tasks: map[string]*simTask{}, images: map[string]bool{}, node: len(id) % len(w.Nodes)}
 }
 
@@ -56,8 +56,8 @@
 		return
 	}
 	x.up, x.renewed = true, x.w.now
-	if x.w.live != nil {
-		x.w.live.serve(x)
+	if x.w.server != nil {
+		x.w.server.serveWorker(x)
 	}
 	x.report()
 	var lease func()
@@ -75,20 +75,20 @@
 			x.session++
 			x.renewed = x.w.now
 		}
-		x.w.After(50*ms, lease)
+		x.w.After(50*millisecond, lease)
 	}
 	lease()
 }
 
 // Reborn starts the machine anew under its name and address: it counts from the beginning
 // and knows nothing, its images included.
-func (x *Worker) Reborn() {
+func (x *Worker) Restart() {
 	x.killAll()
 	x.life++
 	x.session, x.seq, x.token, x.renewed, x.images = 1, 0, 0, x.w.now, map[string]bool{}
 }
 
-func (x *Worker) die() {
+func (x *Worker) terminate() {
 	x.killAll()
 	x.dead, x.up = true, false
 }
@@ -102,7 +102,7 @@
 
 func (x *Worker) left(t *simTask) {
 	t.change++
-	x.w.Rules.Left(t.task, x.id, x.zone)
+	x.w.Rules.TaskRemoved(t.task, x.id, x.zone)
 }
 
 // Hang stops the machine's execution, or lets it go on.
@@ -117,19 +117,19 @@
 	}
 }
 
-func (x *Worker) do(f func()) {
+func (x *Worker) runWhenActive(f func()) {
 	switch {
 	case x.dead:
 	case x.hung:
-		x.backlog = append(x.backlog, func() { x.do(f) })
+		x.backlog = append(x.backlog, func() { x.runWhenActive(f) })
 	default:
 		f()
 	}
 }
 
 // Notify gives a spot notice; the machine is taken when it is over.
-func (x *Worker) Notify(in Micros) {
-	x.notice = x.w.now + in
+func (x *Worker) SendSpotNotice(in Micros) {
+	x.reclaimAt = x.w.now + in
 	x.w.After(in, func() { x.w.Cloud.remove(x.id) })
 }
 
@@ -137,9 +137,9 @@
 	x.seq++
 	r := &wire.Report{Machine: x.id, Addr: x.addr, Type: x.typ.Name, Zone: x.zone, Spot: x.spot,
 		Session: x.session, Seq: x.seq, Token: x.token, Tasks: []wire.TaskReport{}}
-	if x.notice > 0 {
-		left := (x.notice - x.w.now).Seconds()
-		r.Notice = &left
+	if x.reclaimAt > 0 {
+		left := (x.reclaimAt - x.w.now).Seconds()
+		r.ReclaimNoticeSeconds = &left
 	}
 	for _, k := range x.order {
 		t := x.tasks[k]
@@ -158,18 +158,18 @@
 		return
 	}
 	x.sent, x.waiting, x.changed = x.w.now, true, false
-	if x.w.mute[x.id] { // no connection comes about
+	if x.w.outboundLost[x.id] { // no connection comes about
 		x.tryNext()
 		return
 	}
 	rep, of := x.snapshot(), sending{x.w.now, x.session, x.life}
-	answered := func(a controller.ReportAnswer) { x.do(func() { x.answered(a, of) }) }
+	answered := func(a controller.ReportAnswer) { x.runWhenActive(func() { x.answered(a, of) }) }
 	n := x.w.Nodes[x.node]
-	if x.w.live != nil {
-		x.w.live.report(n.name, rep, answered)
+	if x.w.server != nil {
+		x.w.server.postReport(n.name, rep, answered)
 		return
 	}
-	x.w.deliver(n, rep, answered, func() { x.do(x.tryNext) })
+	x.w.deliver(n, rep, answered, func() { x.runWhenActive(x.tryNext) })
 }
 
 // sending is when a report was sent, and by which life of its machine.
@@ -181,16 +181,16 @@
 
 // deliver carries a report to a controller in virtual time, through the real codec.
 func (w *World) deliver(n *Node, rep *wire.Report, answered func(controller.ReportAnswer), fail func()) {
-	slow := w.SlowReports
-	w.copyLater(rep)
-	w.call(rep.Machine, n.name, 4*sec, func(respond func(func())) {
+	slow := w.ReportDelay
+	w.scheduleReportCopy(rep)
+	w.call(rep.Machine, n.name, 4*second, func(respond func(func())) {
 		w.After(slow, func() {
 			got, err := wire.DecodeReport(wire.Encode(rep))
 			if err != nil {
 				panic(err)
 			}
-			n.do(func() {
-				n.core.TakeReport(got, func(a controller.ReportAnswer) { respond(func() { answered(a) }) })
+			n.runWhenActive(func() {
+				n.core.HandleReport(got, func(a controller.ReportAnswer) { respond(func() { answered(a) }) })
 			})
 		})
 	}, fail)
@@ -199,7 +199,7 @@
 // tryNext reports to the next controller, a second later.
 func (x *Worker) tryNext() {
 	x.node = (x.node + 1) % len(x.w.Nodes)
-	x.reportIn(sec)
+	x.reportIn(second)
 }
 
 // answered takes in the answer to a report.
@@ -210,7 +210,7 @@
 	case a.Code == 200:
 		x.renew(a, of)
 	case a.Code == 421 && x.redirect(a.Leader):
-		x.reportIn(100 * ms)
+		x.reportIn(100 * millisecond)
 	default:
 		x.tryNext()
 	}
@@ -220,7 +220,7 @@
 func (x *Worker) renew(a controller.ReportAnswer, of sending) {
 	w := x.w
 	every := Micros(w.Config.Params.Workers.Report * 1e6)
-	if a.Body.Token >= x.token && a.Body.Token > 0 && of.session == x.session && w.now-of.at <= 4*sec {
+	if a.Body.Token >= x.token && a.Body.Token > 0 && of.session == x.session && w.now-of.at <= 4*second {
 		x.token = a.Body.Token
 		x.renewed = max(x.renewed, of.at)
 		x.run(a.Body.Commands)
@@ -255,7 +255,7 @@
 }
 
 // changeEvery is the least time between reports of changes.
-const changeEvery = sec / 2
+const changeEvery = second / 2
 
 // change notes that there is something new to report.
 func (x *Worker) change() {
@@ -266,7 +266,7 @@
 }
 
 // orders executes commands that came straight from a controller.
-func (x *Worker) orders(o *wire.Orders) (store.Outcome, *wire.Report) {
+func (x *Worker) executeOrders(o *wire.Orders) (store.Outcome, *wire.Report) {
 	if o.Token < x.token || o.Session != x.session {
 		return store.Failed, x.snapshot()
 	}
@@ -286,7 +286,7 @@
 			}
 		case wire.OpStop:
 			if t != nil && t.state != wire.TaskExited {
-				x.stop(t, *c.Grace)
+				x.stop(t, *c.GraceSeconds)
 			}
 		case wire.OpForget:
 			if t != nil && t.state == wire.TaskExited {
@@ -329,7 +329,7 @@
 		mem += o.job.MemoryGB
 	}
 	if cpus > x.typ.CPUs+1e-6 || gpus > x.typ.GPUs+1e-6 || mem > x.typ.MemoryGB+1e-6 {
-		t.state, t.cause = wire.TaskExited, wire.CauseNoRoom
+		t.state, t.cause = wire.TaskExited, wire.CauseNoCapacity
 		return
 	}
 	fetch := Micros(0)
@@ -338,12 +338,12 @@
 	}
 	x.later(t, fetch, func() {
 		x.images[t.job.Image] = true
-		x.w.Rules.Started(x.w.now, t.task, x.id, x.typ.Name, x.zone, x.spot)
+		x.w.Rules.TaskStarted(x.w.now, t.task, x.id, x.typ.Name, x.zone, x.spot)
 		if t.job.Kind == wire.KindGang {
 			t.state = wire.TaskWaiting
 			x.later(t, Micros(x.w.Config.Params.Workers.GangWait*1e6), func() {
 				if t.state == wire.TaskWaiting {
-					x.exit(t, wire.CauseAlone, false)
+					x.exit(t, wire.CauseGangIncomplete, false)
 				}
 			})
 			x.w.gang(t.job, t.attempt)
@@ -357,7 +357,7 @@
 func (x *Worker) later(t *simTask, d Micros, f func()) {
 	change := t.change
 	x.w.After(d, func() {
-		x.do(func() {
+		x.runWhenActive(func() {
 			if t.change == change {
 				f()
 			}
@@ -368,8 +368,8 @@
 func (x *Worker) begin(t *simTask) {
 	t.state, t.began = wire.TaskRunning, x.w.now
 	x.change()
-	if x.Sick || x.w.broken[t.job.ID] {
-		x.later(t, sec/2, func() { x.exit(t, wire.CauseError, false) })
+	if x.Unhealthy || x.w.failingJobs[t.job.ID] {
+		x.later(t, second/2, func() { x.exit(t, wire.CauseError, false) })
 		return
 	}
 	if t.job.Kind != wire.KindService {
@@ -396,10 +396,10 @@
 }
 
 func (x *Worker) stop(t *simTask, grace float64) {
-	if t.state == wire.TaskRunning && t.job.Checkpoint > 0 && grace >= t.job.Save {
+	if t.state == wire.TaskRunning && t.job.CheckpointInterval > 0 && grace >= t.job.SaveDuration {
 		t.state = wire.TaskSaving
 		t.change++
-		x.later(t, Micros(t.job.Save*1e6), func() { x.exit(t, wire.CauseStopped, true) })
+		x.later(t, Micros(t.job.SaveDuration*1e6), func() { x.exit(t, wire.CauseStopped, true) })
 		return
 	}
 	if t.state == wire.TaskSaving && grace > 0 {
@@ -449,7 +449,7 @@
 	w.After(Micros(w.Config.Params.Workers.GangPeer*1e6), func() {
 		for _, m := range w.members(job, attempt, wire.TaskRunning, wire.TaskSaving) {
 			m.x.left(m.t)
-			m.t.state, m.t.cause = wire.TaskExited, wire.CausePeers
+			m.t.state, m.t.cause = wire.TaskExited, wire.CausePeersLost
 		}
 	})
 }
