--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -24,8 +24,8 @@
 type Micros = clock.Micros
 
 const (
-	ms  = clock.Millisecond
-	sec = clock.Second
+	millisecond = clock.Millisecond
+	second      = clock.Second
 )
 
 type event struct {
@@ -65,7 +65,7 @@
 	seq    int
 	queue  events
 	rng    *rand.Rand
-	pol    *policy.Policy
+	policy *policy.Policy
 	Config config.Config // shared settings; each node gets its own name
 	Nodes  []*Node
 	State  *State
@@ -73,39 +73,39 @@
 	Rules  *Checker
 	Users  map[string]*User
 	// Nothing troubles the state service: see User.Cancel.
-	Strict bool
+	CheckCancelCascade bool
 	// The next order is executed this much later, with no answer.
-	LateOrder Micros
+	NextOrderDelay Micros
 	// Reports, or all messages, are under way for this much longer.
-	SlowReports, SlowLinks Micros
+	ReportDelay, LinkDelay Micros
 	// Users come back when told, from 1 s on; impatient ones after this time.
-	Impatient Micros
-	Looked    int      // answers to those who look closely
-	Answers   []Micros // how long submissions waited for an answer
+	RetryInterval   Micros
+	ProbeAnswers    int      // answers to those who look closely
+	SubmitLatencies []Micros // how long submissions waited for an answer
 	// Submissions of accepted jobs that were refused all the same.
-	KnownRefused  int
-	Copied        int // reports that were kept for a new leader and came to it
-	LeasesLost    int // leases of workers with tasks that ended
-	Relayed       int // reports that one controller handed on to another in a batch
-	RelayedOrders int // orders that one controller gave to another
+	AcceptedJobRefusals int
+	CopiesDelivered     int // reports that were kept for a new leader and came to it
+	LeasesLost          int // leases of workers with tasks that ended
+	RelayedReports      int // reports that one controller handed on to another in a batch
+	RelayedOrders       int // orders that one controller gave to another
 	// Greetings that tell of each account's arrivals, by the node that they were sent to.
 	Notices map[string]int
 	// Workers report changes at once, at most twice a second, beside their steady reports.
 	ReportChanges bool
-	live          *Live // nil in virtual time
+	server        *RealTimeServer // nil in virtual time
 	cuts          map[[2]string]Cut
-	deaf          map[string]bool // hosts that nothing reaches
-	mute          map[string]bool // machines that reach no controller
-	broken        map[string]bool // jobs whose tasks fail on every machine
-	looks         *looks
-	copies        *copying
+	inboundLost   map[string]bool // hosts that nothing reaches
+	outboundLost  map[string]bool // machines that reach no controller
+	failingJobs   map[string]bool // jobs whose tasks fail on every machine
+	prober        *prober
+	reportCopies  *reportCopier
 	held          map[[2]string][]func()
 }
 
 // NewWorld makes a world with the given number of controllers.
 func NewWorld(nodes int, zones []string, seed uint64) *World {
-	w := &World{rng: rand.New(rand.NewPCG(seed, 1)), pol: policy.Default(), Users: map[string]*User{},
-		cuts: map[[2]string]Cut{}, deaf: map[string]bool{}, mute: map[string]bool{}, broken: map[string]bool{}, Notices: map[string]int{}, held: map[[2]string][]func(){}}
+	w := &World{rng: rand.New(rand.NewPCG(seed, 1)), policy: policy.Default(), Users: map[string]*User{},
+		cuts: map[[2]string]Cut{}, inboundLost: map[string]bool{}, outboundLost: map[string]bool{}, failingJobs: map[string]bool{}, Notices: map[string]int{}, held: map[[2]string][]func(){}}
 	p := &w.Config.Params
 	p.Size, p.Zones = nodes, zones
 	p.Workers.Report, p.Workers.Lease, p.Workers.Cancel = 1, 10, 40
@@ -127,7 +127,7 @@
 func (w *World) Now() Micros { return w.now }
 
 // TasksOn is how many tasks are on machines.
-func (w *World) TasksOn() int {
+func (w *World) RunningTasks() int {
 	n := 0
 	for _, x := range w.Cloud.Machines {
 		for _, t := range x.tasks {
@@ -140,10 +140,10 @@
 }
 
 // LoseMachines has so many machines stop with all that is on them.
-func (w *World) LoseMachines(count int) {
+func (w *World) CrashMachines(count int) {
 	for _, id := range sortedKeys(w.Cloud.Machines) {
 		if x := w.Cloud.Machines[id]; count > 0 && x.up && !x.dead {
-			x.die()
+			x.terminate()
 			count--
 		}
 	}
@@ -153,8 +153,8 @@
 func (w *World) CutZone(zone string, span Micros) {
 	for _, id := range sortedKeys(w.Cloud.Machines) {
 		if w.Cloud.Machines[id].zone == zone {
-			w.markFor(w.mute, id, span)
-			w.markFor(w.deaf, id, span)
+			w.addHostFor(w.outboundLost, id, span)
+			w.addHostFor(w.inboundLost, id, span)
 		}
 	}
 }
@@ -192,7 +192,7 @@
 	w.cuts[k] = c
 	if c == None {
 		for _, f := range w.held[k] {
-			w.After(ms, f)
+			w.After(millisecond, f)
 		}
 		w.held[k] = nil
 	}
@@ -205,51 +205,51 @@
 }
 
 // markFor enters a host into a set for a while.
-func (w *World) markFor(set map[string]bool, host string, span Micros) {
+func (w *World) addHostFor(set map[string]bool, host string, span Micros) {
 	set[host] = true
 	w.After(span, func() { delete(set, host) })
 }
 
 // copying has a share of the machines' reports arrive once more, later, at any node, or
 // at all nodes once there is a new leader.
-type copying struct {
-	share   float64
-	by      Micros
-	rng     *rand.Rand
-	forNext bool
-	kept    []func()
+type reportCopier struct {
+	share         float64
+	delay         Micros
+	rng           *rand.Rand
+	untilElection bool
+	kept          []func()
 }
 
 // drawCopy says at which node, if any, a copy of a report arrives, and how much later.
-func (w *World) drawCopy() (*Node, Micros) {
-	c := w.copies
+func (w *World) pickCopyTarget() (*Node, Micros) {
+	c := w.reportCopies
 	if c == nil || c.rng.Float64() >= c.share {
 		return nil, 0
 	}
-	return w.Nodes[c.rng.IntN(len(w.Nodes))], c.by/10 + Micros(c.rng.Int64N(int64(c.by)))
+	return w.Nodes[c.rng.IntN(len(w.Nodes))], c.delay/10 + Micros(c.rng.Int64N(int64(c.delay)))
 }
 
 // copyLater delivers a late copy of a report. Nobody waits for the answer.
-func (w *World) copyLater(rep *wire.Report) {
-	n, after := w.drawCopy()
+func (w *World) scheduleReportCopy(rep *wire.Report) {
+	n, after := w.pickCopyTarget()
 	if n == nil {
 		return
 	}
 	body := wire.Encode(rep)
 	deliver := func(n *Node) {
-		n.do(func() {
+		n.runWhenActive(func() {
 			got, err := wire.DecodeReport(body)
 			if err != nil {
 				panic(err)
 			}
-			n.core.TakeReport(got, func(controller.ReportAnswer) {})
+			n.core.HandleReport(got, func(controller.ReportAnswer) {})
 		})
 	}
-	if w.copies.forNext {
-		w.copies.kept = append(w.copies.kept, func() {
-			w.Copied++
+	if w.reportCopies.untilElection {
+		w.reportCopies.kept = append(w.reportCopies.kept, func() {
+			w.CopiesDelivered++
 			for _, n := range w.Nodes {
-				w.After(after-w.copies.by/10, func() { deliver(n) })
+				w.After(after-w.reportCopies.delay/10, func() { deliver(n) })
 			}
 		})
 		return
@@ -258,12 +258,12 @@
 }
 
 // elected is told of a new leader.
-func (w *World) elected() {
-	if w.copies == nil {
+func (w *World) onElection() {
+	if w.reportCopies == nil {
 		return
 	}
-	kept := w.copies.kept
-	w.copies.kept = nil
+	kept := w.reportCopies.kept
+	w.reportCopies.kept = nil
 	for _, f := range kept {
 		f()
 	}
@@ -271,7 +271,7 @@
 
 // send carries a message from one host to another.
 func (w *World) send(from, to string, deliver func()) {
-	if w.deaf[to] {
+	if w.inboundLost[to] {
 		return
 	}
 	switch k := link(from, to); w.cuts[k] {
@@ -279,9 +279,9 @@
 	case Hold:
 		w.held[k] = append(w.held[k], deliver)
 	default:
-		after := ms + Micros(w.rng.IntN(int(ms)))
-		if w.SlowLinks > 0 {
-			after += w.SlowLinks/4 + Micros(w.rng.Int64N(int64(w.SlowLinks)))
+		after := millisecond + Micros(w.rng.IntN(int(millisecond)))
+		if w.LinkDelay > 0 {
+			after += w.LinkDelay/4 + Micros(w.rng.Int64N(int64(w.LinkDelay)))
 		}
 		w.After(after, deliver)
 	}
@@ -311,14 +311,14 @@
 
 // Node is a controller process that can be killed and started again.
 type Node struct {
-	w    *World
-	name string
-	life int
-	old  bool   // comes up with the version in production
-	twin string // the name that it bears by mistake: another node's
-	core *controller.Core
+	w           *World
+	name        string
+	incarnation int
+	oldVersion  bool   // comes up with the version in production
+	duplicateOf string // the name that it bears by mistake: another node's
+	core        *controller.Core
 	// Share of its connections that it says are in use.
-	sockets float64
+	socketUsage float64
 	// It stands still while its clocks run on: what it should do waits.
 	frozen  bool
 	backlog []func()
@@ -332,23 +332,23 @@
 	if n.Up() {
 		return
 	}
-	n.life++
+	n.incarnation++
 	cfg := n.w.Config
 	cfg.Name, cfg.Listen = n.name, fmt.Sprintf("10.0.0.%d:8080", slices.Index(n.w.Nodes, n)+1)
-	if n.twin != "" {
-		cfg.Name = n.twin
+	if n.duplicateOf != "" {
+		cfg.Name = n.duplicateOf
 	}
 	for _, o := range n.w.Nodes {
-		if o.name != cfg.Name && o.twin == "" {
+		if o.name != cfg.Name && o.duplicateOf == "" {
 			cfg.Peers = append(append([]config.Peer(nil), cfg.Peers...), config.Peer{Name: o.name})
 		}
 	}
-	e := &env{n: n, life: n.life}
-	level := controller.Highest
-	if n.old {
-		level = controller.LevelPlaces
+	e := &env{n: n, incarnation: n.incarnation}
+	level := controller.HighestLevel
+	if n.oldVersion {
+		level = controller.LevelPlacements
 	}
-	n.core = controller.NewAt(e, &cfg, n.w.pol, n.w.rng.Uint64(), level)
+	n.core = controller.NewAtLevel(e, &cfg, n.w.policy, n.w.rng.Uint64(), level)
 	n.core.Start()
 }
 
@@ -356,11 +356,11 @@
 func (n *Node) Kill() {
 	n.core = nil
 	n.frozen, n.backlog = false, nil
-	n.life++
+	n.incarnation++
 }
 
 // do runs f on the node, if it is up, now or when it goes on.
-func (n *Node) do(f func()) {
+func (n *Node) runWhenActive(f func()) {
 	switch {
 	case n.core == nil:
 	case n.frozen:
@@ -377,48 +377,48 @@
 		return
 	}
 	n.frozen = true
-	life := n.life
+	life := n.incarnation
 	n.w.After(span, func() {
-		if n.life != life {
+		if n.incarnation != life {
 			return
 		}
 		todo := n.backlog
 		n.frozen, n.backlog = false, nil
 		for _, f := range todo {
-			n.do(f)
+			n.runWhenActive(f)
 		}
 	})
 }
 
 // env is the world as one life of a node sees it.
 type env struct {
-	n    *Node
-	life int
+	n           *Node
+	incarnation int
 }
 
 // alive wraps a callback so that it dies with the process.
-func (e *env) alive(f func()) func() {
+func (e *env) whileRunning(f func()) func() {
 	return func() {
-		if e.n.life == e.life {
-			e.n.do(f)
+		if e.n.incarnation == e.incarnation {
+			e.n.runWhenActive(f)
 		}
 	}
 }
 
 func (e *env) Now() Micros              { return e.n.w.now }
-func (e *env) Wall() Micros             { return 1_700_000_000*sec + e.n.w.now }
-func (e *env) After(d Micros, f func()) { e.n.w.After(d, e.alive(f)) }
+func (e *env) Wall() Micros             { return 1_700_000_000*second + e.n.w.now }
+func (e *env) After(d Micros, f func()) { e.n.w.After(d, e.whileRunning(f)) }
 func (e *env) State() store.Service     { return &stateClient{e} }
-func (e *env) Sockets() float64         { return e.n.sockets }
+func (e *env) ConnectionUsage() float64 { return e.n.socketUsage }
 func (e *env) Cloud() controller.Cloud  { return &cloudClient{e} }
 
-func (e *env) Ask(name string, m *peer.Msg, timeout Micros, done func(*peer.Msg)) {
+func (e *env) Call(name string, m *peer.Msg, timeout Micros, done func(*peer.Msg)) {
 	w := e.n.w
 	frame := m.Encode() // the real codec, so that it is covered too
-	if m.Notice != nil && len(m.Notice.Accounts) > 0 {
+	if m.AdmissionNotice != nil && len(m.AdmissionNotice.Accounts) > 0 {
 		w.Notices[name]++
 	}
-	w.Relayed += len(m.Relayed)
+	w.RelayedReports += len(m.RelayedReports)
 	w.RelayedOrders += len(m.Orders)
 	w.call(e.n.name, name, timeout, func(respond func(func())) {
 		to := w.node(name)
@@ -429,39 +429,39 @@
 		if err != nil {
 			panic(err)
 		}
-		to.do(func() {
-			to.core.OnPeer(got, func(a *peer.Msg) { respond(e.alive(func() { done(a) })) })
+		to.runWhenActive(func() {
+			to.core.HandlePeerMessage(got, func(a *peer.Msg) { respond(e.whileRunning(func() { done(a) })) })
 		})
-	}, e.alive(func() { done(nil) }))
+	}, e.whileRunning(func() { done(nil) }))
 }
 
-func (e *env) Order(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
+func (e *env) SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	w := e.n.w
 	body := wire.Encode(o)
-	late := w.LateOrder
-	w.LateOrder = 0
-	w.call(e.n.name, addr, 2*sec, func(respond func(func())) {
+	late := w.NextOrderDelay
+	w.NextOrderDelay = 0
+	w.call(e.n.name, addr, 2*second, func(respond func(func())) {
 		x := w.Cloud.Machines[addr]
 		if x == nil || !x.up {
 			return
 		}
 		w.After(late, func() {
-			x.do(func() {
+			x.runWhenActive(func() {
 				got := new(wire.Orders)
 				if err := wire.Decode(body, got); err != nil {
 					panic(err)
 				}
-				outcome, answer := x.orders(got)
+				outcome, answer := x.executeOrders(got)
 				report, err := wire.DecodeReport(wire.Encode(answer))
 				if err != nil {
 					panic(err)
 				}
 				if late == 0 {
-					respond(e.alive(func() { done(outcome, report) }))
+					respond(e.whileRunning(func() { done(outcome, report) }))
 				}
 			})
 		})
-	}, e.alive(func() { done(store.Unknown, nil) }))
+	}, e.whileRunning(func() { done(store.Unknown, nil) }))
 }
 
 func (w *World) node(name string) *Node {
@@ -481,44 +481,44 @@
 
 // User is one user's view of one job.
 type User struct {
-	w    *World
-	job  *wire.Job
-	Last string // last phase told
-	code int
+	w         *World
+	job       *wire.Job
+	LastPhase string // last phase told
+	lastCode  int
 
-	at       string // the node that its open connection leads to; "": the load balancer chooses
-	first    Micros // attempt to submit
-	accepted bool
-	refused  int    // answers 429
-	heard    string // queued, done or cancelled, by whatever answer
+	connectedNode string // the node that its open connection leads to; "": the load balancer chooses
+	firstAttempt  Micros // attempt to submit
+	accepted      bool
+	refused       int    // answers 429
+	heard         string // queued, done or cancelled, by whatever answer
 }
 
 // Submit has a user submit a job and follow it until it is over.
-func (w *World) Submit(job *wire.Job) { w.Follow(job).submit() }
+func (w *World) Submit(job *wire.Job) { w.UserFor(job).submit() }
 
 // Follow gives the user of a job.
-func (w *World) Follow(job *wire.Job) *User {
+func (w *World) UserFor(job *wire.Job) *User {
 	u := w.Users[job.ID]
 	if u == nil {
-		u = &User{w: w, job: job, first: w.now}
+		u = &User{w: w, job: job, firstAttempt: w.now}
 		w.Users[job.ID] = u
-		w.Rules.Known(job)
+		w.Rules.AddJob(job)
 	}
 	return u
 }
 
-func (u *User) ask(f request, judge func(facts, controller.Answer)) {
+func (u *User) ask(f request, judge func(knownFacts, controller.Answer)) {
 	w := u.w
-	known := w.Rules.Asking(u.job.ID)
+	known := w.Rules.BeginRequest(u.job.ID)
 	done := func(a controller.Answer) { judge(known, a) }
 	var up []*Node
 	for _, n := range w.Nodes {
-		if n.Up() && (n.name == u.at || u.at == "" && !n.frozen && n.core.Ready()) {
+		if n.Up() && (n.name == u.connectedNode || u.connectedNode == "" && !n.frozen && n.core.Ready()) {
 			up = append(up, n)
 		}
 	}
 	if len(up) == 0 {
-		w.After(100*ms, func() { done(controller.Answer{Code: 503}) })
+		w.After(100*millisecond, func() { done(controller.Answer{Code: 503}) })
 		return
 	}
 	w.askAt(up[w.rng.IntN(len(up))], f, done)
@@ -529,30 +529,30 @@
 
 // askAt has a user ask a node.
 func (w *World) askAt(n *Node, f request, done func(controller.Answer)) {
-	w.call("users", n.name, 5*sec, func(respond func(func())) {
-		n.do(func() { f(n.core, func(a controller.Answer) { respond(func() { done(a) }) }) })
+	w.call("users", n.name, 5*second, func(respond func(func())) {
+		n.runWhenActive(func() { f(n.core, func(a controller.Answer) { respond(func() { done(a) }) }) })
 	}, func() { done(controller.Answer{Code: 0}) })
 }
 
 // looks is the users' trouble of that name: as soon as a job is accepted, has ended, or is
 // called done or cancelled, they ask at all nodes again and again within milliseconds, and
 // repeat the submission; of a share of the jobs that end they ask that it be cancelled.
-type looks struct {
+type prober struct {
 	cancels float64
 	rng     *rand.Rand
 }
 
 // lookAt has a user look closely at a job of which something new is known.
 func (w *World) lookAt(id string, over bool) {
-	l, u := w.looks, w.Users[id]
+	l, u := w.prober, w.Users[id]
 	if l == nil || u == nil {
 		return
 	}
-	ask := func(after Micros, n *Node, f request, judge func(string, facts, controller.Answer)) {
+	ask := func(after Micros, n *Node, f request, judge func(string, knownFacts, controller.Answer)) {
 		w.After(after, func() {
-			bound := w.Rules.binding(id)
+			bound := w.Rules.factsFor(id)
 			w.askAt(n, f, func(a controller.Answer) {
-				w.Looked++
+				w.ProbeAnswers++
 				judge(id, bound, a)
 				if a.Code == 200 || a.Code == 201 {
 					u.told(a.Status.Phase)
@@ -562,85 +562,85 @@
 	}
 	status := func(c *controller.Core, reply func(controller.Answer)) { c.Status(id, reply) }
 	for _, n := range w.Nodes {
-		for _, within := range []Micros{5 * ms, 100 * ms, 2 * sec} {
-			ask(Micros(l.rng.Int64N(int64(within))), n, status, w.Rules.Polled)
+		for _, within := range []Micros{5 * millisecond, 100 * millisecond, 2 * second} {
+			ask(Micros(l.rng.Int64N(int64(within))), n, status, w.Rules.CheckStatusAnswer)
 		}
 	}
 	again := w.Nodes[l.rng.IntN(len(w.Nodes))]
-	ask(Micros(l.rng.Int64N(int64(500*ms))), again, u.submission, w.Rules.Submitted)
+	ask(Micros(l.rng.Int64N(int64(500*millisecond))), again, u.submission, w.Rules.CheckSubmitAnswer)
 	if over && l.rng.Float64() < l.cancels { // the leader learns of the end within a report's interval
 		n := w.Nodes[l.rng.IntN(len(w.Nodes))]
 		ask(Micros(l.rng.Int64N(int64(w.Config.Params.Workers.Report*1.5e6))), n, func(c *controller.Core, reply func(controller.Answer)) {
-			w.Rules.AskedCancel(id)
+			w.Rules.CancelRequested(id)
 			c.Cancel(id, reply)
-		}, w.Rules.Polled)
+		}, w.Rules.CheckStatusAnswer)
 	}
 }
 
 // completed notes that a task is done.
 func (w *World) completed(task string) {
-	if w.Rules.Completed(task) {
+	if w.Rules.TaskCompleted(task) {
 		id, _, _ := wire.SplitTask(task)
 		w.lookAt(id, true)
 	}
 }
 
-func (u *User) submit() { u.submitAs(u.submission) }
+func (u *User) submit() { u.submitWith(u.submission) }
 
 // submission is the job as its user submits it, malformed the same without a field.
 func (u *User) submission(c *controller.Core, reply func(controller.Answer)) { c.Submit(u.job, reply) }
 
-func (u *User) malformed(c *controller.Core, reply func(controller.Answer)) {
-	c.Malformed(u.job.ID, "a field is missing", reply)
+func (u *User) malformedSubmission(c *controller.Core, reply func(controller.Answer)) {
+	c.RejectMalformed(u.job.ID, "a field is missing", reply)
 }
 
 // submitAs submits the job in whatever form until there is an answer to it.
-func (u *User) submitAs(form request) {
+func (u *User) submitWith(form request) {
 	asked := u.w.now
 	u.ask(form,
-		func(f facts, a controller.Answer) {
-			u.code = a.Code
-			u.w.Rules.Submitted(u.job.ID, f, a)
+		func(f knownFacts, a controller.Answer) {
+			u.lastCode = a.Code
+			u.w.Rules.CheckSubmitAnswer(u.job.ID, f, a)
 			if a.Code > 0 {
-				u.w.Answers = append(u.w.Answers, u.w.now-asked)
+				u.w.SubmitLatencies = append(u.w.SubmitLatencies, u.w.now-asked)
 			}
 			switch a.Code {
 			case 200, 201:
 				u.accepted = true
-				u.Last = a.Status.Phase
+				u.LastPhase = a.Status.Phase
 				u.told(a.Status.Phase)
-				u.w.After(5*sec, u.poll)
+				u.w.After(5*second, u.poll)
 			case 400, 422:
 			default:
-				wait := max(sec, Micros(min(a.RetryAfter, 30))*sec)
-				if u.w.Impatient > 0 {
-					wait = u.w.Impatient
+				wait := max(second, Micros(min(a.RetryAfter, 30))*second)
+				if u.w.RetryInterval > 0 {
+					wait = u.w.RetryInterval
 				}
 				if a.Code == 429 {
 					u.refused++
 					if f.accepted {
-						u.w.KnownRefused++
+						u.w.AcceptedJobRefusals++
 					}
 				}
-				u.w.After(wait, func() { u.submitAs(form) })
+				u.w.After(wait, func() { u.submitWith(form) })
 			}
 		})
 }
 
 func (u *User) poll() {
-	if u.Last == wire.PhaseDone || u.Last == wire.PhaseCancelled {
+	if u.LastPhase == wire.PhaseDone || u.LastPhase == wire.PhaseCancelled {
 		return
 	}
-	u.Poll(func() { u.w.After(5*sec, u.poll) })
+	u.Poll(func() { u.w.After(5*second, u.poll) })
 }
 
 // Poll asks once for the job's state.
 func (u *User) Poll(then func()) {
 	u.ask(func(c *controller.Core, reply func(controller.Answer)) { c.Status(u.job.ID, reply) },
-		func(f facts, a controller.Answer) {
-			u.w.Rules.Polled(u.job.ID, f, a)
+		func(f knownFacts, a controller.Answer) {
+			u.w.Rules.CheckStatusAnswer(u.job.ID, f, a)
 			if a.Code == 200 {
-				u.Last = a.Status.Phase
+				u.LastPhase = a.Status.Phase
 				u.told(a.Status.Phase)
 			}
 			if then != nil {
@@ -652,23 +652,23 @@
 // Cancel has the user cancel until told that it is over. By then, all that needed
 // the job when the user asked is over as well.
 func (u *User) Cancel() {
-	u.w.Rules.AskedCancel(u.job.ID)
+	u.w.Rules.CancelRequested(u.job.ID)
 	needed := u.w.Rules.Dependents(u.job.ID)
 	u.ask(func(c *controller.Core, reply func(controller.Answer)) { c.Cancel(u.job.ID, reply) },
-		func(f facts, a controller.Answer) {
-			u.w.Rules.Polled(u.job.ID, f, a)
+		func(f knownFacts, a controller.Answer) {
+			u.w.Rules.CheckStatusAnswer(u.job.ID, f, a)
 			if a.Code != 200 {
-				u.w.After(sec, u.Cancel)
+				u.w.After(second, u.Cancel)
 				return
 			}
-			u.Last = a.Status.Phase
+			u.LastPhase = a.Status.Phase
 			if a.Status.Phase == wire.PhaseCancelled {
 				for _, id := range needed {
-					if !u.w.Strict {
+					if !u.w.CheckCancelCascade {
 						break
 					}
-					if u.w.State.phase(id) == "" {
-						u.w.Rules.broke("half_cancelled", "%s is told of before %s", u.job.ID, id)
+					if u.w.State.finalPhase(id) == "" {
+						u.w.Rules.addViolation("half_cancelled", "%s is told of before %s", u.job.ID, id)
 					}
 				}
 				u.told(a.Status.Phase)
@@ -687,7 +687,7 @@
 		u.w.lookAt(u.job.ID, false)
 	}
 	if phase == wire.PhaseCancelled {
-		u.w.Rules.ToldCancelled(u.job.ID, u.w.now+Micros(u.w.Config.Params.Workers.Cancel*1e6))
+		u.w.Rules.CancelConfirmed(u.job.ID, u.w.now+Micros(u.w.Config.Params.Workers.Cancel*1e6))
 	}
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -12,13 +12,13 @@
 
 // Outcomes.
 const (
-	OK      Outcome = iota
-	Failed          // 404 or 409: a guard did not hold, a key or lease does not exist
-	Gone            // 410: the watch's revision is too old
-	Refused         // 503 or an ended lease: not executed
-	Limited         // 429: not executed, too many requests or changes
-	Invalid         // 400: not executed, and it would not be another time; mostly a size
-	Unknown         // no answer, or one that makes no sense
+	OK          Outcome = iota
+	Failed              // 404 or 409: a guard did not hold, a key or lease does not exist
+	Gone                // 410: the watch's revision is too old
+	Refused             // 503 or an ended lease: not executed
+	RateLimited         // 429: not executed, too many requests or changes
+	Invalid             // 400: not executed, and it would not be another time; mostly a size
+	Unknown             // no answer, or one that makes no sense
 )
 
 // Service is the state service as a client sees it. Calls return at once; done
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -14,17 +14,17 @@
 // HTTP sends orders over the network, each on a connection of its own: one that
 // could not be made proves that nothing was executed. Post runs a function on
 // the owner goroutine.
-type HTTP struct{ post func(func()) }
+type HTTPClient struct{ post func(func()) }
 
 // NewHTTP makes a client of all workers.
-func NewHTTP(post func(func())) *HTTP { return &HTTP{post: post} }
+func NewHTTPClient(post func(func())) *HTTPClient { return &HTTPClient{post: post} }
 
 const timeout = 2 * time.Second
 
 // Order sends commands to the worker at addr.
-func (h *HTTP) Order(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
+func (h *HTTPClient) SendOrders(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	go func() {
-		client := rpc.NewOnce(addr)
+		client := rpc.NewSingleUse(addr)
 		status, raw, _, err := client.Call(http.MethodPost, "/orders", orders, nil, timeout)
 		o := store.Unknown
 		var report *wire.Report
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -211,8 +211,8 @@
 		Image: f.text("pattern"), ImageGB: f.number("pull_gb"),
 		Types: f.texts("looms"), Zone: f.optionalText("bolt"),
 		OneZone: f.flag("together"), Spread: f.flag("apart"), Spot: f.flag("remnant"),
-		Estimate: f.number("expect_s"), Checkpoint: f.number("knot_s"), Save: f.number("tie_s"),
-		Awaits: distinct(f.texts("awaits")),
+		Estimate: f.number("expect_s"), CheckpointInterval: f.number("knot_s"), SaveDuration: f.number("tie_s"),
+		DependsOn: distinct(f.texts("awaits")),
 	}
 	if v, ok := m["due_s"]; ok && v != nil {
 		d := f.number("due_s")
--- a/wire/state.go
+++ b/wire/state.go
@@ -25,10 +25,10 @@
 
 // Change puts or deletes one key.
 type Change struct {
-	Put    string             `msgpack:"write,omitempty"`
-	Value  msgpack.RawMessage `msgpack:"value,omitempty"`
-	Lease  uint64             `msgpack:"hold,omitempty"`
-	Delete string             `msgpack:"delete,omitempty"`
+	PutKey    string             `msgpack:"write,omitempty"`
+	Value     msgpack.RawMessage `msgpack:"value,omitempty"`
+	Lease     uint64             `msgpack:"hold,omitempty"`
+	DeleteKey string             `msgpack:"delete,omitempty"`
 }
 
 // Txn is an atomic transaction.
@@ -40,8 +40,8 @@
 // TxnAnswer tells whether a transaction was applied; Failed names the guards
 // that did not hold.
 type TxnAnswer struct {
-	Revision uint64   `msgpack:"epoch"`
-	Failed   []string `msgpack:"failed"`
+	Revision     uint64   `msgpack:"epoch"`
+	FailedGuards []string `msgpack:"failed"`
 }
 
 // LeaseRequest asks for a lease.
@@ -56,10 +56,10 @@
 
 // Event is one change seen by a watch.
 type Event struct {
-	Put     string             `msgpack:"write"`
-	Delete  string             `msgpack:"delete"`
-	Value   msgpack.RawMessage `msgpack:"value"`
-	Version uint64             `msgpack:"mark"`
+	PutKey    string             `msgpack:"write"`
+	DeleteKey string             `msgpack:"delete"`
+	Value     msgpack.RawMessage `msgpack:"value"`
+	Version   uint64             `msgpack:"mark"`
 }
 
 // WatchAnswer holds the changes after the revision asked for.
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -18,27 +18,27 @@
 
 // Job is a submission, as a user sends it.
 type Job struct {
-	ID         string   `msgpack:"uid"`
-	Class      string   `msgpack:"skein"`
-	Team       string   `msgpack:"crew"`
-	Kind       string   `msgpack:"weave"`
-	Priority   string   `msgpack:"rank"`
-	Tasks      int      `msgpack:"stitches"`
-	CPUs       float64  `msgpack:"cores"`
-	GPUs       float64  `msgpack:"accelerators"`
-	MemoryGB   float64  `msgpack:"mem_gb"`
-	Image      string   `msgpack:"pattern"`
-	ImageGB    float64  `msgpack:"pull_gb"`
-	Types      []string `msgpack:"looms"`
-	Zone       string   `msgpack:"bolt,omitempty"`
-	OneZone    bool     `msgpack:"together"`
-	Spread     bool     `msgpack:"apart"`
-	Spot       bool     `msgpack:"remnant"`
-	Estimate   float64  `msgpack:"expect_s"`
-	Checkpoint float64  `msgpack:"knot_s"`
-	Save       float64  `msgpack:"tie_s"`
-	Deadline   *float64 `msgpack:"due_s"`
-	Awaits     []string `msgpack:"awaits,omitempty"` // jobs that must be done first
+	ID                 string   `msgpack:"uid"`
+	Class              string   `msgpack:"skein"`
+	Team               string   `msgpack:"crew"`
+	Kind               string   `msgpack:"weave"`
+	Priority           string   `msgpack:"rank"`
+	Tasks              int      `msgpack:"stitches"`
+	CPUs               float64  `msgpack:"cores"`
+	GPUs               float64  `msgpack:"accelerators"`
+	MemoryGB           float64  `msgpack:"mem_gb"`
+	Image              string   `msgpack:"pattern"`
+	ImageGB            float64  `msgpack:"pull_gb"`
+	Types              []string `msgpack:"looms"`
+	Zone               string   `msgpack:"bolt,omitempty"`
+	OneZone            bool     `msgpack:"together"`
+	Spread             bool     `msgpack:"apart"`
+	Spot               bool     `msgpack:"remnant"`
+	Estimate           float64  `msgpack:"expect_s"`
+	CheckpointInterval float64  `msgpack:"knot_s"`
+	SaveDuration       float64  `msgpack:"tie_s"`
+	Deadline           *float64 `msgpack:"due_s"`
+	DependsOn          []string `msgpack:"awaits,omitempty"` // jobs that must be done first
 }
 
 // Phases of a job, as users see them.
@@ -73,14 +73,14 @@
 
 // Causes of a task's exit.
 const (
-	CauseDone    = "done"
-	CauseStopped = "halted"
-	CausePeers   = "peers"
-	CauseAlone   = "incomplete"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "busy"
-	CauseUnknown = "no_such"
+	CauseDone           = "done"
+	CauseStopped        = "halted"
+	CausePeersLost      = "peers"
+	CauseGangIncomplete = "incomplete"
+	CauseError          = "error"
+	CauseNoCapacity     = "no_room"
+	CauseBusy           = "busy"
+	CauseUnknown        = "no_such"
 )
 
 // TaskReport is one task in a worker's report.
@@ -94,16 +94,16 @@
 
 // Report is what a worker says of itself.
 type Report struct {
-	Machine string       `msgpack:"spindle"`
-	Addr    string       `msgpack:"endpoint"`
-	Type    string       `msgpack:"loom"`
-	Zone    string       `msgpack:"bolt"`
-	Spot    bool         `msgpack:"remnant"`
-	Session uint64       `msgpack:"spin"`
-	Seq     uint64       `msgpack:"tick"`
-	Token   uint64       `msgpack:"baton"`
-	Notice  *float64     `msgpack:"warn_s"`
-	Tasks   []TaskReport `msgpack:"stitches"`
+	Machine              string       `msgpack:"spindle"`
+	Addr                 string       `msgpack:"endpoint"`
+	Type                 string       `msgpack:"loom"`
+	Zone                 string       `msgpack:"bolt"`
+	Spot                 bool         `msgpack:"remnant"`
+	Session              uint64       `msgpack:"spin"`
+	Seq                  uint64       `msgpack:"tick"`
+	Token                uint64       `msgpack:"baton"`
+	ReclaimNoticeSeconds *float64     `msgpack:"warn_s"`
+	Tasks                []TaskReport `msgpack:"stitches"`
 }
 
 // Operations of a command.
@@ -115,10 +115,10 @@
 
 // Command tells a worker what to do with one task.
 type Command struct {
-	Op      string   `msgpack:"verb"`
-	Task    string   `msgpack:"stitch"`
-	Attempt uint64   `msgpack:"try"`
-	Grace   *float64 `msgpack:"ease_s,omitempty"`
+	Op           string   `msgpack:"verb"`
+	Task         string   `msgpack:"stitch"`
+	Attempt      uint64   `msgpack:"try"`
+	GraceSeconds *float64 `msgpack:"ease_s,omitempty"`
 }
 
 // ReportAnswer answers a worker's report.
@@ -150,7 +150,7 @@
 	FetchRate float64  `msgpack:"pull_gb_per_s"`
 	Price     float64  `msgpack:"rate"`
 	SpotPrice float64  `msgpack:"spot_price"`
-	Boot      float64  `msgpack:"ready_s"`
+	BootTime  float64  `msgpack:"ready_s"`
 	Zones     []string `msgpack:"bolts"`
 }
 
@@ -161,15 +161,15 @@
 
 // RentRequest rents machines; Request names it for ever.
 type RentRequest struct {
-	Request string `msgpack:"bid"`
-	Type    string `msgpack:"loom"`
-	Zone    string `msgpack:"bolt"`
-	Spot    bool   `msgpack:"remnant"`
-	Count   int    `msgpack:"number"`
+	RequestID string `msgpack:"bid"`
+	Type      string `msgpack:"loom"`
+	Zone      string `msgpack:"bolt"`
+	Spot      bool   `msgpack:"remnant"`
+	Count     int    `msgpack:"number"`
 }
 
 // MachineNames names machines, in answers to rentals and in releases.
-type MachineNames struct {
+type MachineIDs struct {
 	Machines []string `msgpack:"spindles"`
 }
 
@@ -182,13 +182,13 @@
 
 // ListedMachine is an entry of the cloud's machine list.
 type ListedMachine struct {
-	ID    string  `msgpack:"uid"`
-	Addr  string  `msgpack:"endpoint"`
-	Type  string  `msgpack:"loom"`
-	Zone  string  `msgpack:"bolt"`
-	Spot  bool    `msgpack:"remnant"`
-	State string  `msgpack:"phase"`
-	Age   float64 `msgpack:"age_s"`
+	ID         string  `msgpack:"uid"`
+	Addr       string  `msgpack:"endpoint"`
+	Type       string  `msgpack:"loom"`
+	Zone       string  `msgpack:"bolt"`
+	Spot       bool    `msgpack:"remnant"`
+	State      string  `msgpack:"phase"`
+	AgeSeconds float64 `msgpack:"age_s"`
 }
 
 // MachineList is a page of the cloud's machine list.
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -95,7 +95,7 @@
 			t.Fatalf("%d bytes counted as %d", len(body), n)
 		}
 		again, err := DecodeJob(Encode(j))
-		if err != nil || again.ID != j.ID || again.Tasks != j.Tasks || !slices.Equal(again.Awaits, j.Awaits) {
+		if err != nil || again.ID != j.ID || again.Tasks != j.Tasks || !slices.Equal(again.DependsOn, j.DependsOn) {
 			t.Fatalf("%+v does not survive: %v", j, err)
 		}
 	})
@@ -151,7 +151,7 @@
 			}
 			continue
 		}
-		if err != nil || !slices.Equal(j.Awaits, c.want) {
+		if err != nil || !slices.Equal(j.DependsOn, c.want) {
 			t.Errorf("%v: %v, %v", c.awaits, j, err)
 		}
 	}
