--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -11,50 +11,51 @@
 	"lilacthread/wire"
 )
 
-// Input is what a scheduling pass looks at. Plan changes the model as it
-// decides: it creates placements and marks victims.
+// Input is the state that one scheduling pass reads. Plan also changes that state:
+// it adds placements and marks preempted ones as stopping.
 type Input struct {
 	Now                 Micros
-	MaxReportAge        Micros // a report not older than this makes a machine usable
+	MaxReportAge        Micros // machines whose last report is older are not used
 	Jobs                []*Job // jobs with pending tasks
 	Machines            []*Machine
 	Teams               map[string]*Team
-	FetchRates          map[string]float64 // smoothed fetch rate by type, GB a second
-	NextAttempt         func() uint64      // hands out attempt numbers
-	MaxTasksPerMachine  int                // places that one machine's record can hold
-	ImageLocalityWindow Micros             // how much older a job may be that is passed for an image's sake
-	SpotLossRate        float64            // how often the cloud takes a spot machine, per second
-	// What a job's team is due while there is more to do than the machines can
-	// take; nil in the usual order.
+	FetchRates          map[string]float64 // smoothed image fetch rate by machine type, in GB per second
+	NextAttempt         func() uint64      // returns a new attempt number on each call
+	MaxTasksPerMachine  int                // placements that the stored record of one machine can hold
+	ImageLocalityWindow Micros             // how much earlier a job that is bypassed for image locality may have become ready
+	SpotLossRate        float64            // reclaims of one spot machine by the cloud, per second
+	// FairShare returns the fair share of the job's team while demand exceeds the
+	// capacity of the machines; the function is nil outside overload.
 	FairShare func(*Job) *FairShare
 }
 
-// Due is a team's part of the machines under overload, in CPUs.
+// FairShare is a team's entitlement to machine capacity under overload and its
+// current allocation, both in CPUs.
 type FairShare struct {
 	Share     float64
-	Allocated float64 // by its tasks; Plan keeps it up to date
+	Allocated float64 // held by the team's tasks; Plan keeps it current
 }
 
-// Unplaced is demand that found no room.
+// Unplaced is the number of a job's pending tasks for which no machine had room.
 type Unplaced struct {
 	Job   *Job
 	Count int
 }
 
-// Output is what a pass decided.
+// Output holds the decisions of one scheduling pass.
 type Output struct {
 	Launch      []*Placement
 	Stop        []*Placement
 	Unplaced    []Unplaced
-	Evaluations int // how often a job was weighed against a machine: the pass's cost
+	Evaluations int // times that a job was evaluated against a machine, a measure of the pass's cost
 }
 
-// Order sorts jobs by the paper's levels (urgency, team, pipeline, rank).
-// Production and high priority come before everything. Among the rest, urgency
-// is read from the aims: work that would miss its aim by waiting on comes
-// first, so that a job of lower priority is not late only because one of higher
-// priority was early. Work that has missed its aim is not put last: tried, and
-// more of the rest came late too.
+// SortJobs sorts jobs by the paper's criteria: urgency, team usage, pipeline start and
+// upward rank. Production jobs come first, then jobs that have waited too long to start,
+// then high priority. Among the others, the target times determine the urgency: a job that
+// would miss its target by waiting longer comes first, so that a job of lower priority is
+// not late only because one of higher priority was early. Jobs that have missed their
+// target are not moved to the end, because that makes more of the other jobs late as well.
 func SortJobs(jobs []*Job, teams map[string]*Team, now Micros) {
 	usage := func(j *Job) float64 {
 		if t := teams[j.Spec.Team]; t != nil {
@@ -64,7 +65,7 @@
 	}
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		if a.overdue(now) && b.overdue(now) && a.urgency(now) == b.urgency(now) {
-			// The oldest first, or the largest would stay behind small ones for ever.
+			// The oldest job goes first; otherwise large jobs would starve behind small ones.
 			return cmp.Or(cmp.Compare(a.ReadyAt, b.ReadyAt), cmp.Compare(a.ID, b.ID))
 		}
 		return cmp.Or(
@@ -79,36 +80,39 @@
 	})
 }
 
-// Levels of hope, which order the work of an account under overload: not all can be
-// served in time then, and who goes to those that are late already makes all others
-// late too. In the usual order, where nearly all are in time, that gains nothing.
+// Feasibility levels order jobs under overload by whether they can still meet their
+// targets. Not all jobs can then be served in time, and serving those that are late
+// already makes the others late too. Outside overload nearly all jobs are in time, and
+// placement does not use the levels.
 const (
-	feasible  = iota // can start as its users want it, or has begun and can end in time
-	lateStart        // starts too late, but can be done by the widest of its aims
-	atRisk           // the same if all its tasks take no longer than expected, and start at once
+	feasible  = iota // can start by its last start target, or has begun and can finish in time
+	lateStart        // starts too late, but can finish by its latest finish target
+	atRisk           // can finish in time only if it starts now and no task takes longer than estimated
 	late
 )
 
+// feasibilityLevel returns the job's feasibility level at the given time.
 func (j *Job) feasibilityLevel(now Micros) int {
-	end, widest := j.latestFinishTarget(), j.latestTarget()
+	finishTarget, latestTarget := j.latestFinishTarget(), j.latestTarget()
 	switch {
-	case widest <= 0 || now-j.ReadyAt > maxWaitFactor*(widest-j.ReadyAt):
-		return feasible // nobody waits for ever, however many come after him
-	case j.hasBegun() && now+j.Estimate <= end:
-		return feasible // what has begun is ended: half of a job is of no use
+	case latestTarget <= 0 || now-j.ReadyAt > maxWaitFactor*(latestTarget-j.ReadyAt):
+		return feasible // bounds the wait of a late job, however many jobs arrive after it
+	case j.hasBegun() && now+j.Estimate <= finishTarget:
+		return feasible // finish what has begun, because a partly completed job is of no use
 	case j.LastStartTarget > 0 && now+minSlack <= j.LastStartTarget:
 		return feasible
-	case end == clock.Forever || now+j.Estimate > end:
+	case finishTarget == clock.Forever || now+j.Estimate > finishTarget:
 		return late
-	case now+minSlack+3*j.Estimate/2 > end:
-		return atRisk // its longest task ends later than the usual one, after a fetch
+	case now+minSlack+3*j.Estimate/2 > finishTarget:
+		return atRisk // allows for an image fetch and for the longest task taking half as long again
 	case j.LastStartTarget == 0:
 		return feasible
 	}
 	return lateStart
 }
 
-// end is when the job should be done by the widest of its aims; clock.Forever without one.
+// latestFinishTarget returns the earlier of the job's deadline and its last finish target,
+// or clock.Forever if it has neither.
 func (j *Job) latestFinishTarget() Micros {
 	if n := len(j.FinishTargets); n > 0 {
 		return min(j.Deadline, j.FinishTargets[n-1])
@@ -116,16 +120,17 @@
 	return j.Deadline
 }
 
-// widest is the end of the job's widest aim of either kind; 0 without one.
+// latestTarget returns the latest time in the job's start and finish targets, or 0 if it
+// has none.
 func (j *Job) latestTarget() Micros {
-	if end := j.latestFinishTarget(); end < clock.Forever {
-		return max(j.LastStartTarget, end)
+	if finishTarget := j.latestFinishTarget(); finishTarget < clock.Forever {
+		return max(j.LastStartTarget, finishTarget)
 	}
 	return j.LastStartTarget
 }
 
-// Prospect tells of a job that waits or runs whether its aims are kept, can be, or
-// cannot be any more.
+// Feasibility reports whether a waiting or running job is meeting its targets, can still
+// meet them, or can no longer do so.
 func (j *Job) Feasibility(now Micros) admit.Feasibility {
 	end := j.latestFinishTarget()
 	switch {
@@ -143,22 +148,24 @@
 	return admit.Infeasible
 }
 
-// longest is how many times its widest aim a job may have waited before it goes with
-// those that are still in time.
+// maxWaitFactor bounds the wait of late jobs under overload. A job that has waited longer
+// than maxWaitFactor times the span from ReadyAt to its latest target is treated as
+// feasible.
 const maxWaitFactor = 3
 
-// Levels of urgency.
+// Urgency levels, the most urgent first.
 const (
-	production   = iota // production
-	startOverdue        // has not begun for so long that its users think it forgotten
-	highPriority        // of high priority
-	mustStartNow        // must start now to meet its aim
+	production   = iota // production priority
+	startOverdue        // has not begun by its starvation deadline
+	highPriority        // high priority of its own, and not deferrable
+	mustStartNow        // must start now to meet its target
 	canWait
 )
 
+// urgency returns the job's urgency level at the given time.
 func (j *Job) urgency(now Micros) int {
-	// A priority that a later stage lends does not by itself make a job urgent:
-	// each wave of a pipeline's tasks would stop other work while there is time.
+	// A priority inherited from a dependent job does not by itself make a job urgent.
+	// Otherwise each stage of a pipeline would preempt other work even with time to spare.
 	switch {
 	case j.Priority >= wire.PriorityProduction:
 		return production
@@ -177,35 +184,38 @@
 	return canWait
 }
 
-// overdue reports whether the job has waited so long without beginning that it goes before
-// all but production: an array with one task, a gang whole. Under overload the largest jobs
-// would otherwise be the last for ever, since what takes least goes first.
+// overdue reports whether the job has passed its starvation deadline without beginning. It
+// then goes before all jobs but production: an array with one task, a gang with all of its
+// tasks. Under overload the smallest jobs go first, so large jobs would otherwise starve.
 func (j *Job) overdue(now Micros) bool {
 	return j.StarvationDeadline > 0 && now >= j.StarvationDeadline && !j.hasBegun()
 }
 
-// Prompt reports whether the job's users want it started before a machine that is
-// rented for it could have come. Nothing but room at hand helps it, so it is pressed from
-// the first moment on; and also for a while after that, as long as it has not begun.
+// NeedsImmediateStart reports whether the job's first start target comes before a newly
+// rented machine could boot. Only present capacity can meet that target, so the job is
+// urgent from the time it is ready until it begins, at most for maxWaitFactor times the
+// span to its last start target.
 func (j *Job) NeedsImmediateStart(now Micros) bool {
 	return len(j.StartTargets) > 0 && j.StartTargets[0]-j.ReadyAt < j.fastestBoot && !j.hasBegun() && now-j.ReadyAt <= maxWaitFactor*(j.LastStartTarget-j.ReadyAt)
 }
 
-// patient reports whether work of high priority has the time to let work go first that is
-// pressed: a machine rented for it later would still come before its users want it started.
+// deferrable reports whether a high-priority job has time to let urgent jobs go first: a
+// machine rented for it later would still boot before its first start target.
 func (j *Job) deferrable(now Micros) bool {
 	return len(j.StartTargets) > 0 && now+j.fastestBoot+2*minSlack < j.StartTargets[0]
 }
 
-// pressedFor is the least slack that counts as ample: machines boot and fetch
-// images in that order of time.
+// minSlack is the slack below which a job counts as urgent. Booting a machine and
+// fetching an image take about this long.
 const minSlack = 15 * clock.Second
 
-// Slack is how long the job's tasks can wait and still meet its aim.
+// Slack returns how long the job's tasks can still wait without missing its target time.
+// It is negative if they cannot finish in time.
 func (j *Job) Slack(now Micros) Micros { return j.TargetTime(now) - now - j.Estimate }
 
-// Aim is when the job should be done: its deadline or the earliest objective
-// of its class that it can still meet.
+// TargetTime returns when the job should finish: the earlier of its deadline and the first
+// finish target of its class that it can still meet. If it can meet none of them, the last
+// one counts.
 func (j *Job) TargetTime(now Micros) Micros {
 	target := j.Deadline
 	for _, t := range j.FinishTargets {
@@ -216,6 +226,7 @@
 	return target
 }
 
+// boolToInt returns 1 for true and 0 for false, for use in comparisons.
 func boolToInt(b bool) int {
 	if b {
 		return 1
@@ -223,37 +234,39 @@
 	return 0
 }
 
-// pass is the working state of one Plan call. Slices hold one entry for each
-// usable machine.
+// pass is the working state of one Plan call. Slices that describe machines are indexed
+// like usableMachines.
 type pass struct {
 	*Input
 	output         Output
 	usableMachines []*Machine
 	available      []Resources
-	serviceShare   []float64 // of the CPUs that services hold
+	serviceShare   []float64 // share of the machine's CPUs that services hold
 
-	reservations             [][]reservation // by machine
+	reservations             [][]reservation // reservations on each machine
 	expectedReleases         [][]expectedRelease
 	candidatesByRequirements map[requirements]*candidates
-	reservedTasks            int // tasks that room is kept for
+	reservedTasks            int // number of tasks with reserved room
 
-	round int // of those under overload: see placeShares
+	round int // the overload round, see placeUnderOverload; 0 outside overload
 
-	openMachines     []int // the machines that jobs of this level may find room on
-	preemptible      []int // the machines with work that may be asked to leave; see makeRoom
-	preemptibleKnown bool  // yield is worked out
+	openMachines     []int // machines on which jobs of the present level may find room
+	preemptible      []int // machines with work that can be preempted, see preemptCheckpointed
+	preemptibleKnown bool  // preemptible has been computed
 
-	// Of the job being placed: what a task of it costs on each machine. All its
-	// tasks are alike, so a place changes the cost of its own machine only.
-	localImageOnly   bool // only machines that have its image, or are fetching it
-	preferOrdinary   bool // a task lost with a spot machine would hurt it: see frailty
+	// The fields below describe the job being placed and the cost of one of its tasks on
+	// each machine. All tasks of a job are alike, so a placement changes only the cost of
+	// its own machine.
+	localImageOnly   bool // use only machines that hold the job's image or are fetching it
+	preferOrdinary   bool // use ordinary machines before spot machines, see prefersOrdinary
 	cost             []float64
-	needsVictims     []bool               // the cost lacks that of making room
-	victimsByMachine map[int][]*Placement // who would be stopped to make room
-	costHeap         []int                // machines by cost, the cheapest first
+	needsVictims     []bool               // the machine has no room, and its cost does not yet include stopping tasks
+	victimsByMachine map[int][]*Placement // tasks to stop on a machine to make room
+	costHeap         []int                // heap of machines, the cheapest first
 }
 
-// The heap's order is that of a scan for the least cost.
+// Len, Less, Swap, Push and Pop implement heap.Interface on costHeap. Equal costs are
+// ordered by machine index, as in a linear scan for the least cost.
 func (p *pass) Len() int { return len(p.costHeap) }
 func (p *pass) Less(a, b int) bool {
 	i, j := p.costHeap[a], p.costHeap[b]
@@ -267,7 +280,8 @@
 	return last
 }
 
-// Plan runs one scheduling cycle.
+// Plan runs one scheduling pass: it places pending tasks on usable machines and chooses
+// the tasks to preempt for them.
 func Plan(in *Input) Output {
 	p := &pass{Input: in, usableMachines: make([]*Machine, 0, len(in.Machines))}
 	for _, m := range in.Machines {
@@ -302,7 +316,7 @@
 	return p.output
 }
 
-// placeLevels places jobs level by level, in their order.
+// placeLevels places sorted jobs, one group of jobs of the same level at a time.
 func (p *pass) placeLevels(jobs []*Job) {
 	for len(jobs) > 0 {
 		n := 1
@@ -314,20 +328,22 @@
 	}
 }
 
-// Rounds of a pass under overload. Outside of it there is only the last, in which
-// whatever room there is goes to whoever can use it.
+// Rounds of a pass under overload. A pass outside overload has a single round, which is
+// numbered 0 and treated like finalRound.
 const (
-	minShareRound  = iota + 1 // only jobs that their account lacks for its floor take places
-	fairShareRound            // and then the jobs of teams below their share
-	finalRound
+	minShareRound  = iota + 1 // only jobs that their account needs to reach its minimum share
+	fairShareRound            // jobs of teams below their fair share
+	finalRound                // all jobs; remaining room goes to any job that can use it
 )
 
-// placeShares places what is not production while there is more to do than the
-// machines can take. In the usual order a burst would keep all work of a lower level
-// waiting until it is over. So what an account lacks for its floor goes first, the least
-// work before all else; then hope, urgency and priority order the jobs as ever, and of
-// those alike the ones that take least go first: a job is done with its last task, so
-// many that are begun and not ended serve nobody. No room stays idle for a share's sake.
+// placeUnderOverload places jobs below production priority while demand exceeds the
+// capacity of the machines. In the order of SortJobs, a burst of jobs would block all work
+// of lower levels until it is over. Overdue jobs therefore go first, and then the jobs that
+// their account needs to reach its minimum share: those that have begun before others, and
+// accounts with the lowest served share first. The other jobs are ordered by feasibility,
+// urgency and priority, and then by the least remaining work: a job is of use only when its
+// last task is done, so many partly completed jobs serve nobody. The final round uses any
+// room that is left, so that no capacity stays idle because of the shares.
 func (p *pass) placeUnderOverload(jobs []*Job) {
 	work := make(map[*Job]float64, len(jobs))
 	for _, j := range jobs {
@@ -355,27 +371,28 @@
 	}
 }
 
-// begun reports whether some of the job's tasks have places or are done.
+// hasBegun reports whether some of the job's tasks are placed or done.
 func (j *Job) hasBegun() bool { return j.PlacedCount+j.DoneCount > 0 }
 
-// rest is what a job yet needs, in CPU-seconds, and less the longer it waits: none is
-// passed by for ever.
+// discountedWork returns the job's remaining work in CPU-seconds, reduced in proportion to
+// the time that the job has waited. The reduction keeps large jobs from starving.
 func (j *Job) discountedWork(now Micros) float64 {
 	work := j.RemainingWork()
-	if widest := j.latestTarget(); widest > j.ReadyAt {
-		work *= 1 - min(float64(now-j.ReadyAt)/float64(maxWaitFactor*(widest-j.ReadyAt)), 1)
+	if latestTarget := j.latestTarget(); latestTarget > j.ReadyAt {
+		work *= 1 - min(float64(now-j.ReadyAt)/float64(maxWaitFactor*(latestTarget-j.ReadyAt)), 1)
 	}
 	return work
 }
 
-// Work is what the job yet needs, in CPU-seconds: half of what its placed tasks take in
-// all, and what its waiting ones will.
+// RemainingWork returns an estimate of the job's remaining work in CPU-seconds: all the
+// work of its waiting tasks and half the work of its placed tasks.
 func (j *Job) RemainingWork() float64 {
 	return (float64(j.PlacedCount)/2 + float64(len(j.Queue))) * j.TaskCPUs() * j.Estimate.Seconds()
 }
 
-// entitled reports whether a job may have one more place in this round. The last place
-// may go beyond its team's share: one smaller than a task is one too.
+// entitled reports whether a job may have one more placement in the present round. A
+// team's last placement may exceed its fair share, so that a share smaller than one task
+// still allows one task.
 func (p *pass) entitled(j *Job) bool {
 	if p.inFinalRound() || j.overdue(p.Now) {
 		return true
@@ -387,23 +404,24 @@
 	return share.Allocated < share.Share-resourceTolerance
 }
 
-// last reports whether what finds no room now finds none in this pass.
+// inFinalRound reports whether the present round is the last of the pass. Tasks that find
+// no room in it stay unplaced.
 func (p *pass) inFinalRound() bool { return p.round == 0 || p.round == finalRound }
 
-// equals reports whether two jobs stand on the same level of urgency and
-// priority, so that only their start and rank order them.
+// sameLevel reports whether two jobs have the same priority and urgency, so that SortJobs
+// orders them by its other criteria only.
 func (j *Job) sameLevel(other *Job, now Micros) bool {
 	return j.Priority == other.Priority && j.urgency(now) == other.urgency(now)
 }
 
-// placeLevel places jobs of one level. All room is used in the end, but first
-// each takes the places where its image is, even past jobs that were submitted
-// a little earlier and would have to fetch theirs there: those get the next
-// place that is warm for them, and the machines spend less time fetching.
+// placeLevel places jobs of one level. Below high priority it does so in two steps, to
+// reduce the time that machines spend fetching images. The first step places each job only
+// on machines that hold its image or are fetching it, even ahead of jobs that became ready
+// up to ImageLocalityWindow earlier. The second step uses all room that is left.
 func (p *pass) placeLevel(jobs []*Job) {
 	p.findOpenMachines(jobs)
 	if jobs[0].Priority < wire.PriorityHigh {
-		oldest := clock.Forever // when the first job that is passed over became ready
+		oldest := clock.Forever // the earliest ReadyAt among bypassed jobs
 		for _, j := range jobs {
 			if j.ReadyAt > oldest+p.ImageLocalityWindow {
 				continue
@@ -429,10 +447,10 @@
 	}
 }
 
-// findOpen lists the machines with room for some job of a level. On a busy day
-// hardly any has, and weighing each waiting job against each machine would cost a
-// pass of thousands of machines most of a second. Production work may make room,
-// so it looks at all.
+// findOpenMachines lists the machines with room for the smallest need among the given
+// jobs. Under load hardly any machine has such room, and evaluating each waiting job
+// against each of thousands of machines would take most of a second per pass. Production
+// jobs may preempt others, so all machines are listed for them.
 func (p *pass) findOpenMachines(jobs []*Job) {
 	smallest := jobs[0].Need()
 	for _, j := range jobs {
@@ -447,8 +465,8 @@
 	}
 }
 
-// placeEach places a job's tasks one by one as long as there is room, only
-// where its image is if warm is set.
+// placeTasks places a job's tasks one by one as long as there is room. With
+// localImageOnly it uses only machines that hold the job's image or are fetching it.
 func (p *pass) placeTasks(j *Job, localImageOnly bool) {
 	team := p.Teams[j.Spec.Team]
 	probing := j.Probing(p.Now)
@@ -463,7 +481,7 @@
 	}
 	for len(j.Queue) > 0 {
 		if !team.Allows(j.Need()) {
-			return // the limit, not room, holds it back: no machine is bought for it
+			return // the team's limit blocks the job, so no machine must be rented for it
 		}
 		if !p.entitled(j) {
 			return
@@ -475,10 +493,10 @@
 		for _, v := range victims {
 			p.stop(v, 0)
 		}
-		p.cancelReservations(j) // what is left books anew
+		p.cancelReservations(j) // the remaining tasks are reserved again below
 		p.place(j, i, p.NextAttempt())
 		if firstTaskOnly {
-			return // it has begun; the rest waits as ever
+			return // the job has begun; its other tasks wait for their turn
 		}
 		if placedByZone != nil {
 			placedByZone[p.usableMachines[i].Zone]++
@@ -498,8 +516,8 @@
 	}
 }
 
-// Zones counts, by zone, the places that a job's tasks hold, leaving out one;
-// nil if the job does not care for zones.
+// PlacementsByZone counts the job's placements in each zone, leaving out the given one. It
+// returns nil if the job has no constraint across zones.
 func (j *Job) PlacementsByZone(without *Placement) map[string]int {
 	if !j.Spec.Spread && !j.Spec.OneZone {
 		return nil
@@ -513,7 +531,9 @@
 	return count
 }
 
-// ZoneAllows applies together and apart, given the places already held.
+// ZoneAllows reports whether one more placement in the zone satisfies the job's OneZone and
+// Spread constraints, given its present placements by zone. Spread allows at most half of
+// the tasks, rounded up, in one zone.
 func ZoneAllows(j *Job, placedByZone map[string]int, zone string) bool {
 	if j.Spec.OneZone {
 		for z, n := range placedByZone {
@@ -528,18 +548,21 @@
 	return true
 }
 
-// allowed leaves zones, which depend on the job's other tasks, to choose.
+// allowed reports whether a task of j may be placed on m, apart from room and from the
+// constraints across zones, which chooseMachine checks because they depend on the job's
+// other tasks.
 func (p *pass) allowed(j *Job, m *Machine) bool {
 	if !j.Allows(m.Type, m.Zone, m.Spot) || len(m.Placements) >= p.MaxTasksPerMachine {
 		return false
 	}
-	// A machine that failed its last task gets one task at a time, of a job
-	// that has not failed on it: a sick machine, always free, would otherwise
-	// draw in the whole queue.
+	// A machine whose last task failed gets one task at a time, from a job that has not
+	// failed on it. An unhealthy machine fails its tasks early and so always has room; it
+	// would otherwise receive the whole queue.
 	return m.Errors == 0 || len(m.Placements) == 0 && !j.FailedOn[m.ID]
 }
 
-// delay is the expected wait for the image on m, in seconds.
+// fetchDelay returns the expected time in seconds until m holds the job's image. Fetches
+// that are under way on a machine share its bandwidth.
 func (p *pass) fetchDelay(j *Job, m *Machine) float64 {
 	if _, ok := m.Images[j.Spec.Image]; ok {
 		return 0
@@ -551,7 +574,7 @@
 			continue
 		}
 		if other.Image == j.Spec.Image {
-			return ownFetch / 2 // its fetch is under way
+			return ownFetch / 2 // the fetch is under way; on average half of it remains
 		}
 		if other.RunningSince == 0 && other.Image != "" && !slices.Contains(otherImages, other.Image) {
 			if _, cached := m.Images[other.Image]; !cached {
@@ -562,8 +585,8 @@
 	return ownFetch * float64(1+len(otherImages))
 }
 
-// scoreAll works out what a task of j costs on each machine, in the given zone
-// if one is named.
+// scoreAll computes the cost of a task of j on each open machine. A non-empty zone limits
+// it to the machines of that zone.
 func (p *pass) scoreAll(j *Job, zone string) {
 	p.victimsByMachine, p.preferOrdinary, p.costHeap = nil, p.prefersOrdinary(j), p.costHeap[:0]
 	for _, i := range p.openMachines {
@@ -576,10 +599,10 @@
 	}
 }
 
-// score works out the cost on one machine, in seconds of expected delay and
-// what is as bad as a second of it. For a production job, tasks of lower
-// priority may be stopped at once to make room; what that costs is only worked
-// out when the machine would otherwise be chosen.
+// score computes the cost of a task of j on one machine. The unit is a second of expected
+// delay, or what counts as much as that. For a production job, tasks of lower priority may
+// be stopped at once to make room. The cost of stopping them is computed only when the
+// machine would otherwise be chosen, by chooseMachine.
 func (p *pass) score(j *Job, i int) {
 	p.output.Evaluations++
 	m := p.usableMachines[i]
@@ -606,12 +629,12 @@
 	}
 }
 
-// missedStart is as bad, in seconds of delay, as a start that comes too late for the
-// earliest aim that could still be met.
+// missedStartPenalty is the cost, in seconds of delay, of a start too late for the next
+// start target.
 const missedStartPenalty = 30
 
-// startSlack is how long the job's tasks can wait and still meet the earliest of its
-// start aims that is ahead; for ever without one.
+// startSlack returns the time until the job's next start target, or clock.Forever if none
+// lies ahead.
 func (j *Job) startSlack(now Micros) Micros {
 	for _, at := range j.StartTargets {
 		if now < at {
@@ -621,75 +644,77 @@
 	return clock.Forever
 }
 
-// choose picks the machine where a task of j starts at the least cost, or -1,
-// and the tasks to stop for it.
+// chooseMachine returns the machine with the least cost for a task of j, or -1 if there is
+// none, and the tasks to stop there first.
 //
-// What is chosen is not in the heap any more, unless zones count: they depend on
-// the job's other tasks, so the heap serves as a list then.
+// It removes the chosen machine from the heap, unless the job has constraints across zones
+// (placedByZone is not nil). Those depend on the placements of the job's other tasks, so
+// the heap is then searched as a plain list.
 func (p *pass) chooseMachine(j *Job, placedByZone map[string]int) (int, []*Placement) {
 	for {
-		best, leastCost := -1, math.Inf(1)
+		cheapest, leastCost := -1, math.Inf(1)
 		if placedByZone == nil {
 			if len(p.costHeap) > 0 {
-				best = heap.Pop(p).(int)
+				cheapest = heap.Pop(p).(int)
 			}
 		} else {
 			for _, i := range p.costHeap {
 				cost := p.cost[i]
-				if (cost < leastCost || cost == leastCost && i < best) && ZoneAllows(j, placedByZone, p.usableMachines[i].Zone) {
-					best, leastCost = i, cost
+				if (cost < leastCost || cost == leastCost && i < cheapest) && ZoneAllows(j, placedByZone, p.usableMachines[i].Zone) {
+					cheapest, leastCost = i, cost
 				}
 			}
 		}
-		if best < 0 || !p.needsVictims[best] {
-			return best, p.victimsByMachine[best]
+		if cheapest < 0 || !p.needsVictims[cheapest] {
+			return cheapest, p.victimsByMachine[cheapest]
 		}
 		p.output.Evaluations++
-		p.needsVictims[best] = false
-		victims, lost := p.selectVictims(p.usableMachines[best], j.Priority, j.Need(), p.available[best])
+		p.needsVictims[cheapest] = false
+		victims, lost := p.selectVictims(p.usableMachines[cheapest], j.Priority, j.Need(), p.available[cheapest])
 		if victims == nil {
-			p.cost[best] = math.Inf(1)
+			p.cost[cheapest] = math.Inf(1)
 			continue
 		}
-		p.cost[best] += lost / lostWorkPerDelaySecond
-		p.returnToHeap(placedByZone, best)
+		p.cost[cheapest] += lost / lostWorkPerDelaySecond
+		p.returnToHeap(placedByZone, cheapest)
 		if p.victimsByMachine == nil {
 			p.victimsByMachine = map[int][]*Placement{}
 		}
-		p.victimsByMachine[best] = victims
+		p.victimsByMachine[cheapest] = victims
 	}
 }
 
-// rank puts a machine that was chosen back into the heap.
+// returnToHeap puts a chosen machine back into the heap at its new cost, unless the cost
+// is infinite or the heap is used as a list.
 func (p *pass) returnToHeap(placedByZone map[string]int, i int) {
 	if placedByZone == nil && p.cost[i] < math.Inf(1) {
 		heap.Push(p, i)
 	}
 }
 
-// lossPerSecond is how many CPU-seconds of lost work weigh as much as a second
+// lostWorkPerDelaySecond is how many CPU-seconds of lost work cost as much as one second
 // of delay.
 const lostWorkPerDelaySecond = 8
 
-// packing is what it costs the fleet, beyond the delay, to use m for j.
-// Services gather on few machines. Other work first fills the room beside
-// them, which is paid for anyway, then spot machines, then ordinary ones, the
-// fullest first: so machines empty and can be returned.
+// packingCost returns the cost of using machine i for j beyond the delay, in the same unit
+// as score. Services are packed on few machines. Other work first fills the room beside
+// services, which is paid for anyway, then spot machines, then ordinary ones, each time the
+// fullest first. Other machines then become empty and can be returned.
 func (p *pass) packingCost(j *Job, i int) float64 {
 	m := p.usableMachines[i]
 	remaining, cost := p.available[i].RemainingCPUs(m.Type), 0.0
 	switch share := p.serviceShare[i]; {
 	case j.Service():
 		cost = 2 * (1 - share)
-	case share > 0 && !m.Spot && !j.Gang(): // a gang is not stopped for a service
+	case share > 0 && !m.Spot && !j.Gang(): // not for gangs, which cannot be stopped for a service
 		cost = remaining / m.Type.CPUs
 	case p.preferOrdinary && !m.Spot:
 		cost = remaining / m.Type.CPUs
 	case m.Spot || !j.Spec.Spot:
 		cost = 1 + remaining/m.Type.CPUs
 	default:
-		// A spot machine that must fetch first is cheaper than an ordinary one
-		// that need not, as long as the job can wait for the fetch.
+		// A spot machine that has to fetch the image is preferred to an ordinary one that
+		// holds it, as long as the job can wait for the fetch.
 		slack := j.Slack(p.Now).Seconds()
 		cost = 3 + remaining/m.Type.CPUs + max(0, min(slack/2, 0.4*j.Estimate.Seconds()))
 	}
@@ -699,16 +724,17 @@
 	return cost
 }
 
-// chained reports whether the job is part of a pipeline: a task lost with its
-// spot machine would hold up all that comes after.
+// inPipeline reports whether the job is part of a pipeline. A task of it that is lost with
+// a spot machine would delay all jobs after it.
 func (j *Job) inPipeline() bool { return len(j.Spec.DependsOn) > 0 || len(j.DirectDependents) > 0 }
 
-// frailty reports whether a job takes ordinary machines first, where both kinds
-// have room. Beside pipelines that is work that saves nothing and would more
-// likely than not lose a task to the cloud: a job is done with its last task, so
-// at 80 tasks and half an hour between losses of a machine nearly every job on
-// spot machines came a whole run late, while work that saves had the ordinary
-// machines. Where the cloud takes them less often, spot machines come first.
+// prefersOrdinary reports whether a job uses ordinary machines before spot machines where
+// both have room. That holds for jobs in pipelines, and for arrays without checkpoints that
+// would lose a task to a reclaimed spot machine with a probability above one half (ln 2
+// expected losses). A job is done with its last task: with 80 tasks and one reclaim per
+// machine every half hour, nearly every such job on spot machines finishes a whole run late
+// while checkpointed work occupies the ordinary machines. At lower reclaim rates spot
+// machines come first.
 func (p *pass) prefersOrdinary(j *Job) bool {
 	if j.inPipeline() {
 		return true
@@ -717,8 +743,9 @@
 	return j.Array() && j.Spec.CheckpointInterval <= 0 && left*j.Estimate.Seconds()*p.SpotLossRate > math.Ln2
 }
 
-// enough lists the least harmful tasks on m whose end makes room for need; nil
-// if there are none. The second result is the work lost, in CPU-seconds.
+// selectVictims returns tasks on m to stop so that need fits, taken in the order of
+// victimCandidates, and the work that would be lost, in CPU-seconds. It returns nil if
+// stopping all candidates does not make enough room.
 func (p *pass) selectVictims(m *Machine, priority int, need, room Resources) ([]*Placement, float64) {
 	var victims []*Placement
 	lost := 0.0
@@ -733,8 +760,9 @@
 	return nil, 0
 }
 
-// victims lists what may be stopped on m for the given priority: lowest
-// priority first, then the least loss.
+// victimCandidates lists the tasks on m that may be stopped for a job of the given
+// priority. Tasks of gangs are never stopped. Tasks that are not needed for a minimum share
+// come first; each group is sorted by lowest priority and then by least lost work.
 func (p *pass) victimCandidates(m *Machine, priority int) []*Placement {
 	var list []*Placement
 	for _, v := range m.Placements {
@@ -748,36 +776,37 @@
 	return list
 }
 
-// kept reports whether a place's account needs its job for its floor under overload: such
-// places are taken last.
+// neededForMinShare reports whether, under overload, the account of the placement needs its
+// job to reach the minimum share. Such placements are stopped last.
 func (p *pass) neededForMinShare(v *Placement) bool {
 	return p.FairShare != nil && !v.Job.MinShareStatus.Surplus
 }
 
-// loss is the work, in CPU-seconds, that stopping v at once would waste.
+// lostWork returns the work, in CPU-seconds, that would be lost by stopping v at once.
 func (p *pass) lostWork(v *Placement) float64 {
 	if v.RunningSince == 0 {
 		return 0
 	}
-	ran := p.Now - v.RunningSince
+	lostTime := p.Now - v.RunningSince
 	if interval := clock.FromSeconds(v.Job.Spec.CheckpointInterval); interval > 0 {
-		ran %= interval
+		lostTime %= interval
 	}
-	return ran.Seconds() * v.Need.DominantCPUs(v.Machine.Type)
+	return lostTime.Seconds() * v.Need.DominantCPUs(v.Machine.Type)
 }
 
-// makeRoom stops checkpointed work of lower priority, with time to save, for
-// n waiting tasks of j. The freed room goes to the queue's head by itself.
+// preemptCheckpointed stops checkpointed tasks of lower priority, with time to save their
+// state, to make room for n waiting tasks of j. Nothing is reserved for j: a later pass
+// gives the freed room to the head of the queue.
 func (p *pass) preemptCheckpointed(j *Job, n int) {
 	urgency := j.urgency(p.Now)
 	if urgency == canWait {
-		return // nothing can wait longer
+		return // no other job is less urgent, so none may be preempted
 	}
 	need := j.Need()
 	if p.FairShare != nil {
-		// Under overload ends free room all the time. Tried: pressed work asks what an
-		// account has beyond its floor to leave; what leaves again and again is never
-		// done, and the rest comes late for it.
+		// Under overload, finishing tasks free room all the time. Preempting an account's
+		// surplus over its minimum share for urgent work would stop the same jobs again and
+		// again, so that they never finish and delay the others.
 		return
 	}
 	for _, i := range p.preemptibleMachines() {
@@ -800,9 +829,9 @@
 			if n == 0 {
 				return
 			}
-			// Only work that can wait makes way. The freed room goes to the queue's
-			// head: work that would stand before j there must not be stopped for
-			// it, or it would start and stop for ever.
+			// Only less urgent tasks are preempted. The freed room goes to the head of
+			// the queue: a task whose job sorts before j would be placed there again and
+			// preempted again, without end.
 			if v.Job.Spec.CheckpointInterval <= 0 || v.RunningSince == 0 || v.Job.urgency(p.Now) <= urgency {
 				continue
 			}
@@ -816,8 +845,8 @@
 	}
 }
 
-// yielding lists the machines with work that saves, or that is leaving already: no
-// other can have room for a job that found none.
+// preemptibleMachines lists the machines with checkpointed tasks or with tasks that are
+// stopping already. No other machine can gain room by preemption for a job that found none.
 func (p *pass) preemptibleMachines() []int {
 	if p.preemptibleKnown {
 		return p.preemptible
@@ -834,23 +863,27 @@
 	return p.preemptible
 }
 
+// stop marks a placement as stopping with the given grace period, in seconds, and adds it
+// to the output. Without a grace period its room is available at once.
 func (p *pass) stop(v *Placement, grace float64) {
 	v.Stopping, v.Grace = true, grace
 	p.updateFairShare(v, -1)
 	p.output.Stop = append(p.output.Stop, v)
 	if grace == 0 {
-		// The worker runs the stop before the launch that rides with it.
+		// The worker executes the stop before any launch in the same message.
 		p.available[v.Machine.passIndex] = p.available[v.Machine.passIndex].Add(v.Need)
 	}
 }
 
-// count keeps what a place's account holds up to date.
+// updateFairShare adds a placement to the allocation of its job's fair share, or with sign
+// -1 subtracts it.
 func (p *pass) updateFairShare(pl *Placement, sign float64) {
 	if p.FairShare != nil && pl.Job != nil && pl.Job.Priority < wire.PriorityProduction {
 		p.FairShare(pl.Job).Allocated += sign * pl.Need.DominantCPUs(pl.Machine.Type)
 	}
 }
 
+// place assigns the next queued task of j to machine i under the given attempt number.
 func (p *pass) place(j *Job, i int, attempt uint64) {
 	m := p.usableMachines[i]
 	index := int(j.Queue[0])
@@ -869,8 +902,8 @@
 	p.output.Launch = append(p.output.Launch, pl)
 }
 
-// Attach enters a placement into the model. A worker has a task once at most,
-// so a place that the same task held on the machine ends.
+// Attach adds a placement to the model. A worker holds a task at most once, so Attach
+// replaces an earlier placement of the same task on the machine.
 func Attach(pl *Placement, teams map[string]*Team) {
 	if old := pl.Machine.Placements[pl.Task]; old != nil {
 		Detach(old, teams)
@@ -887,7 +920,8 @@
 	}
 }
 
-// Detach removes a placement whose task has provably left its machine.
+// Detach removes a placement from the model. The task must be known to have left the
+// machine, except when Attach replaces its placement.
 func Detach(pl *Placement, teams map[string]*Team) {
 	if pl.Machine.Placements[pl.Task] != pl {
 		return
@@ -905,7 +939,8 @@
 	}
 }
 
-// Exit notes that the task was seen exited: it takes no room any more.
+// MarkExited records that the task was reported as exited and releases its room on the
+// machine.
 func (pl *Placement) MarkExited() {
 	if !pl.Exited && pl.Machine.Placements[pl.Task] == pl {
 		pl.Machine.adjustAllocated(pl, -1)
@@ -913,11 +948,12 @@
 	pl.Exited = true
 }
 
-// placeGang places all tasks of a gang within this pass or none of them, only where its
-// image is if warm is set: a gang begins with the last of its tasks.
+// placeGang places all tasks of a gang in one pass or none of them, because a gang begins
+// only with the last of its tasks. With localImageOnly it uses only machines that hold the
+// gang's image or are fetching it.
 func (p *pass) placeGang(j *Job, localImageOnly bool) {
 	if j.PlacedCount > 0 || len(j.Queue) < len(j.Tasks)-j.DoneCount || !p.entitled(j) {
-		return // old tasks have not left yet, or others of its account came before it
+		return // earlier placements remain, or the account's entitlement is used up
 	}
 	n := len(j.Queue)
 	team := p.Teams[j.Spec.Team]
@@ -948,6 +984,7 @@
 	}
 }
 
+// allZones lists the zones of all machines, sorted.
 func (p *pass) allZones() []string {
 	var zones []string
 	for _, m := range p.Machines {
@@ -959,21 +996,21 @@
 	return zones
 }
 
-// gangPicks finds a machine for each of n tasks, in the given zone if one is
-// named, without changing the model.
+// pickGangMachines returns a machine for each of n tasks of j, or nil if not all of them
+// fit. A non-empty zone limits the search to that zone. The model stays unchanged.
 func (p *pass) pickGangMachines(j *Job, n int, zone string, localImageOnly bool) []int {
 	placedByZone := map[string]int{}
 	p.localImageOnly = localImageOnly
 	p.scoreAll(j, zone)
 	var picks []int
 	defer func() {
-		for _, i := range picks { // what was tried
+		for _, i := range picks { // undo the tentative allocations
 			p.available[i] = p.available[i].Add(j.Need())
 		}
 	}()
 	for range n {
 		i, victims := p.chooseMachine(j, placedByZone)
-		if i < 0 || victims != nil { // a gang waits for room instead
+		if i < 0 || victims != nil { // gangs do not preempt, they wait for room
 			return nil
 		}
 		placedByZone[p.usableMachines[i].Zone]++
@@ -984,8 +1021,7 @@
 	return picks
 }
 
-// Smooth is the paper's first-order filter: alpha of the latest value and the
-// rest of the old one.
+// Smooth returns alpha*latest + (1-alpha)*old, the paper's first-order smoothing filter.
 func Smooth(alpha float64, latest, old Micros) Micros {
 	return Micros(math.Round(alpha*float64(latest) + (1-alpha)*float64(old)))
 }
