--- a/internal/sched/graph.go
+++ b/internal/sched/graph.go
@@ -7,33 +7,34 @@
 	"lilacthread/wire"
 )
 
-// The first tier [V.A]: what the graph of a pipeline means for each of its jobs.
-// The jobs that need a job wait while it waits, so nothing of theirs changes but
-// by a new edge or a cancellation, and only what lies before such a change is
-// worked out again.
+// This file computes what a pipeline's dependency graph means for each of its jobs (the
+// first tier, section V.A of the paper): rank, deadline, priority and pipeline start. The
+// dependents of a waiting job wait as well, so these values change only when an edge is
+// added or a job is cancelled, and only the jobs before that change are computed again.
 
-// Init sets a new job's own values, to which those of its pipeline are added as
-// Link brings them.
+// Init sets the priority, pipeline start and deadline of a new job to its own values.
+// AddDependency then adjusts them for its pipeline.
 func (j *Job) Init() {
 	j.Priority, j.PipelineStart, j.Deadline = wire.PriorityOf(j.Spec.Priority), j.Submitted, j.ownDeadline()
 }
 
-// Rank is HEFT's upward rank: the expected run time plus the largest rank among
-// the jobs that wait on it.
+// UpwardRank returns the upward rank of the HEFT algorithm: the job's expected run time
+// plus the largest rank among its dependents.
 func (j *Job) UpwardRank() Micros { return j.Estimate + j.dependentsRank }
 
-// Waiting reports whether the job must not start yet.
+// HasUnmetDependencies reports whether the job must wait for a dependency to be done.
 func (j *Job) HasUnmetDependencies() bool { return j.UnmetDependencies > 0 }
 
-// Link notes that j needs n. Whether it still waits for it is for the caller to
-// say, in Blocked.
+// AddDependency records that j depends on the given job. It leaves j.UnmetDependencies to
+// the caller, who knows whether that job is done already.
 func AddDependency(j, dependency *Job) {
 	j.Dependencies, dependency.DirectDependents = append(j.Dependencies, dependency), append(dependency.DirectDependents, j)
 	j.propagatePipelineStart(dependency.PipelineStart)
 	dependency.recomputeInherited()
 }
 
-// Unlink forgets what j needs, once it is ready or over, and returns that.
+// RemoveDependencies removes all dependencies of j, which is ready or over, and returns
+// them.
 func RemoveDependencies(j *Job) []*Job {
 	dependencies := j.Dependencies
 	j.Dependencies = nil
@@ -44,7 +45,7 @@
 	return dependencies
 }
 
-// startFrom hands an earlier start on to all that need j.
+// propagatePipelineStart applies an earlier pipeline start to j and to all its dependents.
 func (j *Job) propagatePipelineStart(start Micros) {
 	if start >= j.PipelineStart {
 		return
@@ -55,8 +56,8 @@
 	}
 }
 
-// inherit works out again what the jobs that need j ask of it, and if that
-// changed, the same for what j itself needs.
+// recomputeInherited computes again the rank, deadline and priority that j inherits from
+// its dependents. If one of them changed, it does the same for the dependencies of j.
 func (j *Job) recomputeInherited() {
 	dependentsRank, deadline, priority := Micros(0), j.ownDeadline(), wire.PriorityOf(j.Spec.Priority)
 	for _, d := range j.DirectDependents {
@@ -72,7 +73,7 @@
 	j.dependentsRank, j.Deadline = dependentsRank, deadline
 	if priority != j.Priority {
 		j.Priority = priority
-		for i := range j.Tasks { // what runs already is protected as well
+		for i := range j.Tasks { // placed tasks inherit the priority too, which protects them from preemption
 			if pl := j.Tasks[i].Placement; pl != nil {
 				pl.setPriority(priority)
 			}
@@ -83,7 +84,8 @@
 	}
 }
 
-// ownDeadline is the deadline that the owner gave the job itself.
+// ownDeadline returns the deadline from the job's own specification, or clock.Forever if it
+// has none.
 func (j *Job) ownDeadline() Micros {
 	if j.Spec.Deadline == nil {
 		return clock.Forever
@@ -91,7 +93,8 @@
 	return j.Submitted + clock.FromSeconds(*j.Spec.Deadline)
 }
 
-// setPriority keeps the machine's sum of production work right.
+// setPriority changes the placement's priority and keeps the machine's sum of production
+// CPUs correct.
 func (pl *Placement) setPriority(priority int) {
 	if !pl.Exited {
 		pl.Machine.adjustAllocated(pl, -1)
@@ -102,8 +105,7 @@
 	}
 }
 
-// Dependents lists all jobs that need j, directly or through others, each after
-// those that it needs among them.
+// Dependents returns all direct and indirect dependents of j in topological order.
 func (j *Job) Dependents() []*Job {
 	var out []*Job
 	seen := map[*Job]bool{j: true}
--- a/internal/sched/model.go
+++ b/internal/sched/model.go
@@ -1,5 +1,8 @@
-// Package sched holds the scheduler's model and its decisions. It is pure: no
-// I/O, no clock of its own, and the same input gives the same output.
+// Package sched holds the scheduler's model of jobs, tasks, machines and teams, and decides
+// which task runs on which machine. It does no I/O and reads no clock, and the same input
+// gives the same output. It does not rent or return machines, store records or talk to
+// workers: package controller does that with the decisions made here, and package fleet
+// decides which machines to rent and return.
 package sched
 
 import (
@@ -9,93 +12,95 @@
 	"lilacthread/wire"
 )
 
-// Micros is the project's unit of time.
+// Micros is an instant or a span of time in microseconds.
 type Micros = clock.Micros
 
-// TaskState is the scheduler's view of a task.
+// TaskState is the scheduling state of a task.
 type TaskState uint8
 
 // States of a task.
 const (
-	Pending TaskState = iota // may be placed
-	Placed                   // holds a place on a machine
-	Done
+	Pending TaskState = iota // not placed on any machine
+	Placed                   // has a placement on a machine
+	Done                     // completed
 )
 
-// Job is a job with its tasks.
+// Job is a submitted job with its tasks and its scheduling state. Its instants are on the
+// owner's steady clock.
 type Job struct {
 	Spec               *wire.Job
 	ID                 string
-	Priority           int      // its own, or that of a job which needs it if that is higher
-	Submitted          Micros   // on the owner's steady clock
-	ReadyAt            Micros   // when all that it needs was done; Submitted if it needs nothing
-	PipelineStart      Micros   // of its pipeline: the earliest submission among it and what it needs
-	Deadline           Micros   // its own, or what the jobs that need it leave; clock.Forever without one
-	FinishTargets      []Micros // when its class's objectives want it done, earliest first
-	StartTargets       []Micros // when they want its tasks started, earliest first
-	LastStartTarget    Micros   // the last of those; 0: none does
-	StarvationDeadline Micros   // whatever its aims, it should have begun by then; 0: nobody cares
-	Estimate           Micros   // expected run time of a task
-
-	Dependencies      []*Job // jobs that it needs, as far as they are not over for good
-	DirectDependents  []*Job // jobs that need it
-	UnmetDependencies int    // needs that are not known to be done; 0: ready
-	dependentsRank    Micros // the largest rank among After
+	Priority           int      // the highest among its own and those of the jobs that depend on it
+	Submitted          Micros   // when the job was submitted
+	ReadyAt            Micros   // when its last dependency was done; Submitted without dependencies
+	PipelineStart      Micros   // the earliest submission among the job and all that it depends on
+	Deadline           Micros   // the earlier of its own and what its dependents leave; clock.Forever if none
+	FinishTargets      []Micros // finish times wanted by the objectives of its class, earliest first
+	StartTargets       []Micros // start times wanted by those objectives, earliest first
+	LastStartTarget    Micros   // the last of StartTargets; 0 if there is none
+	StarvationDeadline Micros   // when the job goes before others if it has not begun; 0 for never
+	Estimate           Micros   // expected run time of one task
+
+	Dependencies      []*Job // jobs that it depends on; emptied when it is ready or over
+	DirectDependents  []*Job // jobs that depend on it directly
+	UnmetDependencies int    // dependencies not known to be done; 0 means ready
+	dependentsRank    Micros // the largest UpwardRank among DirectDependents
 
 	Tasks       []Task
-	Queue       []int32 // pending tasks, in order of placing
-	PlacedCount int
-	DoneCount   int
+	Queue       []int32 // indexes of pending tasks, in the order of placement
+	PlacedCount int     // tasks with a placement
+	DoneCount   int     // tasks in state Done
 
-	Cancelled      bool   // decided, perhaps not yet committed
-	CommittedPhase string // the final phase once committed
-	FinalPhaseSent bool   // the final phase was sent to the state service, which may hold it
+	Cancelled      bool   // cancellation decided, perhaps not yet committed
+	CommittedPhase string // the final phase, set once it is committed
+	FinalPhaseSent bool   // the final phase was sent to the state service, which may have stored it
 	Ended          bool   // cancelled, or all tasks done
 
-	HoldUntil        Micros          // failed on several machines: not placed before
+	HoldUntil        Micros          // no task is placed before this time, set after certain failures
 	FailedOn         map[string]bool // machines on which its tasks failed
-	Backoff          Micros
-	AnyTaskSucceeded bool // some task of it has completed
+	Backoff          Micros          // delay before the next attempt after repeated failures; 0 for none
+	AnyTaskSucceeded bool            // at least one task has completed
 
-	StartedAt       Micros      // when its first task was seen running, or 0
-	EndedAt         Micros      // when it ended, or 0
-	Requeues        int         // places that its tasks left without being done
-	ExtraAwaitsKeys int         // keys that hold the rest of its awaits
-	TaskRecords     map[int]int // of the records of its tasks that may exist, by first task
+	StartedAt       Micros      // when a task was first reported as running, or 0
+	EndedAt         Micros      // when the job ended, or 0
+	Requeues        int         // placements that ended before their task was done
+	ExtraAwaitsKeys int         // further state service keys that hold the rest of its dependency list
+	TaskRecords     map[int]int // parts of each task record that may exist, by the record's first task
 
-	GangAttempt uint64 // attempt shared by a gang's tasks
+	GangAttempt uint64 // attempt number shared by all tasks of a gang
 
-	MinShareStatus admit.MinShareStatus // under overload
+	MinShareStatus admit.MinShareStatus // state of the account's minimum share, used under overload
 
-	taskCPUs    float64 // see Measure
-	fastestBoot Micros  // what the quickest machine that it may use takes to come
-	largeTask   bool    // a task takes more than half of each machine
+	taskCPUs    float64 // CPUs of one task by its dominant resource, see ComputeSize; 0 if unknown
+	fastestBoot Micros  // shortest boot time among the machine types that the job may use
+	largeTask   bool    // a task takes more than half of a machine of the best-fitting type
 
-	reserved                     bool   // machines keep room for it, see booking
-	reservedMachines             []int  // which
-	deferringSince, lastDeferred Micros // since when it leaves room to such jobs, and when it did last
-	passPosition                 int    // in the pass under way
+	reserved                     bool   // machines reserve room for the job, see reservation
+	reservedMachines             []int  // indexes of those machines in the pass that made the reservations
+	deferringSince, lastDeferred Micros // when the job began to leave reserved room unused, and when it last did
+	passPosition                 int    // position among the sorted jobs of the current pass
 }
 
 // Task is one task of a job.
 type Task struct {
 	State     TaskState
 	Placement *Placement
-	Progress  Micros // saved progress, as far as known
+	Progress  Micros // run time already saved in checkpoints, as far as known
 }
 
-// InDoubt reports whether the state service may hold the job's end though that is not known:
-// the transaction is under way, or got no answer. Others may have read it there and told it.
+// InDoubt reports whether the state service may have stored the job's final phase although
+// this controller does not know it: the transaction is in flight or was not answered. Other
+// controllers may have read the final phase there and sent it to users.
 func (j *Job) InDoubt() bool { return j.FinalPhaseSent && j.CommittedPhase == "" }
 
-// Active reports whether the job still wants to run.
+// Active reports whether the job is neither cancelled nor ended.
 func (j *Job) Active() bool { return !j.Cancelled && !j.Ended }
 
-// soundAfter is how long a task runs that does not fail at once.
+// stableAfter is the running time after which a task no longer counts as failing at once.
 const stableAfter = 10 * clock.Second
 
-// Runs reports whether some task of the job, other than the one at the given place, has
-// been running for a while.
+// HasRunningTask reports whether some task of the job, other than the one of the given
+// placement, has been running for longer than stableAfter.
 func (j *Job) HasRunningTask(now Micros, without *Placement) bool {
 	for i := range j.Tasks {
 		pl := j.Tasks[i].Placement
@@ -106,145 +111,153 @@
 	return false
 }
 
-// Probing reports whether the job failed on several machines and no task of it has run
-// since: it is tried with one task at a time, which needs no machine rented for it.
+// Probing reports whether the job failed on several machines and no task of it has
+// completed or is running stably. Such a job is retried with one task at a time, so that
+// no machine is rented for its other tasks.
 func (j *Job) Probing(now Micros) bool {
 	return j.Backoff > 0 && !j.AnyTaskSucceeded && !j.HasRunningTask(now, nil)
 }
 
-// Gang, Service and Array name the job's kind.
-func (j *Job) Gang() bool    { return j.Spec.Kind == wire.KindGang }
+// Gang reports whether the job is a gang, whose tasks start together.
+func (j *Job) Gang() bool { return j.Spec.Kind == wire.KindGang }
+
+// Service reports whether the job is a service, which runs until its user stops it.
 func (j *Job) Service() bool { return j.Spec.Kind == wire.KindService }
-func (j *Job) Array() bool   { return j.Spec.Kind == wire.KindArray }
 
-// Need is what one task takes of a machine.
+// Array reports whether the job is an array of independent tasks.
+func (j *Job) Array() bool { return j.Spec.Kind == wire.KindArray }
+
+// Resources is an amount of CPUs, GPUs and memory; the memory is in GB.
 type Resources struct{ CPUs, GPUs, Memory float64 }
 
-// Need gives the resources of one task.
+// Need returns the resources that one task uses.
 func (j *Job) Need() Resources { return Resources{j.Spec.CPUs, j.Spec.GPUs, j.Spec.MemoryGB} }
 
-const resourceTolerance = 1e-6 // tolerance of resource sums
+const resourceTolerance = 1e-6 // rounding tolerance in comparisons of resource sums
 
-// Fits reports whether a task needing n fits into the room r.
+// Fits reports whether a need of n fits into the free resources r.
 func (n Resources) Fits(r Resources) bool {
 	return n.CPUs <= r.CPUs+resourceTolerance && n.GPUs <= r.GPUs+resourceTolerance && n.Memory <= r.Memory+resourceTolerance
 }
 
-// Add and Sub move resources between sums.
+// Add returns the sum of n and o.
 func (n Resources) Add(o Resources) Resources {
 	return Resources{n.CPUs + o.CPUs, n.GPUs + o.GPUs, n.Memory + o.Memory}
 }
+
+// Sub returns n less o.
 func (n Resources) Sub(o Resources) Resources {
 	return Resources{n.CPUs - o.CPUs, n.GPUs - o.GPUs, n.Memory - o.Memory}
 }
 
-// Placement is a task's place on a machine, from the decision until its
-// absence is proven.
+// Placement is the assignment of a task to a machine. It exists from the decision to place
+// the task until the task is known not to be on the machine any more.
 type Placement struct {
-	Job      *Job // nil when the job is over and archived
-	Index    int
-	Task     string
+	Job      *Job   // nil if the job is over and archived
+	Index    int    // of the task in the job
+	Task     string // task ID
 	Attempt  uint64
 	Machine  *Machine
-	Session  uint64
+	Session  uint64 // session of the machine when the placement was made
 	Need     Resources
 	Team     string
 	Priority int
 	Image    string
 
-	FetchDelay       float64 // seconds that the image was expected to take
-	Committed        bool    // written ahead: a launch may be sent
-	InJobRecord      bool    // its job's records hold it, so that its machine's need not
+	FetchDelay       float64 // expected time to fetch the image, in seconds
+	Committed        bool    // stored in the state service, so that a launch may be sent
+	InJobRecord      bool    // stored in the job's records, so that the machine's record need not hold it
 	Sent             bool    // a launch may have been sent
-	DirectUnanswered bool    // by an order that is not answered: only the session's end proves absence
-	OutcomeUnknown   bool    // and will not be: its outcome is unknown
-	Resent           bool    // the launch was sent again since, so that two may be on their way
-	SentAt           Micros
-	Reported         bool // reported under our token
-	Inherited        bool // from an earlier leader: an acknowledged report proves absence
-	State            string
-	RunningSince     Micros // when first seen running, or 0
-	Exited           bool   // seen exited; takes no room any more
-	Stopping         bool
-	Grace            float64
+	DirectUnanswered bool    // sent in a direct command that is not answered; only the end of the session proves absence
+	OutcomeUnknown   bool    // the direct command failed without an answer; whether it was executed is unknown
+	Resent           bool    // the launch was sent again since, so two launches may be in flight
+	SentAt           Micros  // when the launch was last sent, or 0
+	Reported         bool    // the worker reported the task under this leader's token
+	Inherited        bool    // made by an earlier leader; an acknowledged report without the task proves absence
+	State            string  // task state in the last report
+	RunningSince     Micros  // when the task was first reported as running, or 0
+	Exited           bool    // the task was reported as exited and holds no room any more
+	Stopping         bool    // the task is being stopped
+	Grace            float64 // grace period of the stop, in seconds
 }
 
-// Attempt names one start of a task.
+// Attempt identifies one attempt to run a task.
 type Attempt struct {
 	Task   string
 	Number uint64
 }
 
-// Left is how long a placed task is expected to run yet from when it began here.
+// RemainingTime returns the expected run time of the task in this placement, from its start
+// here: the job's estimate less the progress saved before.
 func (pl *Placement) RemainingTime() Micros { return pl.Job.Estimate - pl.Job.Tasks[pl.Index].Progress }
 
-// Machine is a rented machine.
+// Machine is a rented machine as the leader knows it.
 type Machine struct {
 	ID          string
 	Addr        string
 	Type        *wire.MachineType
 	Zone        string
 	Spot        bool
-	RequestedAt Micros // rental request, on the owner's steady clock
-	KnownSince  Micros // since when this leader has known it
-
-	Session              uint64
-	Seq                  uint64
-	LastCommandSeq       uint64 // of the newest answer to an order in this session
-	CommandInFlight      bool   // an order is under way
-	Up                   bool   // has reported
-	Acked                bool   // has acknowledged our token
-	LastReportAt         Micros
-	LastAnsweredReportAt Micros // receipt of the last report that we answered
-	LastCommandAt        Micros // when it last answered an order, or one that may start something was sent
-	ReclaimAt            Micros // when the cloud takes it; 0: no notice
-
-	Placements     map[string]*Placement
-	allocated      Resources         // by the places that are not exited; see hold
-	productionCPUs float64           // the CPUs of it that production work holds, see Need.On
-	passIndex      int               // in the pass under way
-	Images         map[string]Micros // last use
-	ImageSizes     map[string]float64
-
-	Downlink              oneway.Detector // whether it hears us
-	LastRedirectAt        Micros          // when it was last sent away, to look for a successor
-	StaleTokenAnswered    bool            // a report of it under an older token was answered in this term
-	LastCommandUnanswered bool            // the latest order was not answered
-	UnansweredProbes      int             // questions without an answer since its last report
-	LastProbeAt           Micros          // when the latest of those was put
-	LastRestartCheckAt    Micros          // when it was last asked whether it was started anew
-	Restarted             bool            // it was
-
-	// Unreaped are attempts that a launch still on its way would start again if the worker
-	// forgot them, in the present session.
+	RequestedAt Micros // when the machine was requested, on the owner's steady clock
+	KnownSince  Micros // when this leader first knew of the machine
+
+	Session              uint64 // session number of the worker process
+	Seq                  uint64 // sequence number of the last report in this session
+	LastCommandSeq       uint64 // highest sequence number in answers to direct commands in this session
+	CommandInFlight      bool   // a direct command batch was sent and is not answered
+	Up                   bool   // the worker has reported
+	Acked                bool   // the worker has acknowledged this leader's token
+	LastReportAt         Micros // receipt of the last report
+	LastAnsweredReportAt Micros // receipt of the last report that this leader answered
+	LastCommandAt        Micros // when a direct command was last answered, or sent if it may start a task
+	ReclaimAt            Micros // when the cloud reclaims the machine; 0 without a notice
+
+	Placements     map[string]*Placement // by task ID
+	allocated      Resources             // resources of all placements that are not exited, see adjustAllocated
+	productionCPUs float64               // CPUs that production tasks hold, by their dominant resource
+	passIndex      int                   // index among the usable machines of the current pass, or -1
+	Images         map[string]Micros     // last use of each cached image
+	ImageSizes     map[string]float64    // size of each cached image, in GB
+
+	Downlink              oneway.Detector // detects a one-way partition towards the worker
+	LastRedirectAt        Micros          // when the worker was last redirected, to search for a new leader
+	StaleTokenAnswered    bool            // a report under an older token was answered in this term
+	LastCommandUnanswered bool            // the latest direct command was not answered
+	UnansweredProbes      int             // probes without an answer since the last report
+	LastProbeAt           Micros          // when the latest probe was sent
+	LastRestartCheckAt    Micros          // when the machine was last checked for a restart of its worker
+	Restarted             bool            // the check found a restart
+
+	// Unreaped holds attempts of the present session that the worker must keep on record: a
+	// launch still in flight would start them again if the worker forgot them.
 	Unreaped map[Attempt]bool
 
-	Errors           int             // failures since the last success
-	ErrorJobs        map[string]bool // whose failures those were
-	SuspectedAt      Micros          // when several jobs, none known to be sound, had failed on it; 0: they have not
-	AvoidUntil       Micros
-	IdleSince        Micros
-	Recorded         bool // the state service has its record
-	InGroupRecord    bool // with others, in a record that they share
-	MayHaveOwnRecord bool // and it may have one of its own
-	Draining         bool
-	Retiring         bool // takes no new tasks, so as to empty and be returned
-	Releasing        bool
-	Failed           bool
-	Unlisted         bool // the cloud's list, new enough to name it, does not
+	Errors           int             // task failures since the last success
+	ErrorJobs        map[string]bool // IDs of the jobs with those failures
+	SuspectedAt      Micros          // when several jobs, none of them known to be healthy, had failed on the machine; 0 if not
+	AvoidUntil       Micros          // no new tasks are placed before this time
+	IdleSince        Micros          // when the last placement ended
+	Recorded         bool            // the state service holds a record of the machine
+	InGroupRecord    bool            // the machine is stored in a record shared with others
+	MayHaveOwnRecord bool            // the machine may also have a record of its own
+	Draining         bool            // takes no new tasks and is returned when its tasks have ended or moved
+	Retiring         bool            // takes no new tasks, so that it becomes empty and can be returned
+	Releasing        bool            // is being returned to the cloud
+	Failed           bool            // the cloud's list shows the machine as failed
+	Unlisted         bool            // the cloud's list, although recent enough, does not contain the machine
 }
 
-// Room is what the machine has free. Tasks without proof of absence hold
-// theirs; exited tasks hold none.
+// Available returns the machine's free resources. A task holds its resources until it is
+// reported as exited or known to be absent.
 func (m *Machine) Available() Resources { return m.Size().Sub(m.allocated) }
 
-// Free is the room that it has, in its CPUs.
+// AvailableCPUs returns the free resources as CPUs, see RemainingCPUs.
 func (m *Machine) AvailableCPUs() float64 { return m.Available().RemainingCPUs(m.Type) }
 
-// Production is the CPUs that production work holds, which nothing may stop.
+// ProductionCPUs returns the CPUs held by production tasks, which are never preempted.
 func (m *Machine) ProductionCPUs() float64 { return m.productionCPUs }
 
-// hold adds a place to what the machine holds, or with sign -1 takes it away.
+// adjustAllocated adds a placement to the machine's allocation, or with sign -1 subtracts it.
 func (m *Machine) adjustAllocated(pl *Placement, sign float64) {
 	m.allocated = m.allocated.Add(Resources{sign * pl.Need.CPUs, sign * pl.Need.GPUs, sign * pl.Need.Memory})
 	if pl.Priority == wire.PriorityProduction {
@@ -252,30 +265,30 @@
 	}
 }
 
-// Size is the machine's whole room.
+// Size returns the machine's total resources.
 func (m *Machine) Size() Resources { return Resources{m.Type.CPUs, m.Type.GPUs, m.Type.MemoryGB} }
 
-// Inherited reports whether an earlier leader knew the machine, old enough to have
-// been up then.
+// Inherited reports whether the machine was requested under an earlier leader, so long
+// before this leader knew it that it should have been up by then.
 func (m *Machine) Inherited() bool {
 	return m.KnownSince-m.RequestedAt > 2*clock.FromSeconds(m.Type.BootTime)
 }
 
-// Busy reports whether any task holds a place.
+// Busy reports whether the machine has any placement.
 func (m *Machine) Busy() bool { return len(m.Placements) > 0 }
 
-// Usable reports whether new tasks may be placed.
+// Usable reports whether new tasks may be placed on the machine.
 func (m *Machine) Usable(now, maxReportAge Micros) bool {
 	return m.Up && m.Acked && !m.Draining && !m.Retiring && !m.Releasing && m.ReclaimAt == 0 && !m.Failed && !m.Downlink.Partitioned &&
 		now-m.LastReportAt <= maxReportAge && now >= m.AvoidUntil
 }
 
-// Touch notes the use of an image and forgets the least recently used ones
-// beyond the cache. It reports whether the image is new there.
+// TouchImage records the use of an image of the given size in GB, and drops the least
+// recently used images that exceed the cache. It reports whether the image was not cached.
 func (m *Machine) TouchImage(image string, gb float64, now Micros) bool {
 	_, known := m.Images[image]
 	m.Images[image] = now
-	if known { // most reports bring nothing new
+	if known { // the usual case in a report
 		return false
 	}
 	m.ImageSizes[image] = gb
@@ -296,8 +309,8 @@
 	}
 }
 
-// Allows reports whether the job may run on machines of this type, zone and
-// kind at all.
+// Allows reports whether the job may run on an empty machine of the given type, in the
+// given zone, spot or ordinary.
 func (j *Job) Allows(t *wire.MachineType, zone string, spot bool) bool {
 	if spot && !j.Spec.Spot || j.Spec.Zone != "" && j.Spec.Zone != zone {
 		return false
@@ -316,17 +329,17 @@
 	return false
 }
 
-// Team is a team's limits and use.
+// Team holds a team's limits and usage.
 type Team struct {
 	Name             string
-	Guarantee, Limit Resources // CPUs and GPUs; 0 means none
-	Allocated        Resources // by placements without proof of absence
-	AllocatedCPUs    float64   // the same in CPUs, see Need.On
-	Usage            float64   // CPU-seconds decayed over the window
-	UsageUpdatedAt   Micros
+	Guarantee, Limit Resources // CPUs and GPUs; 0 means no guarantee or no limit
+	Allocated        Resources // resources of all the team's placements
+	AllocatedCPUs    float64   // the same as CPUs, see DominantCPUs
+	Usage            float64   // CPU-seconds used, with exponential decay, see DecayUsage
+	UsageUpdatedAt   Micros    // when Usage was last brought up to date
 }
 
-// Allows reports whether the team may take n more.
+// Allows reports whether the team may allocate n more within its limit.
 func (t *Team) Allows(n Resources) bool {
 	return (t.Limit.CPUs == 0 || t.Allocated.CPUs+n.CPUs <= t.Limit.CPUs+resourceTolerance) &&
 		(t.Limit.GPUs == 0 || t.Allocated.GPUs+n.GPUs <= t.Limit.GPUs+resourceTolerance)
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -88,7 +88,7 @@
 	feasible  = iota // can start by its last start target, or has begun and can finish in time
 	lateStart        // starts too late, but can finish by its latest finish target
 	atRisk           // can finish in time only if it starts now and no task takes longer than estimated
-	late
+	late             // can no longer finish in time
 )
 
 // feasibilityLevel returns the job's feasibility level at the given time.
@@ -132,9 +132,9 @@
 // Feasibility reports whether a waiting or running job is meeting its targets, can still
 // meet them, or can no longer do so.
 func (j *Job) Feasibility(now Micros) admit.Feasibility {
-	end := j.latestFinishTarget()
+	finishTarget := j.latestFinishTarget()
 	switch {
-	case len(j.Queue) == 0 && now+j.Estimate/2 <= end:
+	case len(j.Queue) == 0 && now+j.Estimate/2 <= finishTarget:
 		return admit.OnTime
 	case j.LastStartTarget > 0 && now > j.LastStartTarget && !j.hasBegun():
 		return admit.Infeasible
--- a/internal/sched/size.go
+++ b/internal/sched/size.go
@@ -7,13 +7,13 @@
 	"lilacthread/wire"
 )
 
-// Sums over tasks and machines are kept in CPUs, but by the dominant resource: where
-// machines have accelerators and run out of those first, a task that takes one of four
-// takes a quarter of the machine's CPUs, however few it uses. Counted by the CPUs alone,
-// machines without a free accelerator passed for a third empty. Where there are no
-// accelerators the two are the same.
+// Sums over tasks and machines are kept in CPUs, counted by the dominant resource. On
+// machines with accelerators a task that uses one of four counts as at least a quarter of
+// the machine's CPUs, however few CPUs it uses. Counting CPUs alone makes machines without
+// a free accelerator appear one third empty. Without accelerators both counts are equal.
 
-// On is what a task takes of a machine of the type, in its CPUs.
+// DominantCPUs returns the share that n takes of a machine of the given type, by its
+// dominant resource, expressed in CPUs of that machine.
 func (n Resources) DominantCPUs(t *wire.MachineType) float64 {
 	if t.GPUs <= 0 {
 		return n.CPUs
@@ -21,7 +21,8 @@
 	return max(n.CPUs, n.GPUs/t.GPUs*t.CPUs)
 }
 
-// Left is what room there is on a machine of the type, in its CPUs.
+// RemainingCPUs returns the usable part of the free resources n on a machine of the given
+// type, limited by the scarcest resource and expressed in CPUs of that machine.
 func (n Resources) RemainingCPUs(t *wire.MachineType) float64 {
 	if t.GPUs <= 0 {
 		return n.CPUs
@@ -29,8 +30,9 @@
 	return min(n.CPUs, n.GPUs/t.GPUs*t.CPUs)
 }
 
-// Measure works out what a task of the job takes of the type that suits it best. It
-// depends on the catalogue, without which it is the task's CPUs.
+// ComputeSize computes the size of the job's tasks from the machine types in the catalogue:
+// TaskCPUs on the type on which a task counts least, whether a task takes more than half of
+// such a machine, and the shortest boot time.
 func (j *Job) ComputeSize(types []wire.MachineType) {
 	j.taskCPUs, j.fastestBoot, j.largeTask = 0, 0, false
 	for i := range types {
@@ -47,7 +49,8 @@
 	}
 }
 
-// Size is what a task of the job takes, in CPUs.
+// TaskCPUs returns the size of one task in CPUs by its dominant resource, or the CPUs of its
+// specification if ComputeSize found no machine type for it.
 func (j *Job) TaskCPUs() float64 {
 	if j.taskCPUs > 0 {
 		return j.taskCPUs
@@ -55,11 +58,12 @@
 	return j.Spec.CPUs
 }
 
-// Whole is what the whole job takes at once, in CPUs.
+// TotalCPUs returns the size of all the job's tasks together, in CPUs.
 func (j *Job) TotalCPUs() float64 { return j.TaskCPUs() * float64(j.Spec.Tasks) }
 
-// Decay brings a team's use up to now: what it holds adds up, and the past
-// fades over the window.
+// DecayUsage brings the team's usage up to date: past usage decays exponentially with the
+// given time constant, and the CPUs that the team holds are added for the time since the
+// last update.
 func (t *Team) DecayUsage(now, window Micros) {
 	elapsed := now - t.UsageUpdatedAt
 	if elapsed <= 0 {
