--- a/internal/sched/dominant_test.go
+++ b/internal/sched/dominant_test.go
@@ -9,9 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestWithoutAccelerators: on machines without accelerators all sums are CPUs, and where
-// tasks take as much of the accelerators as of the CPUs, a pass decides the same as if there
-// were none. Counted otherwise, the earlier platforms would be served differently.
+// TestWithoutAccelerators checks that sizes on machines without accelerators equal the CPUs,
+// and that a pass decides the same on machines with accelerators if tasks take equal shares
+// of accelerators and CPUs. Otherwise accounting by the dominant resource would change the
+// scheduling of platforms without accelerators.
 func TestWithoutAccelerators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain := wire.MachineType{Name: "g", CPUs: 16, MemoryGB: 1000, CacheGB: 100, Zones: []string{"a"}}
--- a/internal/sched/graph_test.go
+++ b/internal/sched/graph_test.go
@@ -7,16 +7,16 @@
 	"lilacthread/wire"
 )
 
-// TestGraph follows a diamond a -> b, c -> d as its jobs are linked, its last
-// stage late, and one of them cancelled: rank, latest start, inherited priority
-// and the pipeline's start, in seconds.
+// TestGraph checks rank, pipeline start, deadline and inherited priority in a diamond
+// a -> b, c -> d while its jobs are linked, the last stage after the others, and while jobs
+// of it are cancelled. Times are in seconds.
 func TestGraph(t *testing.T) {
 	const second = clock.Second
 	a := newJob("a", wire.PriorityLow, 1, 10, 0)
 	b := newJob("b", wire.PriorityLow, 2, 20, 0)
 	c := newJob("c", wire.PriorityNormal, 3, 30, 0)
 	d := newJob("d", wire.PriorityHigh, 9, 5, 0)
-	deadlineSeconds := 91.0 // after 9 s: at 100 s
+	deadlineSeconds := 91.0 // submitted at 9 s, so the deadline is at 100 s
 	d.Spec.Deadline = &deadlineSeconds
 	d.Init()
 	type want struct {
@@ -71,8 +71,8 @@
 	check("an earlier job before it", want{a, 30, 0, 0, low}, want{b, 20, 0, 0, low})
 }
 
-// TestLentPriority: a priority that a later stage lends goes before lower ones,
-// but hurries nobody while there is time.
+// TestInheritedPriority checks that a job with a priority inherited from a later stage sorts
+// before jobs of lower priority, but is not urgent while it has time.
 func TestInheritedPriority(t *testing.T) {
 	stage := newJob("stage", wire.PriorityLow, 0, 20, 0)
 	last := newJob("last", wire.PriorityHigh, 0, 10, 0)
--- a/internal/sched/reservation.go
+++ b/internal/sched/reservation.go
@@ -10,53 +10,61 @@
 	"lilacthread/wire"
 )
 
-// Places that are freed one by one never make room for a task that takes half a machine,
-// or for a gang that needs several at once, while smaller work takes each of them: found
-// on the opening of a day with accelerators, where gangs that were accepted in the first
-// second stood behind arrays for two minutes. So a job that is too large for what a single
-// end frees books machines: those that will have the room soonest, by the expected ends of
-// what runs there. Work that comes after it in the pass's order may use a booked machine
-// only where that leaves the room free in time: it ends before, or finds place beside it.
+// This file reserves room for large jobs and lets smaller ones backfill around them.
 //
-// Bookings are made anew in each pass, in the pass's order, those of the pass before
-// first. A job never waits for the bookings of one that comes after it, so two jobs can't
-// wait for each other.
+// Tasks that end one by one never free enough room at once for a task that takes more than
+// half a machine, or for a gang that needs several placements, as long as smaller tasks
+// take each piece of room. On machines with accelerators, gangs accepted in the first
+// second of a run waited behind arrays for two minutes. A job that the end of a single task
+// may not make room for therefore reserves machines: those that will have the room soonest,
+// by the expected ends of the tasks there. Jobs that come later in the pass's order may use
+// a reserved machine only if the room is still free in time, because they end before or fit
+// beside the reservation.
+//
+// Each pass makes all reservations again in its order of jobs, first for the jobs that had
+// one in the previous pass. A job never waits for the reservation of a later one, so two
+// jobs cannot wait for each other.
 
-// booking is room that a machine keeps for a task, from when it will have it.
+// reservation is room that a machine keeps for one task, and when the room will be available.
 type reservation struct {
 	job         *Job
 	need        Resources
 	availableAt Micros
 }
 
-// ending is room that is freed at an instant.
+// expectedRelease is room that a task is expected to free at a given time.
 type expectedRelease struct {
 	at   Micros
 	need Resources
 }
 
 const (
-	// bookAfter is how long a job of any urgency waits before it books: the largest of a
-	// class are to begin within a few minutes, however much small work there is.
+	// reserveAfter is how long a job that is not urgent waits before it reserves room. It
+	// lets the largest jobs of a class begin within a few minutes under any load of small
+	// ones.
 	reserveAfter = 60 * clock.Second
-	// mostBooked and mostOfJob bound what one pass books, in tasks: far more than a fleet
-	// frees between two passes, and little enough to be cheap.
+	// maxReservedTasks and maxReservedTasksPerJob bound the tasks with reservations in one
+	// pass and per job: far more than a fleet frees between two passes, and few enough to
+	// keep passes cheap.
 	maxReservedTasks       = 128
 	maxReservedTasksPerJob = 64
-	// yieldFor is how long a job leaves room that it could use to those before it: none is to
-	// wait 90 s while a machine has room, and a booked one may be due only when hours of work
-	// elsewhere have ended (scenario gang_books_room).
+	// maxDeferral is how long a job leaves reserved room unused for jobs before it. No job
+	// may wait 90 s while a machine has room for it, and a reservation may have to wait for
+	// hours of work on other machines (scenario gang_books_room).
 	maxDeferral = 75 * clock.Second
-	// yieldPause is how long it may find no such room in between.
+	// maxDeferralGap is the longest time without finding reserved room after which the same
+	// deferral continues; after a longer gap a new one begins.
 	maxDeferralGap = 10 * clock.Second
-	// mostOfArray is what an array books at once: its tasks need not begin together.
+	// maxReservedArrayTasks bounds the tasks of an array with reservations at a time. They
+	// need not begin together.
 	maxReservedArrayTasks = 4
 )
 
-// bulky reports whether one task's end may not make room for the job.
+// needsReservation reports whether the end of a single task elsewhere may not free enough
+// room for the job.
 func (j *Job) needsReservation() bool { return j.Gang() || j.largeTask }
 
-// toBook is for how many of its tasks the job wants room.
+// tasksToReserve returns the number of tasks for which the job reserves room.
 func (j *Job) tasksToReserve() int {
 	if j.Gang() {
 		return len(j.Queue)
@@ -64,14 +72,15 @@
 	return min(len(j.Queue), maxReservedArrayTasks)
 }
 
-// books reports whether the job may book machines.
+// mayReserve reports whether the job may reserve machines in this pass.
 func (p *pass) mayReserve(j *Job) bool {
 	n := j.tasksToReserve()
 	return j.needsReservation() && n > 0 && n <= maxReservedTasksPerJob && p.reservedTasks+n <= maxReservedTasks &&
 		(j.urgency(p.Now) <= mustStartNow || p.Now-j.ReadyAt > reserveAfter)
 }
 
-// rebook makes the bookings of the pass before again, before anything is placed.
+// restoreReservations makes reservations for the jobs that had one in the previous pass,
+// before any task is placed. It also records the jobs' order.
 func (p *pass) restoreReservations(jobs []*Job) {
 	for i, j := range jobs {
 		j.passPosition = i
@@ -84,7 +93,7 @@
 	}
 }
 
-// unbook takes a job's bookings back, for it to be placed.
+// cancelReservations removes the job's reservations when it is placed.
 func (p *pass) cancelReservations(j *Job) {
 	if !j.reserved {
 		return
@@ -92,7 +101,7 @@
 	j.reserved = false
 	for _, i := range j.reservedMachines {
 		if i >= len(p.reservations) {
-			break // of an earlier pass
+			break // made in an earlier pass
 		}
 		n := len(p.reservations[i])
 		p.reservations[i] = slices.DeleteFunc(p.reservations[i], func(b reservation) bool { return b.job == j })
@@ -101,8 +110,8 @@
 	j.reservedMachines = j.reservedMachines[:0]
 }
 
-// book keeps room for all tasks of a gang or for none, and for the next few of an array. What
-// a job keeps already stands.
+// reserve makes reservations for all tasks of a gang or for none of them, and for the next
+// few tasks of an array. It keeps existing reservations of the job.
 func (p *pass) reserve(j *Job) {
 	if j.reserved || !p.mayReserve(j) {
 		return
@@ -131,21 +140,22 @@
 	}
 }
 
-// candidate is a machine and when it will have the room for a task.
+// candidate is a machine, by its index, and when it will have room for a task.
 type candidate struct {
 	machine     int
 	availableAt Micros
 }
 
-// shape is what of a job decides which machines may take its tasks, and when.
+// requirements are the properties of a job that determine which machines can take its tasks,
+// and when.
 type requirements struct {
 	need        Resources
 	spot        bool
 	zone, types string
 }
 
-// candidates is a heap by time. The times in it may be too early, never too late: a booking
-// only takes room away.
+// candidates is a heap ordered by time. Its times may be too early but never too late,
+// because a reservation only takes room away.
 type candidates []candidate
 
 func (c candidates) Len() int { return len(c) }
@@ -160,33 +170,35 @@
 	return last
 }
 
+// requirementsOf returns the requirements of j, in the given zone if it is not empty.
 func (p *pass) requirementsOf(j *Job, zone string) requirements {
 	return requirements{j.Need(), j.Spec.Spot, j.Spec.Zone + "/" + zone, strings.Join(j.Spec.Types, "/")}
 }
 
-// candidatesFor gives the machines that may take a task of j, in a zone if one is named.
-// Jobs of one shape share them through the pass, so that many of them cost little more
-// than one.
+// candidatesFor returns the machines that can take a task of j, in the given zone if it is
+// not empty. Jobs with the same requirements share the result during the pass, so that many
+// of them cost little more than one.
 func (p *pass) candidatesFor(j *Job, zone string) *candidates {
 	key := p.requirementsOf(j, zone)
-	if c := p.candidatesByRequirements[key]; c != nil {
-		return c
+	if list := p.candidatesByRequirements[key]; list != nil {
+		return list
 	}
-	c := new(candidates)
+	list := new(candidates)
 	for i, m := range p.usableMachines {
 		if zone != "" && m.Zone != zone || m.Errors > 0 || !p.allowed(j, m) {
 			continue
 		}
 		if t := p.roomAvailableAt(i, key.need); t < clock.Forever {
-			*c = append(*c, candidate{i, t})
+			*list = append(*list, candidate{i, t})
 		}
 	}
-	heap.Init(c)
-	p.candidatesByRequirements[key] = c
-	return c
+	heap.Init(list)
+	p.candidatesByRequirements[key] = list
+	return list
 }
 
-// bookings picks a machine for each task of j, and tells when it will have the room.
+// pickReservations picks a machine for each task that j reserves room for, and returns when
+// each will have the room. It returns nil if there is none, or too few for a gang.
 func (p *pass) pickReservations(j *Job, zone string) (picks []int, availableAt []Micros) {
 	need, list := j.Need(), p.candidatesFor(j, zone)
 	placedByZone, ownReserved := j.PlacementsByZone(nil), map[int]Resources{}
@@ -197,9 +209,9 @@
 			skipped = append(skipped, c)
 			continue
 		}
-		if now := p.roomAvailableAt(c.machine, need.Add(ownReserved[c.machine])); now > c.availableAt {
-			if now < clock.Forever {
-				heap.Push(list, candidate{c.machine, now})
+		if roomAt := p.roomAvailableAt(c.machine, need.Add(ownReserved[c.machine])); roomAt > c.availableAt {
+			if roomAt < clock.Forever {
+				heap.Push(list, candidate{c.machine, roomAt})
 			} else {
 				skipped = append(skipped, c)
 			}
@@ -216,14 +228,14 @@
 		heap.Push(list, c)
 	}
 	if len(picks) == 0 || j.Gang() && len(picks) < j.tasksToReserve() {
-		delete(p.candidatesByRequirements, p.requirementsOf(j, zone)) // what was tried is in its times
+		delete(p.candidatesByRequirements, p.requirementsOf(j, zone)) // its times include the tentative reservations
 		return nil, nil
 	}
 	return picks, availableAt
 }
 
-// endings lists what the machine's tasks will free, by time. Services end when their users
-// say so.
+// releasesOn lists the expected releases of the machine's tasks, ordered by time. Services
+// run until their users stop them, so only those being stopped are listed.
 func (p *pass) releasesOn(i int) []expectedRelease {
 	if p.expectedReleases[i] != nil {
 		return p.expectedReleases[i]
@@ -250,7 +262,8 @@
 	return list
 }
 
-// delayOf is how long a placed task that does not run yet may still fetch.
+// remainingFetchDelay returns the expected time in seconds until the image of a placed task
+// that is not running yet is fetched.
 func (p *pass) remainingFetchDelay(pl *Placement) float64 {
 	if pl.SentAt == 0 {
 		return pl.FetchDelay
@@ -258,7 +271,8 @@
 	return max(0, pl.FetchDelay-(p.Now-pl.SentAt).Seconds())
 }
 
-// roomAt is when a machine will have the room for a need beside what is booked there.
+// roomAvailableAt returns when a machine will have room for the need in addition to its
+// reservations, or clock.Forever if it will not.
 func (p *pass) roomAvailableAt(i int, need Resources) Micros {
 	room := p.available[i]
 	for _, b := range p.reservations[i] {
@@ -275,8 +289,9 @@
 	return clock.Forever
 }
 
-// barred reports whether a task of j, placed on a machine now, would take room that is
-// kept for a job before it, and j is to leave it that.
+// blockedByReservation reports whether j must not be placed on a machine now, because it
+// would take room reserved for a job before it. After maxDeferral of leaving such room
+// unused, j may take it.
 func (p *pass) blockedByReservation(j *Job, i int, delay float64) bool {
 	if !p.takesReservedRoom(j, i, delay) {
 		return false
@@ -288,24 +303,25 @@
 	return p.Now-j.deferringSince < maxDeferral
 }
 
-// keptFrom reports whether the room that a task of j would take, placed on a machine now, is kept
-// for a job before it.
+// takesReservedRoom reports whether a task of j, placed on a machine now, would still hold
+// room when a reservation of a job before j needs it. Production jobs ignore reservations.
+// The delay is the expected fetch time in seconds.
 func (p *pass) takesReservedRoom(j *Job, i int, delay float64) bool {
 	if p.reservedTasks == 0 || len(p.reservations[i]) == 0 || j.Priority == wire.PriorityProduction {
 		return false
 	}
-	room, from, until := p.available[i], Micros(0), clock.Forever
+	room, latest, earliest := p.available[i], Micros(0), clock.Forever
 	for _, b := range p.reservations[i] {
 		if b.job != j && b.job.passPosition < j.passPosition {
 			room = room.Sub(b.need)
-			from, until = max(from, b.availableAt), min(until, b.availableAt)
+			latest, earliest = max(latest, b.availableAt), min(earliest, b.availableAt)
 		}
 	}
-	if until == clock.Forever || p.Now+clock.FromSeconds(delay)+j.Estimate <= until {
-		return false // nothing is kept from it, or it ends before
+	if earliest == clock.Forever || p.Now+clock.FromSeconds(delay)+j.Estimate <= earliest {
+		return false // no such reservation, or the task ends before it
 	}
 	for _, e := range p.releasesOn(i) {
-		if e.at <= from {
+		if e.at <= latest {
 			room = room.Add(e.need)
 		}
 	}
--- a/internal/sched/reservation_test.go
+++ b/internal/sched/reservation_test.go
@@ -28,7 +28,8 @@
 	return j
 }
 
-// world lets small tasks come for ever and end one after the other, with one pass a second.
+// beginTimes runs one pass a second, with small tasks arriving and ending all the time, and
+// returns when each of the waiting jobs began.
 func beginTimes(t *testing.T, machines int, waiting []*Job, limit Micros) map[string]Micros {
 	t.Helper()
 	var fleet []*Machine
@@ -73,8 +74,8 @@
 	return beginAt
 }
 
-// TestLargeJobsBegin guards against large work that never finds room: each accelerator
-// that is freed goes to a small task, of which more come than there is room for.
+// TestLargeJobsBegin guards against the starvation of large jobs: each accelerator that
+// becomes free goes to a small task, because more small tasks arrive than there is room for.
 func TestLargeJobsBegin(t *testing.T) {
 	gang := newAcceleratorJob("gang", wire.KindGang, 4, 4, 20, 30)
 	whole := newAcceleratorJob("whole", wire.KindArray, 1, 4, 20, 30)
@@ -87,8 +88,8 @@
 	}
 }
 
-// TestBackfill covers what may use a machine that is booked: work that ends in time, and
-// work that finds place beside it.
+// TestBackfill checks that a job may use a reserved machine if it ends before the
+// reservation begins, and not if it ends later.
 func TestBackfill(t *testing.T) {
 	for name, c := range map[string]struct {
 		gpus, estimate Micros
@@ -112,12 +113,13 @@
 		in.Jobs = []*Job{large, backfill}
 		Plan(in)
 		if got := backfill.PlacedCount == 1; got != c.placed || !large.reserved {
-			t.Errorf("%s: placed %v, booked %v", name, got, large.reserved)
+			t.Errorf("%s: placed %v, reserved %v", name, got, large.reserved)
 		}
 	}
 }
 
-// crowded is a full fleet with accelerators, and gangs and arrays that wait.
+// fullFleetInput returns a full fleet of machines with accelerators, and gangs and arrays
+// that wait.
 func fullFleetInput(machines int) *Input {
 	in := &Input{Now: 1000 * clock.Second, MaxReportAge: 60 * clock.Second, Teams: map[string]*Team{"t": {Name: "t"}}, FetchRates: map[string]float64{"g": 0.5},
 		MaxTasksPerMachine: 1000, ImageLocalityWindow: 60 * clock.Second}
@@ -150,8 +152,8 @@
 	return in
 }
 
-// BenchmarkCrowded is a pass with bookings that finds hardly any room, in the usual order
-// and under overload.
+// BenchmarkCrowded measures a pass with reservations that finds hardly any room, outside
+// overload and under it.
 func BenchmarkCrowded(b *testing.B) {
 	for _, n := range []int{900, 1800, 2700} {
 		for _, overloaded := range []bool{false, true} {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -18,11 +18,11 @@
 	return j
 }
 
-// TestOrder covers each level: priority above, urgency from slack, team use,
-// start, rank.
+// TestSortJobs covers each criterion: production priority, urgency by slack, priority, team
+// usage, pipeline start and rank.
 func TestSortJobs(t *testing.T) {
 	prod := newJob("prod", wire.PriorityProduction, 9, 0, 0)
-	urgent := newJob("pressed", wire.PriorityLow, 8, 50, 70) // 20 s of slack
+	urgent := newJob("urgent", wire.PriorityLow, 8, 50, 70) // 20 s of slack
 	normal := newJob("normal", wire.PriorityNormal, 5, 50, 500)
 	older := newJob("older", wire.PriorityLow, 1, 10, 500)
 	longer := newJob("longer", wire.PriorityLow, 2, 90, 500)
@@ -34,7 +34,7 @@
 	want := []*Job{prod, urgent, normal, frugal, older, longer, shorter}
 	for i := range want {
 		if jobs[i] != want[i] {
-			t.Fatalf("place %d: %s, want %s", i, jobs[i].ID, want[i].ID)
+			t.Fatalf("position %d: %s, want %s", i, jobs[i].ID, want[i].ID)
 		}
 	}
 }
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestMakeRoomSparesPressedWork guards against work that starts and stops for
-// ever: found on incident inc-bfbf, where relaxed work of higher priority asked
-// pressed work to leave, whose place the queue gave straight back to it.
+// TestPreemptionSparesUrgentWork guards against tasks that start and stop without end
+// (incident inc-bfbf): a job of higher priority that can wait preempts an urgent one, whose
+// placement goes straight back to it because it is first in the queue.
 func TestPreemptionSparesUrgentWork(t *testing.T) {
 	typ := &wire.MachineType{Name: "m", CPUs: 4, MemoryGB: 8}
 	for _, c := range []struct {
@@ -61,7 +61,7 @@
 		low.Tasks = make([]Task, 1)
 		teams := map[string]*Team{"t": {}}
 		Attach(&Placement{Job: low, Task: "low/0", Machine: m, Need: Resources{CPUs: 4, Memory: 4}, Team: "t", RunningSince: 1}, teams)
-		waiting := newJob("normal", wire.PriorityNormal, 0, 60, 95) // pressed by 35 s of slack
+		waiting := newJob("normal", wire.PriorityNormal, 0, 60, 95) // 35 s of slack make it urgent
 		waiting.Spec.CPUs, waiting.Spec.MemoryGB, waiting.Spec.Tasks = 4, 4, 1
 		waiting.Tasks, waiting.Queue = make([]Task, 1), []int32{0}
 		out := Plan(&Input{Now: 1, MaxReportAge: clock.Second, Jobs: []*Job{low, waiting}, Machines: []*Machine{m},
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -9,8 +9,8 @@
 	"lilacthread/wire"
 )
 
-// bigInput is a deployment of many machines, a third of them full, with
-// services and thousands of waiting tasks.
+// largeInput returns a fleet of the given number of machines, a third of them full, with
+// waiting arrays and services.
 func largeInput(machines, jobs, tasks int) *Input {
 	typ := &wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64, CacheGB: 40, Price: 1, SpotPrice: 0.2}
 	in := &Input{Now: 100 * clock.Second, MaxReportAge: 3 * clock.Second, Teams: map[string]*Team{"t": {}},
@@ -48,24 +48,24 @@
 	return in
 }
 
-// TestPassCost keeps a pass honest at 500 machines by counting work: a job is
-// weighed against a machine at most twice, and once more for each task placed
-// or machine that would have to be cleared; not once for each task.
+// TestPassCost bounds the cost of a pass at 500 machines by its number of evaluations: two
+// for each pair of a job and a machine, and a few more for each task placed. The number must
+// not grow with the tasks of each job.
 func TestPassCost(t *testing.T) {
 	const machines, jobs, tasks = 500, 100, 50
 	in := largeInput(machines, jobs, tasks)
 	out := Plan(in)
 	if limit := 2*machines*jobs + 3*len(out.Launch); out.Evaluations > limit {
-		t.Errorf("weighed %d times, limit %d", out.Evaluations, limit)
+		t.Errorf("%d evaluations, limit %d", out.Evaluations, limit)
 	}
 	if len(out.Launch) < 1000 || len(out.Unplaced) == 0 {
-		t.Errorf("%d launches, %d jobs unplaced: not the case meant", len(out.Launch), len(out.Unplaced))
+		t.Errorf("%d launches, %d jobs unplaced: the input does not exercise the limit", len(out.Launch), len(out.Unplaced))
 	}
 }
 
-// BenchmarkPass grows machines and waiting jobs alike. "room" is bigInput's third
-// full fleet; "full" is the pass after it, which finds hardly any room; "over" is the same
-// under overload, with half of the jobs needed for a floor.
+// BenchmarkPass increases machines and waiting jobs together. "room" is the fleet of
+// largeInput, one third full; "full" is the pass after it, which finds hardly any room;
+// "over" is the same under overload, with half of the jobs needed for a minimum share.
 func BenchmarkPass(b *testing.B) {
 	for _, n := range []int{250, 873, 1310, 1835, 2500, 4000} {
 		for _, kind := range []string{"room", "full", "over"} {
@@ -91,8 +91,9 @@
 	}
 }
 
-// TestImagesFirst: a free place goes to the job whose image is there, unless
-// the job before it has waited much longer; no room stays empty.
+// TestImageLocality checks that free room goes to the job whose image is on the machine,
+// unless the job before it has waited longer by more than the window, and that no room stays
+// unused.
 func TestImageLocality(t *testing.T) {
 	for _, c := range []struct {
 		window Micros
@@ -124,14 +125,15 @@
 			got = append(got, p.Task)
 		}
 		if fmt.Sprint(got) != fmt.Sprint(c.want) {
-			t.Errorf("patience %v, %d rooms: placed %v, want %v", c.window.Seconds(), c.slots, got, c.want)
+			t.Errorf("window %v s, %d slots: placed %v, want %v", c.window.Seconds(), c.slots, got, c.want)
 		}
 	}
 }
 
-// TestChoose covers what decides between two machines.
+// TestChooseMachine covers the criteria for choosing between two machines. The second one is
+// the expected choice.
 func TestChooseMachine(t *testing.T) {
-	warm := func(m *Machine) { m.Images["img"] = 1 }
+	localImage := func(m *Machine) { m.Images["img"] = 1 }
 	spot := func(m *Machine) { m.Spot = true }
 	fuller := func(m *Machine) {
 		task := fmt.Sprint("x/", len(m.Placements))
@@ -142,18 +144,18 @@
 	for name, c := range map[string]struct {
 		first, second func(*Machine)
 		dependsOn     []string
-		spotLifetime  float64 // seconds until the cloud takes a spot machine; 0: never
+		spotLifetime  float64 // mean seconds until the cloud reclaims a spot machine; 0 for never
 		checkpoint    float64
 	}{
-		"warm before cold":                        {plain, warm, nil, 0, 0},
-		"spot before ordinary":                    {plain, spot, nil, 0, 0},
-		"spot before ordinary, losses being rare": {plain, spot, nil, 80, 0},
-		"ordinary before spot, a loss being near": {spot, plain, nil, 70, 0},
-		"spot for what saves, all the same":       {plain, spot, nil, 70, 10},
-		"ordinary before spot in a pipeline":      {spot, plain, []string{"a"}, 0, 0},
-		"fuller before emptier":                   {plain, fuller, nil, 0, 0},
-		"sound before failing":                    {failing, plain, nil, 0, 0},
-		"room before none, though warm":           {func(m *Machine) { warm(m); fuller(m); fuller(m) }, plain, nil, 0, 0},
+		"local image before fetch":                    {plain, localImage, nil, 0, 0},
+		"spot before ordinary":                        {plain, spot, nil, 0, 0},
+		"spot before ordinary if losses are rare":     {plain, spot, nil, 80, 0},
+		"ordinary before spot if losses are frequent": {spot, plain, nil, 70, 0},
+		"spot for checkpointed work in any case":      {plain, spot, nil, 70, 10},
+		"ordinary before spot in a pipeline":          {spot, plain, []string{"a"}, 0, 0},
+		"fuller before emptier":                       {plain, fuller, nil, 0, 0},
+		"healthy before failing":                      {failing, plain, nil, 0, 0},
+		"free before full with a local image":         {func(m *Machine) { localImage(m); fuller(m); fuller(m) }, plain, nil, 0, 0},
 	} {
 		in := largeInput(0, 0, 0)
 		typ := &wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64}
