--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -340,10 +340,11 @@
 // capacity of the machines. In the order of SortJobs, a burst of jobs would block all work
 // of lower levels until it is over. Overdue jobs therefore go first, and then the jobs that
 // their account needs to reach its minimum share: those that have begun before others, and
-// accounts with the lowest served share first. The other jobs are ordered by feasibility,
-// urgency and priority, and then by the least remaining work: a job is of use only when its
-// last task is done, so many partly completed jobs serve nobody. The final round uses any
-// room that is left, so that no capacity stays idle because of the shares.
+// then by the lowest served share of the account without them. The other jobs are ordered
+// by feasibility, urgency and priority; among equals, jobs that have begun and then those
+// with the least remaining work go first. A job is of use only when its last task is done,
+// so many partly completed jobs serve nobody. The final round uses any room that is left,
+// so that no capacity stays idle because of the shares.
 func (p *pass) placeUnderOverload(jobs []*Job) {
 	work := make(map[*Job]float64, len(jobs))
 	for _, j := range jobs {
@@ -375,7 +376,8 @@
 func (j *Job) hasBegun() bool { return j.PlacedCount+j.DoneCount > 0 }
 
 // discountedWork returns the job's remaining work in CPU-seconds, reduced in proportion to
-// the time that the job has waited. The reduction keeps large jobs from starving.
+// the time that the job has waited, down to zero. The reduction keeps large jobs from
+// starving.
 func (j *Job) discountedWork(now Micros) float64 {
 	work := j.RemainingWork()
 	if latestTarget := j.latestTarget(); latestTarget > j.ReadyAt {
--- a/internal/sched/reservation.go
+++ b/internal/sched/reservation.go
@@ -40,8 +40,8 @@
 
 const (
 	// reserveAfter is how long a job that is not urgent waits before it reserves room. It
-	// lets the largest jobs of a class begin within a few minutes under any load of small
-	// ones.
+	// is short enough for the largest jobs of a class to begin within a few minutes, however
+	// many small ones there are.
 	reserveAfter = 60 * clock.Second
 	// maxReservedTasks and maxReservedTasksPerJob bound the tasks with reservations in one
 	// pass and per job: far more than a fleet frees between two passes, and few enough to
@@ -49,11 +49,11 @@
 	maxReservedTasks       = 128
 	maxReservedTasksPerJob = 64
 	// maxDeferral is how long a job leaves reserved room unused for jobs before it. No job
-	// may wait 90 s while a machine has room for it, and a reservation may have to wait for
-	// hours of work on other machines (scenario gang_books_room).
+	// may wait 90 s while a machine has room for it, but a gang may have to wait for hours of
+	// work on its other machines before it uses a reserved one (scenario gang_books_room).
 	maxDeferral = 75 * clock.Second
-	// maxDeferralGap is the longest time without finding reserved room after which the same
-	// deferral continues; after a longer gap a new one begins.
+	// maxDeferralGap is how long a job may find no reserved room before its next deferral
+	// counts as a new one.
 	maxDeferralGap = 10 * clock.Second
 	// maxReservedArrayTasks bounds the tasks of an array with reservations at a time. They
 	// need not begin together.
@@ -93,7 +93,7 @@
 	}
 }
 
-// cancelReservations removes the job's reservations when it is placed.
+// cancelReservations removes the job's reservations so that it can be placed.
 func (p *pass) cancelReservations(j *Job) {
 	if !j.reserved {
 		return
