--- a/internal/sched/dominant_test.go
+++ b/internal/sched/dominant_test.go
@@ -9,9 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestWithoutAccelerators: on machines without accelerators all sums are CPUs, and where
-// tasks take as much of the accelerators as of the CPUs, a pass decides the same as if there
-// were none. Counted otherwise, the earlier platforms would be served differently.
+// TestWithoutAccelerators checks that sizes on machines without accelerators equal the CPUs,
+// and that a pass decides the same on machines with accelerators if tasks take equal shares
+// of accelerators and CPUs. Otherwise accounting by the dominant resource would change the
+// scheduling of platforms without accelerators.
 func TestWithoutAccelerators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain := wire.MachineType{Name: "g", CPUs: 16, MemoryGB: 1000, CacheGB: 100, Zones: []string{"a"}}
@@ -20,7 +21,7 @@
 			t.Fatalf("%v counts as %v, room as %v", n, n.DominantCPUs(&plain), n.RemainingCPUs(&plain))
 		}
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 8), 1, 12).Draw(t, "sizes")
-		place := func(gpus float64) []string {
+		placements := func(gpus float64) []string {
 			typ := plain
 			typ.GPUs = gpus
 			in := &Input{Now: 1, MaxReportAge: 10, Teams: map[string]*Team{"t": {Name: "t"}}, FetchRates: map[string]float64{"g": 1}, MaxTasksPerMachine: 100,
@@ -48,7 +49,7 @@
 			}
 			return out
 		}
-		if without, with := place(0), place(4); !slices.Equal(without, with) {
+		if without, with := placements(0), placements(4); !slices.Equal(without, with) {
 			t.Fatalf("without accelerators %v, with %v", without, with)
 		}
 	})
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -9,9 +9,9 @@
 	"lilacthread/wire"
 )
 
-// bigInput is a deployment of many machines, a third of them full, with
-// services and thousands of waiting tasks.
-func bigInput(machines, jobs, tasks int) *Input {
+// largeInput returns a fleet of the given number of machines, a third of them full, with
+// waiting arrays and services.
+func largeInput(machines, jobs, tasks int) *Input {
 	typ := &wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64, CacheGB: 40, Price: 1, SpotPrice: 0.2}
 	in := &Input{Now: 100 * clock.Second, MaxReportAge: 3 * clock.Second, Teams: map[string]*Team{"t": {}},
 		FetchRates: map[string]float64{"m": 0.3}, MaxTasksPerMachine: 100, ImageLocalityWindow: clock.Forever}
@@ -48,34 +48,34 @@
 	return in
 }
 
-// TestPassCost keeps a pass honest at 500 machines by counting work: a job is
-// weighed against a machine at most twice, and once more for each task placed
-// or machine that would have to be cleared; not once for each task.
+// TestPassCost bounds the cost of a pass at 500 machines by its number of evaluations: two
+// for each pair of a job and a machine, and a few more for each task placed. The number must
+// not grow with the tasks of each job.
 func TestPassCost(t *testing.T) {
 	const machines, jobs, tasks = 500, 100, 50
-	in := bigInput(machines, jobs, tasks)
+	in := largeInput(machines, jobs, tasks)
 	out := Plan(in)
 	if limit := 2*machines*jobs + 3*len(out.Launch); out.Evaluations > limit {
-		t.Errorf("weighed %d times, limit %d", out.Evaluations, limit)
+		t.Errorf("%d evaluations, limit %d", out.Evaluations, limit)
 	}
 	if len(out.Launch) < 1000 || len(out.Unplaced) == 0 {
-		t.Errorf("%d launches, %d jobs unplaced: not the case meant", len(out.Launch), len(out.Unplaced))
+		t.Errorf("%d launches, %d jobs unplaced: the input does not exercise the limit", len(out.Launch), len(out.Unplaced))
 	}
 }
 
-// BenchmarkPass grows machines and waiting jobs alike. "room" is bigInput's third
-// full fleet; "full" is the pass after it, which finds hardly any room; "over" is the same
-// under overload, with half of the jobs needed for a floor.
+// BenchmarkPass increases machines and waiting jobs together. "room" is the fleet of
+// largeInput, one third full; "full" is the pass after it, which finds hardly any room;
+// "over" is the same under overload, with half of the jobs needed for a minimum share.
 func BenchmarkPass(b *testing.B) {
 	for _, n := range []int{250, 873, 1310, 1835, 2500, 4000} {
 		for _, kind := range []string{"room", "full", "over"} {
 			b.Run(fmt.Sprintf("%d-%s", n, kind), func(b *testing.B) {
 				for b.Loop() {
 					b.StopTimer()
-					in := bigInput(n, n/5, 50)
+					in := largeInput(n, n/5, 50)
 					if kind == "over" {
-						due := &FairShare{Share: 1e9}
-						in.FairShare = func(*Job) *FairShare { return due }
+						fairShare := &FairShare{Share: 1e9}
+						in.FairShare = func(*Job) *FairShare { return fairShare }
 						for i, j := range in.Jobs {
 							j.MinShareStatus = admit.MinShareStatus{Needed: i%2 == 0, ServedShare: float64(i) / float64(len(in.Jobs))}
 						}
@@ -91,26 +91,27 @@
 	}
 }
 
-// TestImagesFirst: a free place goes to the job whose image is there, unless
-// the job before it has waited much longer; no room stays empty.
-func TestImagesFirst(t *testing.T) {
+// TestImageLocality checks that free room goes to the job whose image is on the machine,
+// unless the job before it has waited longer by more than the window, and that no room stays
+// unused.
+func TestImageLocality(t *testing.T) {
 	for _, c := range []struct {
-		patience Micros
-		rooms    int
-		want     []string
+		window Micros
+		slots  int
+		want   []string
 	}{
 		{30 * clock.Second, 1, []string{"younger/0"}},
 		{5 * clock.Second, 1, []string{"older/0"}},
 		{30 * clock.Second, 2, []string{"younger/0", "older/0"}},
 	} {
-		in := bigInput(1, 0, 0)
+		in := largeInput(1, 0, 0)
 		m := in.Machines[0]
 		for _, p := range m.Placements {
 			Detach(p, in.Teams)
 		}
 		m.Images["warm"] = 1
-		m.Type.CPUs = 4 * float64(c.rooms)
-		in.ImageLocalityWindow = c.patience
+		m.Type.CPUs = 4 * float64(c.slots)
+		in.ImageLocalityWindow = c.window
 		for i, id := range []string{"older", "younger"} {
 			j := newJob(id, wire.PriorityLow, Micros(10+20*i), 50, 0)
 			j.Spec.CPUs, j.Spec.Tasks, j.Spec.ImageGB, j.Spec.Spot = 4, 1, 2, true
@@ -124,14 +125,15 @@
 			got = append(got, p.Task)
 		}
 		if fmt.Sprint(got) != fmt.Sprint(c.want) {
-			t.Errorf("patience %v, %d rooms: placed %v, want %v", c.patience.Seconds(), c.rooms, got, c.want)
+			t.Errorf("window %v s, %d slots: placed %v, want %v", c.window.Seconds(), c.slots, got, c.want)
 		}
 	}
 }
 
-// TestChoose covers what decides between two machines.
-func TestChoose(t *testing.T) {
-	warm := func(m *Machine) { m.Images["img"] = 1 }
+// TestChooseMachine covers the criteria for choosing between two machines. The second one is
+// the expected choice.
+func TestChooseMachine(t *testing.T) {
+	localImage := func(m *Machine) { m.Images["img"] = 1 }
 	spot := func(m *Machine) { m.Spot = true }
 	fuller := func(m *Machine) {
 		task := fmt.Sprint("x/", len(m.Placements))
@@ -141,21 +143,21 @@
 	plain := func(*Machine) {}
 	for name, c := range map[string]struct {
 		first, second func(*Machine)
-		awaits        []string
-		lives         float64 // seconds until the cloud takes a spot machine; 0: never
+		dependsOn     []string
+		spotLifetime  float64 // mean seconds until the cloud reclaims a spot machine; 0 for never
 		checkpoint    float64
 	}{
-		"warm before cold":                        {plain, warm, nil, 0, 0},
-		"spot before ordinary":                    {plain, spot, nil, 0, 0},
-		"spot before ordinary, losses being rare": {plain, spot, nil, 80, 0},
-		"ordinary before spot, a loss being near": {spot, plain, nil, 70, 0},
-		"spot for what saves, all the same":       {plain, spot, nil, 70, 10},
-		"ordinary before spot in a pipeline":      {spot, plain, []string{"a"}, 0, 0},
-		"fuller before emptier":                   {plain, fuller, nil, 0, 0},
-		"sound before failing":                    {failing, plain, nil, 0, 0},
-		"room before none, though warm":           {func(m *Machine) { warm(m); fuller(m); fuller(m) }, plain, nil, 0, 0},
+		"local image before fetch":                    {plain, localImage, nil, 0, 0},
+		"spot before ordinary":                        {plain, spot, nil, 0, 0},
+		"spot before ordinary if losses are rare":     {plain, spot, nil, 80, 0},
+		"ordinary before spot if losses are frequent": {spot, plain, nil, 70, 0},
+		"spot for checkpointed work in any case":      {plain, spot, nil, 70, 10},
+		"ordinary before spot in a pipeline":          {spot, plain, []string{"a"}, 0, 0},
+		"fuller before emptier":                       {plain, fuller, nil, 0, 0},
+		"healthy before failing":                      {failing, plain, nil, 0, 0},
+		"free before full with a local image":         {func(m *Machine) { localImage(m); fuller(m); fuller(m) }, plain, nil, 0, 0},
 	} {
-		in := bigInput(0, 0, 0)
+		in := largeInput(0, 0, 0)
 		typ := &wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64}
 		for i, set := range []func(*Machine){c.first, c.second} {
 			m := &Machine{ID: fmt.Sprint("m-", i), Type: typ, Zone: "a", Up: true, Acked: true, LastReportAt: in.Now,
@@ -165,10 +167,10 @@
 		}
 		j := newJob("j", wire.PriorityNormal, 10, 50, 0)
 		j.Spec.CPUs, j.Spec.Tasks, j.Spec.Image, j.Spec.ImageGB, j.Spec.Spot = 4, 1, "img", 2, true
-		j.Tasks, j.Queue, j.Spec.DependsOn = make([]Task, 1), []int32{0}, c.awaits
+		j.Tasks, j.Queue, j.Spec.DependsOn = make([]Task, 1), []int32{0}, c.dependsOn
 		j.Spec.CheckpointInterval = c.checkpoint
-		if c.lives > 0 {
-			in.SpotLossRate = 1 / c.lives
+		if c.spotLifetime > 0 {
+			in.SpotLossRate = 1 / c.spotLifetime
 		}
 		in.Jobs = []*Job{j}
 		out := Plan(in)
