--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -175,7 +175,7 @@
 	c := &Core{env: env, cfg: cfg, policy: pol, acceptedJobs: map[string]bool{}, levelsReadAt: -clock.Forever,
 		format: formatState{maxLevel: speaks, level: LevelPlacements, peerMaxLevels: map[string]int{}},
 		peers:  map[string]*peerInfo{}, reportingWorkers: map[string]*reportingWorker{}, accountIndex: newAccountIndex(cfg)}
-	c.served = c.newServed()
+	c.served = c.newObjectiveTracker()
 	c.allowance = admit.NewAllowance(c.accountIndex, c.submitLimits())
 	c.submissions.queue = admit.NewQueue[*submission](c.accountIndex.Len(),
 		admit.Bounds{Count: cfg.MaxQueuedSubmissions(), Bytes: int(cfg.Params.Resources.MemoryMB * (1 << 20) / submissionMemoryDivisor)})
