--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -13,16 +13,17 @@
 	"lilacthread/wire"
 )
 
-// Pipelines: a job waits until every job that it awaits is done, which counts
-// only once it is committed; whatever is unknown, unread or open keeps it
-// waiting. A cancellation goes down to all that need the job.
+// Pipelines: a job waits until the completion of every job it depends on is committed.
+// A dependency that is unknown, not read yet or unfinished keeps the job waiting. The
+// cancellation of a job cancels all its dependents.
 
-// link finds out what a job still waits for.
+// linkDependencies determines which dependencies of a job are still unmet. The job
+// becomes ready if there are none, and is cancelled if one of them was cancelled.
 func (c *Core) linkDependencies(j *sched.Job) {
 	if !j.Active() {
 		return
 	}
-	if !j.HasUnmetDependencies() { // awaits nothing
+	if !j.HasUnmetDependencies() { // no dependencies at all
 		c.queuePendingTasks(j)
 		c.recordArrival(j)
 		return
@@ -66,7 +67,7 @@
 	}
 }
 
-// overAt is when a job ended, or now if nobody noted that.
+// endTimeOrNow returns the time at which a job ended, or now if it was not recorded.
 func (c *Core) endTimeOrNow(endedAt Micros) Micros {
 	if endedAt == 0 {
 		return c.env.Now()
@@ -74,7 +75,7 @@
 	return endedAt
 }
 
-// becomeReady lets a job start: all that it awaits is done.
+// becomeReady allows a job to start because all its dependencies are done.
 func (c *Core) becomeReady(j *sched.Job, readyAt Micros) {
 	slog.Debug("ready", "job", j.ID, "after", (readyAt - j.Submitted).Seconds())
 	c.setReady(j, readyAt)
@@ -87,8 +88,8 @@
 	c.requestSchedulingPass()
 }
 
-// over is told that a job's end is committed: what needs it is ready, or
-// cancelled with it.
+// resolveDependents handles the committed end of a job: dependents without further unmet
+// dependencies become ready, or, if the job was cancelled, are cancelled too.
 func (c *Core) resolveDependents(j *sched.Job) {
 	if j.CommittedPhase == wire.PhaseCancelled {
 		for _, dependency := range sched.RemoveDependencies(j) {
@@ -98,7 +99,7 @@
 	for _, dependent := range slices.Clone(j.DirectDependents) {
 		switch {
 		case !dependent.Active() || !dependent.HasUnmetDependencies():
-		case j.CommittedPhase == wire.PhaseCancelled: // it came after the cascade was begun
+		case j.CommittedPhase == wire.PhaseCancelled: // submitted after the cascade had begun
 			c.cancelWithDependents(dependent, nil)
 		default:
 			if dependent.UnmetDependencies--; dependent.UnmetDependencies == 0 {
@@ -108,10 +109,10 @@
 	}
 }
 
-// cancelWith cancels a job, unless it is over, and all that need it. The jobs
-// are queued in the order of the pipeline, and the committer keeps that: nothing
-// is called cancelled before what it needs is. then runs when all of it is
-// committed.
+// cancelWithDependents cancels a job, unless it has ended, and all its dependents. The
+// jobs are queued in the order of the pipeline, which the committer keeps: no job is
+// reported as cancelled before its dependencies are. onCommitted, if not nil, runs once
+// all cancellations are committed.
 func (c *Core) cancelWithDependents(j *sched.Job, onCommitted func()) {
 	pending := 1
 	committed := func() {
@@ -135,21 +136,23 @@
 	committed()
 }
 
-// A job that awaits others must not be called queued for longer than cancel_s after a user was
-// told that one of them is cancelled. Its own cancellation is committed within a second or so,
-// unless nothing can be for that long: the job was accepted as the need was cancelled, and then
-// the state service was out. Before the outage is over for the job's record, nobody knows by
-// that alone (chaos with pairs, seed 1235; scenario dependent_submitted_before_outage). So of a job that
-// was accepted a while ago nothing is said while that may be so.
+// A job with dependencies must not be reported as queued for longer than cancel_s after a user
+// was notified that one of them is cancelled. Its own cancellation is normally committed within
+// about a second. It takes longer if nothing can be committed: the job was accepted while the
+// dependency was being cancelled, and then the state service became unavailable. The job's record
+// alone does not show this, even when it can be read again (chaos with pairs, seed 1235; scenario
+// dependent_submitted_before_outage). As long as a job that was accepted a while ago may be
+// affected, queries for its status are answered with unavailable.
 
-// old reports whether something happened so long ago that a cancellation told of before it
-// may be due soon.
+// cancellationMayBeDue reports whether more than half of cancel_s has passed since the given
+// time: if a user was notified of a cancellation before it, the cancellation of dependents may
+// have to be visible soon.
 func (c *Core) cancellationMayBeDue(at Micros) bool {
 	return c.env.Now()-at > clock.FromSeconds(c.cfg.Params.Workers.Cancel)/2
 }
 
-// uncertain reports whether a job may be cancelled with what it needs, though that is not
-// committed: its cancellation is under way, or something that it needs was not read yet.
+// mayBeCancelled reports whether a job may be cancelled along with a dependency although that is
+// not committed: its cancellation is in progress, or a dependency has not been read yet.
 func (c *Core) mayBeCancelled(j *sched.Job) bool {
 	if len(j.Spec.DependsOn) == 0 || j.CommittedPhase != "" {
 		return false
@@ -166,11 +169,11 @@
 	})
 }
 
-// needsRead is how many needs of a job are looked up for a query.
+// maxDependencyLookups is the number of dependencies up to which a query looks them up.
 const maxDependencyLookups = 8
 
-// unlessDoomed answers from the record of a job that has not begun, unless something that it
-// awaits is found cancelled, or can't be found out.
+// answerUnlessCancelled gives the answer for a job that has not started, based on its record,
+// unless a dependency is cancelled or its state cannot be determined.
 func (c *Core) answerUnlessCancelled(record []byte, answer Answer, reply func(Answer)) {
 	var rec jobRecord
 	switch err := msgpack.Unmarshal(record, &rec); {
@@ -194,10 +197,11 @@
 	}
 }
 
-// needRetry is the pause before a need that could not be read is read again.
+// dependencyRetryDelay is the time after which a failed read of a dependency is retried.
 const dependencyRetryDelay = 500 * clock.Millisecond
 
-// readNeed reads the final state of a job that is not in memory.
+// readDependency reads the final record of a dependency of j that is not in memory. Jobs
+// that wait for the same record share one read.
 func (c *Core) readDependency(id string, j *sched.Job) {
 	if waiting, reading := c.finalReadWaiters[id]; reading {
 		c.finalReadWaiters[id] = append(waiting, j)
@@ -207,6 +211,8 @@
 	c.tryReadDependency(id)
 }
 
+// tryReadDependency reads a final record, retrying until that succeeds or the job is in
+// memory, and then links the jobs that wait for it.
 func (c *Core) tryReadDependency(id string) {
 	retry := func() { c.env.After(dependencyRetryDelay, c.whileInTerm(func() { c.tryReadDependency(id) })) }
 	if c.jobs[id] == nil && !c.readBudget.Allow(stdTime(c.env.Now()), admit.DependencyReads) {
@@ -220,7 +226,7 @@
 		}
 		if final == nil && c.jobs[id] == nil {
 			if absent {
-				slog.Error("an awaited job is not to be found", "job", id)
+				slog.Error("dependency has neither a job record nor a final record", "job", id)
 			}
 			retry()
 			return
@@ -239,8 +245,8 @@
 	})
 }
 
-// readFinal reads a job's final record: nil if there is none or it can't be
-// read, and whether it is surely absent.
+// readFinalRecord reads a job's final record. It passes nil to done if there is none or
+// it cannot be read; absent tells that there is certainly none.
 func (c *Core) readFinalRecord(id string, done func(f *finalRecord, absent bool)) {
 	c.env.State().Get(finalPrefix+id, func(o store.Outcome, it *wire.Item) {
 		final := new(finalRecord)
@@ -252,17 +258,17 @@
 	})
 }
 
-// verdict is what is known of the jobs that a submission awaits.
+// dependencyResult is the result of checking the dependencies of a submission.
 type dependencyResult struct {
-	rejectReason string // the submission can't be accepted
-	incomplete   bool   // not all could be read
+	rejectReason string // why the submission cannot be accepted, or ""
+	incomplete   bool   // some dependencies could not be read
 }
 
-// maxAccepted bounds how many accepted jobs are remembered.
+// maxAcceptedJobs bounds the number of remembered accepted jobs.
 const maxAcceptedJobs = 50_000
 
-// noteAccepted remembers that a job that others may await was accepted, which
-// never ends.
+// rememberAccepted remembers that a job on which others may depend was accepted. That
+// never changes, so an entry is never outdated.
 func (c *Core) rememberAccepted(id string) {
 	if len(c.acceptedJobs) >= maxAcceptedJobs {
 		clear(c.acceptedJobs)
@@ -270,7 +276,8 @@
 	c.acceptedJobs[id] = true
 }
 
-// judge finds out whether all that a submission awaits was accepted.
+// checkDependencies checks that all dependencies of a submission are accepted jobs that
+// are not services.
 func (c *Core) checkDependencies(job *wire.Job, done func(dependencyResult)) {
 	var result dependencyResult
 	pending := 1
@@ -300,7 +307,7 @@
 		}
 		if !c.stateOK() || !c.readBudget.Allow(stdTime(c.env.Now()), admit.DependencyReads) {
 			result.incomplete = true
-			break // the rest would be asked for in vain; what was read is remembered
+			break // further reads would fail as well; accepted jobs found so far are remembered
 		}
 		pending++
 		c.readAccepted(id, func(accepted, service, known bool) {
@@ -320,8 +327,9 @@
 	finish()
 }
 
-// readAccepted reads whether a job was accepted: its record first and its final
-// one second, the order in which archiving moves it.
+// readAccepted reads whether a job was accepted: first its record, then its final record.
+// Archiving moves a job in the same direction, so it cannot be missed. known is false if
+// the state service gave no usable answer.
 func (c *Core) readAccepted(id string, done func(accepted, service, known bool)) {
 	c.env.State().Get(jobPrefix+id, func(o store.Outcome, it *wire.Item) {
 		switch o {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -15,28 +15,30 @@
 	"lilacthread/wire/fb"
 )
 
-// unavailable is the answer of a node that cannot know or do what was asked.
+// unavailable is the answer of a node that can neither determine nor do what was requested.
 var unavailable = Answer{Code: 503, RetryAfter: 1}
 
-// intake gathers submissions, so that one transaction creates several jobs.
+// submissionBatcher queues submissions so that one transaction creates several jobs.
 type submissionBatcher struct {
 	queue *admit.Queue[*submission]
 	busy  bool
 }
 
+// submission is a job that waits to be written to the state service.
 type submission struct {
 	job        *wire.Job
 	account    int
 	receivedAt Micros
-	changes    []wire.Change // its record first
+	changes    []wire.Change // the job's record first
 	reply      func(Answer)
 }
 
-// intakeMemory is the part of the process's memory that the records of waiting
-// submissions may take.
+// submissionMemoryDivisor limits the records of queued submissions to this fraction
+// (1/50) of the process's memory limit.
 const submissionMemoryDivisor = 50
 
-// Submit takes a job from a user.
+// Submit handles a job submitted by a user. A job that can never run is rejected;
+// a node that does not reach the state service forwards the job to a peer that does.
 func (c *Core) Submit(job *wire.Job, reply func(Answer)) {
 	if c.catalog != nil {
 		if reason := c.unrunnableReason(job); reason != "" {
@@ -55,13 +57,14 @@
 	c.submitLocally(job, true, reply)
 }
 
-// Malformed takes a submission that lacks a field or has one that is not valid.
+// RejectMalformed answers a submission in which a field is missing or invalid.
 func (c *Core) RejectMalformed(id, reason string, reply func(Answer)) {
 	c.refuseNew(id, Answer{Code: 400, Status: wire.JobStatus{ID: reason}}, reply)
 }
 
-// refuseNew refuses a job for good unless it is known: one that was accepted stays accepted,
-// whatever the submission, the settings, its awaits and the limits of the state service say now.
+// refuseNew rejects a job permanently unless it exists. An accepted job stays accepted even if
+// its submission would be rejected now because of changed settings, dependencies or limits of
+// the state service; the answer is then the job's status.
 func (c *Core) refuseNew(id string, refusal Answer, reply func(Answer)) {
 	c.Status(id, func(a Answer) {
 		if a.Code == 404 {
@@ -71,10 +74,10 @@
 	})
 }
 
-// submitElsewhere hands a submission to a peer that reaches the state service,
-// which this node does not.
+// submitToAnyPeer forwards a submission to a peer that reaches the state service,
+// because this node does not reach it.
 func (c *Core) submitToAnyPeer(job *wire.Job, reply func(Answer)) {
-	for _, peer := range c.cfg.Peers { // in the same order each time
+	for _, peer := range c.cfg.Peers { // the configured order, which is always the same
 		if p := c.peers[peer.Name]; p.stateOK && c.env.Now()-p.lastMessageAt < 3*clock.Second {
 			c.submitToPeer(peer.Name, job, reply)
 			return
@@ -83,13 +86,15 @@
 	reply(unavailable)
 }
 
-// submitTo hands a submission to a peer.
+// submitToPeer forwards a submission to a peer.
 func (c *Core) submitToPeer(node string, job *wire.Job, reply func(Answer)) {
 	m := c.newMessage(fb.KindSubmit)
 	m.Body = wire.Encode(job)
 	c.env.Call(node, m, 2*clock.Second, func(r *peer.Msg) { reply(answerFromMessage(r)) })
 }
 
+// answerFromMessage converts a peer's reply to an answer to the user. A missing reply
+// or one with an invalid code gives unavailable.
 func answerFromMessage(message *peer.Msg) Answer {
 	if message == nil || message.Code < 200 || message.Code > 599 {
 		return unavailable
@@ -101,7 +106,8 @@
 	return a
 }
 
-// submitHere takes a submission at this node, or at the leader if it may be passed on.
+// submitLocally accepts a submission at this node once its dependencies are checked.
+// With mayForward, the submission may go to the leader instead of the local queue.
 func (c *Core) submitLocally(job *wire.Job, mayForward bool, reply func(Answer)) {
 	if c.elector.Leading() && c.loaded {
 		if _, known := c.jobs[job.ID]; known {
@@ -126,7 +132,8 @@
 	})
 }
 
-// enqueue lets a submission wait for the next transaction, or says when to come back.
+// enqueue queues a submission for the next transaction, forwards it to the leader, or
+// refuses it with a time after which to retry.
 func (c *Core) enqueue(job *wire.Job, mayForward bool, reply func(Answer)) {
 	now, account := c.env.Now(), c.accountNumber(job)
 	tableWait, queueWait := c.tableRetryAfter(job, account, now), c.localWait(job, account, now)
@@ -147,7 +154,7 @@
 	c.commitSubmissions()
 }
 
-// await enters a submission into the queue.
+// queueSubmission appends a submission to the queue.
 func (c *Core) queueSubmission(s *submission) {
 	bytes := 0
 	for _, ch := range s.changes {
@@ -156,12 +163,14 @@
 	c.submissions.queue.Push(s.account, c.submissionRank(s.job), len(s.changes), bytes, s.receivedAt, s)
 }
 
+// awaitsKey returns the key of a record that holds some of a job's dependencies.
 func awaitsKey(job string, part int) string {
 	return fmt.Sprintf("%s%s%s%04d", jobPrefix, job, awaitsSuffix, part)
 }
 
-// jobChanges renders the record of a job; what its awaits don't fit in beside it
-// goes into keys of its own, written in the same transaction.
+// jobChanges returns the changes that create a job, its record first. Dependencies that
+// do not fit in the record go to keys of their own, written in the same transaction.
+// If the job exceeds the limits of the state service, the reason is returned instead.
 func (c *Core) jobChanges(job *wire.Job) ([]wire.Change, string) {
 	limits := c.stateLimits()
 	limit := limits.ValueBytes()
@@ -172,7 +181,7 @@
 		rec.Job.DependsOn, rec.Parts = nil, 1
 		value = wire.Encode(&rec)
 		if wire.JSONSize(value) > limit-16 {
-			return nil, fmt.Sprintf("too large: a job's record may take %d bytes beside its awaits", limit-16)
+			return nil, fmt.Sprintf("too large: a job's record without its awaits may take %d bytes", limit-16)
 		}
 		var part awaitsRecord
 		size := 0
@@ -194,12 +203,12 @@
 	}
 	changes[0].Value = value
 	if size := changesSize(changes) + txnOverhead; len(changes) > limits.TxnOps || size > wire.MaxBody {
-		return nil, fmt.Sprintf("awaits: too long, a job may take %d records of %d bytes and %d in all", limits.TxnOps, limit, wire.MaxBody-txnOverhead)
+		return nil, fmt.Sprintf("awaits: too long, a job may take %d records of %d bytes each and %d bytes in all", limits.TxnOps, limit, wire.MaxBody-txnOverhead)
 	}
 	return changes, ""
 }
 
-// impossible says why a job can never run, or "".
+// unrunnableReason returns why a job can never run, or "" if it can.
 func (c *Core) unrunnableReason(job *wire.Job) string {
 	team := sched.Team{}
 	known := false
@@ -233,8 +242,8 @@
 	return ""
 }
 
-// takeIn creates the waiting jobs in one transaction. A job that exists
-// already, under way or over, makes its guard fail and gets its state instead.
+// commitSubmissions creates queued jobs in one transaction. If a job exists already,
+// unfinished or finished, its guard fails and its status is the answer instead.
 func (c *Core) commitSubmissions() {
 	c.writeBudget.SetWaiting(admit.SubmissionWrites, c.submissions.queue.Len() > 0)
 	if c.submissions.busy || c.submissions.queue.Len() == 0 {
@@ -242,7 +251,7 @@
 	}
 	now := c.env.Now()
 	at := stdTime(now)
-	// A submission of more changes than the budget ever holds goes when that is full.
+	// A submission with more changes than the budget's burst is sent once the budget is full.
 	need := min(c.submissions.queue.HeadCost(), c.writeBudget.Burst())
 	tokens := int(c.writeBudget.Available(at, admit.SubmissionWrites))
 	if tokens < need && c.writeBudget.Remaining(at) < float64(c.writeBudget.Burst()) {
@@ -262,14 +271,14 @@
 		switch o {
 		case store.OK:
 			c.lastStateContact = c.env.Now()
-			// In this term only this node can have ended them since, and would know.
+			// In an unchanged term, only this leader can have ended the jobs since, and it would know.
 			c.answerCreated(batch, leading && c.elector.Leading() && c.term == term && c.loaded)
 		case store.Failed:
 			c.handleFailedGuards(batch, a.FailedGuards)
 		case store.Invalid:
 			c.resubmit(batch, txn.Then)
 		default:
-			// Perhaps created, perhaps not: the user asks again and finds out.
+			// The jobs may or may not have been created: a retry by the user settles it.
 			for _, s := range batch {
 				s.reply(unavailable)
 			}
@@ -278,14 +287,15 @@
 	})
 }
 
-// collect takes submissions out of the queue for one transaction of at most so many changes.
+// collectSubmissions removes submissions from the queue for one transaction of at most
+// maxChanges changes; the first submission may exceed that.
 func (c *Core) collectSubmissions(maxChanges int) ([]*submission, *wire.Txn) {
 	txn := &wire.Txn{}
 	var batch []*submission
 	seen := map[string]bool{}
 	bytes := txnOverhead
 	fits := func(s *submission) bool {
-		bytes += changesSize(s.changes) + 4*changeOverhead // with its guards
+		bytes += changesSize(s.changes) + 4*changeOverhead // the overhead covers the guards
 		return (len(batch) == 0 || bytes <= wire.MaxBody) && !seen[s.job.ID]
 	}
 	for {
@@ -300,7 +310,8 @@
 	}
 }
 
-// created answers submissions whose jobs were written; add: this leader takes them up.
+// answerCreated answers submissions whose jobs were written. With addJobs, this node is
+// the leader and adds the jobs to memory.
 func (c *Core) answerCreated(batch []*submission, addJobs bool) {
 	for _, s := range batch {
 		if s.job.Kind != wire.KindService {
@@ -315,7 +326,8 @@
 	}
 }
 
-// notCreated deals with submissions of which some are known: those keys exist.
+// handleFailedGuards handles a transaction that failed because some of its jobs exist:
+// those are answered with their status, the others are queued again.
 func (c *Core) handleFailedGuards(batch []*submission, failedKeys []string) {
 	known := map[string]bool{}
 	for _, key := range failedKeys {
@@ -326,7 +338,7 @@
 		case known[s.job.ID]:
 			c.recordSubmission(s, true)
 			c.Status(s.job.ID, func(a Answer) {
-				if a.Code == 404 { // cannot be: its record exists
+				if a.Code == 404 { // contradicts the failed guard: the job's record exists
 					a = unavailable
 				}
 				s.reply(a)
@@ -339,7 +351,7 @@
 	}
 }
 
-// addSubmitted enters a job that this node, the leader, has just created.
+// addSubmitted adds a job to memory that this node, the leader, has just created.
 func (c *Core) addSubmitted(s *submission) {
 	items := make([]wire.Item, 0, len(s.changes))
 	for _, ch := range s.changes {
@@ -348,9 +360,10 @@
 	c.addJobRecords(items, nil)
 }
 
-// resubmit deals with submissions that the state service called invalid. If that
-// shows that its limits are lower now, they are rendered again under those;
-// otherwise one of them is at fault, and all are asked to come again one by one.
+// resubmit handles submissions that the state service rejected as invalid. If the
+// rejection shows that the limits of the state service are lower now, the changes are
+// rendered again within these limits and queued. Otherwise one of the submissions is
+// invalid, and all users are told to retry, so that the submissions come one by one.
 func (c *Core) resubmit(batch []*submission, changes []wire.Change) {
 	if !c.raiseLevelOnSizeRefusal(changes) {
 		for _, s := range batch {
@@ -369,9 +382,9 @@
 	}
 }
 
-// Status answers a user's query: from memory on the leader, otherwise from the
-// leader, otherwise from the state service, which holds every state that a
-// user was ever told.
+// Status answers a user's query for a job. The leader answers from memory; any other
+// node asks the leader and, if that fails, reads the state service, which holds every
+// state that was ever sent to a user.
 func (c *Core) Status(id string, reply func(Answer)) {
 	if c.Serving() {
 		c.statusOnLeader(id, reply)
@@ -393,8 +406,8 @@
 	})
 }
 
-// statusHere answers on the leader: from memory, or from the state service for a job that is
-// not there or whose end is in doubt.
+// statusOnLeader answers a query on the leader from memory, or from the state service if the
+// job is not in memory or if it is uncertain whether its end was committed.
 func (c *Core) statusOnLeader(id string, reply func(Answer)) {
 	if j := c.jobs[id]; j == nil || !j.InDoubt() {
 		if a, ok := c.answerFromMemory(id); ok {
@@ -405,8 +418,8 @@
 	c.lookupStatus(id, reply)
 }
 
-// statusOf tells only what is committed: a state that a user heard must
-// survive this leader.
+// statusOf returns the committed status of a job: a state that was sent to a user must
+// outlive this leader.
 func statusOf(j *sched.Job) wire.JobStatus {
 	s := wire.JobStatus{ID: j.ID, Phase: j.CommittedPhase, Done: j.DoneCount}
 	if s.Phase != "" {
@@ -422,13 +435,13 @@
 		}
 	}
 	if j.DoneCount == len(j.Tasks) {
-		s.Done, s.Phase = j.DoneCount-1, wire.PhaseRunning // not committed yet
+		s.Done, s.Phase = j.DoneCount-1, wire.PhaseRunning // the job's end is not committed yet
 	}
 	return s
 }
 
-// lookup reads a job's state from the state service. The job is looked for
-// first and its final record second, the order in which archiving moves it.
+// lookupStatus reads a job's status from the state service: first the job's record, then
+// its final record. Archiving moves a job in the same direction, so it cannot be missed.
 func (c *Core) lookupStatus(id string, reply func(Answer)) {
 	if !c.stateOK() || !c.readBudget.Allow(stdTime(c.env.Now()), admit.UserReads) {
 		reply(unavailable)
@@ -461,7 +474,7 @@
 					status.Phase = wire.PhaseRunning
 				}
 				if leading && c.Serving() && c.term == term {
-					c.addJobRecords(l.Items, nil) // the watch has not brought it yet
+					c.addJobRecords(l.Items, nil) // the watch has not delivered the job yet
 					c.requestSchedulingPass()
 				}
 				if progress.ReadyAt == 0 {
@@ -485,11 +498,11 @@
 	})
 }
 
-// lookupItems is enough for a job with its progress and the parts of its awaits;
-// what is cut off of those is left to the watch.
+// maxLookupItems is how many items a status lookup reads: the job's record, its progress
+// and the records of its dependencies. The watch delivers those beyond the limit.
 const maxLookupItems = 16
 
-// Cancel cancels a job for a user.
+// Cancel cancels a job for a user, at the leader.
 func (c *Core) Cancel(id string, reply func(Answer)) {
 	if c.Serving() {
 		c.cancelOnLeader(id, reply)
@@ -505,8 +518,8 @@
 	c.env.Call(leader, m, 2*clock.Second, func(r *peer.Msg) { reply(answerFromMessage(r)) })
 }
 
-// cancelHere cancels on the leader: no task starts from now on, and the answer
-// follows the commit.
+// cancelOnLeader cancels a job on the leader: no task of the job starts from now on, and
+// the user is answered once the cancellation is committed.
 func (c *Core) cancelOnLeader(id string, reply func(Answer)) {
 	if !c.Serving() {
 		reply(unavailable)
@@ -514,7 +527,7 @@
 	}
 	j := c.jobs[id]
 	if j == nil {
-		// The watch may not have brought the job yet; statusHere would add it.
+		// The watch may not have delivered the job yet; statusOnLeader adds it if it exists.
 		c.statusOnLeader(id, func(a Answer) {
 			if a.Code == 200 && a.Status.Phase != wire.PhaseDone && a.Status.Phase != wire.PhaseCancelled {
 				if c.Serving() && c.jobs[id] != nil {
@@ -535,7 +548,8 @@
 	c.cancelWithDependents(j, answer)
 }
 
-// commitEnd writes a job's end and tells it once it is committed.
+// commitJobEnd writes the end of a job. Once that is committed, it calls onCommitted,
+// if not nil, then resolves the dependents and archives the job.
 func (c *Core) commitJobEnd(j *sched.Job, onCommitted func()) {
 	if j.CommittedPhase != "" {
 		if onCommitted != nil {
@@ -573,8 +587,8 @@
 	c.committer.startTransaction()
 }
 
-// dropUnsent takes back placements whose launch was never sent: nothing of
-// them can be on a machine.
+// dropUnsentPlacements ends the placements of a job whose launch was never sent, so that
+// their tasks cannot be on a machine.
 func (c *Core) dropUnsentPlacements(j *sched.Job) {
 	for i := range j.Tasks {
 		if p := j.Tasks[i].Placement; p != nil && !p.Sent {
@@ -583,8 +597,8 @@
 	}
 }
 
-// noteArrival smooths the demand of a class: the CPUs a second that services
-// ask for, or the CPUs that batch work keeps busy.
+// recordArrival updates the smoothed demand of a class: for services the CPUs requested
+// per second, for batch work the number of CPUs that it keeps busy.
 func (c *Core) recordArrival(j *sched.Job) {
 	stats := c.arrivals[j.Spec.Class]
 	now := c.env.Now()
@@ -602,5 +616,5 @@
 	stats.updatedAt = now
 }
 
-// arrivalWindow is the memory of the arrival rates.
+// arrivalWindow is the averaging window of the arrival rates.
 const arrivalWindow = 150 * clock.Second
