--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -16,7 +16,7 @@
 	"lilacthread/wire/fb"
 )
 
-// newAccountIndex numbers the accounts that the settings give.
+// newAccountIndex numbers the accounts given by the teams and objectives of the settings.
 func newAccountIndex(cfg *config.Config) *admit.AccountIndex {
 	var teams []string
 	for _, t := range cfg.Params.Teams {
@@ -29,6 +29,7 @@
 	return admit.NewAccountIndex(teams, objectives)
 }
 
+// admitTeams returns the guarantees and limits of the teams in the settings.
 func admitTeams(cfg *config.Config) []admit.Team {
 	var teams []admit.Team
 	for _, t := range cfg.Params.Teams {
@@ -37,23 +38,24 @@
 	return teams
 }
 
-// shareKind is what a peer takes of the state service's changes for submissions.
+// writeShareKind tells how much of the state service's write rate a peer uses for submissions.
 type writeShareKind int
 
 const (
-	writeShareUnknown   writeShareKind = iota // never greeted: counted as the next
+	writeShareUnknown   writeShareKind = iota // no message yet: counted as writeShareAdmission
 	writeShareAdmission                       // its base, and its part of the table
 	writeShareFixed                           // the share of a node without admission
 )
 
-// submitLimits divides the changes that the state service takes.
+// submitLimits divides the write rate of the state service among the controllers.
 func (c *Core) submitLimits() admit.Limits {
 	return admit.LimitsOf(c.stateLimits().WriteRPS, len(c.cfg.Peers)+1)
 }
 
-// writeRate is how many changes a second this node may make now. A leader takes what
-// the bases of the others and the parts that are out leave; the sum over all nodes
-// stays within what the state service takes, whoever leads and whoever is cut off.
+// writeRate returns how many changes per second this node may make now. A leader uses the
+// rate that remains after the bases of the other nodes and the parts of the pool that are
+// granted to them. The sum over all nodes stays within the limit of the state service,
+// regardless of which node leads and which nodes are disconnected.
 func (c *Core) writeRate(now Micros) float64 {
 	total := c.stateLimits().WriteRPS
 	if !c.policy.Admission.Enabled {
@@ -74,8 +76,9 @@
 	return max(rate, total*0.3)
 }
 
-// electAdmission begins a term. What the last table said of the machines holds on: the
-// cloud's refusals, by which a leader sees an overload begin, are not handed down.
+// initAdmission sets up admission for a new term. The overload state of the last table is
+// kept, because a new leader does not receive the cloud's earlier refusals, which show that
+// an overload begins.
 func (c *Core) initAdmission(now Micros) {
 	c.allocator = admit.NewAllocator(c.accountIndex, c.cfg.Name, c.term, now, c.submitLimits())
 	c.shares = admit.NewTeamShares(c.accountIndex, admitTeams(c.cfg), c.policy.Admission)
@@ -85,13 +88,13 @@
 	c.waitStats.start, c.waitStats.finished = nil, make([]finishedCounts, c.accountIndex.Len())
 }
 
-// newServed counts nothing yet.
+// newObjectiveTracker returns an empty tracker with the minimum served share of each account.
 func (c *Core) newObjectiveTracker() *admit.ObjectiveTracker {
 	return admit.NewObjectiveTracker(c.policy.Admission.AccountMinServedShares(c.accountIndex))
 }
 
-// tendAdmission runs once a second: it gives the notice for the peers and, on the
-// leader, makes the next table. Without admission there is neither.
+// maintainAdmission runs once a second. It returns the notice for the peers and, on the
+// leader, builds the next table. Without admission it returns nil.
 func (c *Core) maintainAdmission(now Micros) *admit.Notice {
 	if !c.policy.Admission.Enabled {
 		return nil
@@ -108,9 +111,9 @@
 	return notice
 }
 
-// noticeFor is what a peer is told of this node's notice: the arrivals of each account only
-// the leader has a use for, and with hundreds of teams they are most of what idle controllers
-// say to each other.
+// noticeFor returns the part of this node's notice that is sent to the named peer. Only the
+// leader, or any peer while the leader is unknown, receives the arrivals of each account:
+// with hundreds of teams they are most of the traffic between idle controllers.
 func (c *Core) noticeFor(name string, notice *admit.Notice) *admit.Notice {
 	if leader := c.elector.Leader(); notice == nil || leader == "" || leader == name {
 		return notice
@@ -118,7 +121,7 @@
 	return &admit.Notice{Digest: notice.Digest, Refusals: notice.Refusals}
 }
 
-// hearNotice takes a peer's notice in and gives it its table, if this node leads.
+// handleNotice processes a peer's notice and, if this node leads, returns the peer's table.
 func (c *Core) handleNotice(m *peer.Msg) *admit.Table {
 	now := c.env.Now()
 	if p := c.peers[m.Node]; p != nil {
@@ -140,14 +143,15 @@
 	return t
 }
 
-// putTable takes a table over that came with the answer to a greeting.
+// applyAdmissionTable adopts a table that came with the answer to a greeting, which was
+// sent at requestedAt.
 func (c *Core) applyAdmissionTable(table *admit.Table, requestedAt Micros) {
 	if c.policy.Admission.Enabled && !c.Serving() && c.allowance.ApplyTable(table, requestedAt) {
 		c.updateWriteRate()
 	}
 }
 
-// rank is a submission's place among those of its account.
+// submissionRank returns the rank of a submission within the queue of its account.
 func (c *Core) submissionRank(job *wire.Job) admit.Rank {
 	switch {
 	case c.allowance.WasRefused(job.ID, c.env.Now()):
@@ -158,8 +162,9 @@
 	return admit.RankNew
 }
 
-// turn is in how many seconds the table has a submission come again, alike on all nodes;
-// 0 if now. A later stage of a pipeline that was accepted is not made to wait by it.
+// tableRetryAfter returns after how many seconds the table lets a submission be retried, or
+// 0 if it may be accepted now. The result is the same on all nodes with the same table. The
+// table does not delay later stages of an accepted pipeline.
 func (c *Core) tableRetryAfter(job *wire.Job, account int, now Micros) int {
 	if table := c.allowance.Table(now); c.policy.Admission.Enabled && table != nil && len(job.DependsOn) == 0 {
 		return table.SlotsUntil(account, job.ID)
@@ -167,9 +172,9 @@
 	return 0
 }
 
-// mustWait says in how many seconds a submission should come again for the sake of this
-// node's own queue, where it would wait so long: what would not be answered soon is
-// refused now; 0 if it is taken.
+// queueRetryAfter returns after how many seconds a submission should be retried because of
+// this node's queue, or 0 if the queue accepts it. wait is the time that the submission is
+// expected to wait there: if it is longer than MaxQueueWait, the submission is refused now.
 func (c *Core) queueRetryAfter(job *wire.Job, account int, wait Micros) int {
 	q := c.submissions.queue
 	if q.Len() > 0 && wait > c.policy.Admission.MaxQueueWait {
@@ -181,7 +186,7 @@
 	return 0
 }
 
-// submitRate is the changes a second that submissions surely get.
+// minSubmissionRate returns the rate, in changes per second, that submissions get at least.
 func (c *Core) minSubmissionRate() float64 {
 	if c.Serving() {
 		return c.writeBudget.MinRate(admit.SubmissionWrites)
@@ -189,15 +194,15 @@
 	return c.writeBudget.Rate()
 }
 
-// noteRefused remembers a job that was told to come back.
+// recordRefusal remembers a job whose submission was refused and will be retried.
 func (c *Core) recordRefusal(account int, job *wire.Job) {
 	j := &sched.Job{Spec: job}
 	j.ComputeSize(c.catalog)
 	c.allowance.RecordRefusal(account, 1, job.ID, j.TotalCPUs(), c.env.Now())
 }
 
-// expected is what refused jobs will ask for when they come back, each account's like the
-// job of its class that came last.
+// expectedRetryDemand returns the expected demand of refused jobs when they are retried. The
+// jobs of an account are assumed to resemble the latest job of its class.
 func (c *Core) expectedRetryDemand(now Micros) []sched.Unplaced {
 	var out []sched.Unplaced
 	for account, cpus := range c.allowance.ExpectedCPUs(now) {
@@ -208,9 +213,10 @@
 	return out
 }
 
-// turnAway refuses a submission, unless the job is known: what was accepted is never
-// refused. Only memory is asked, here or at the leader: under overload the state
-// service's requests are needed for what it can do about it.
+// refuseForOverload refuses a submission with a time in seconds after which to retry, unless
+// the job is known: an accepted job is never refused. Only memory is queried, here or at the
+// leader, because under overload the requests to the state service are needed to reduce the
+// load.
 func (c *Core) refuseForOverload(job *wire.Job, account, wait int, reply func(Answer)) {
 	refuse := func() {
 		c.recordRefusal(account, job)
@@ -238,10 +244,10 @@
 	})
 }
 
-// remembered answers for a job from the leader's memory alone. It is the one place where
-// memory is told to users, and tells what is committed and known to be: nothing of a job
-// whose end is in doubt, since another node may have read and told it (users' trials and
-// scenario answer_lost_at_job_end: done, then running).
+// answerFromMemory answers a query for a job from the leader's memory only. All queries that
+// are answered from memory go through it. It reports only states that are certainly committed
+// and gives unavailable for a job whose end is uncertain: another node may have read that end
+// and sent it, and the user would see done and then running (scenario answer_lost_at_job_end).
 func (c *Core) answerFromMemory(id string) (Answer, bool) {
 	if c.Serving() {
 		if j := c.jobs[id]; j != nil && (j.InDoubt() || c.cancellationMayBeDue(j.Submitted) && c.mayBeCancelled(j)) {
@@ -256,23 +262,25 @@
 	return Answer{Code: 404}, false
 }
 
-// took notes a submission that was answered.
+// recordSubmission counts an answered submission and records how long its user waited. known
+// tells that the job existed already.
 func (c *Core) recordSubmission(s *submission, known bool) {
 	c.allowance.CountAccepted(s.account, known)
 	c.waitStats.record(&c.waitStats.accept, s.account, c.accountIndex.Len(), c.env.Now()-s.receivedAt)
 }
 
-// waits are what users and jobs waited, by account.
+// waitStats holds wait times in milliseconds and counts of finished jobs, by account number.
 type waitStats struct {
 	accept   []*hdrhistogram.Histogram // from a submission to its answer, at this node
-	start    []*hdrhistogram.Histogram // of the leader: until a job's first task ran
-	finished []finishedCounts          // of the leader, in its term
+	start    []*hdrhistogram.Histogram // from when a job is ready to its first task's start; leader only
+	finished []finishedCounts          // of the current term; leader only
 }
 
-// served counts jobs that are over, services aside.
+// finishedCounts counts finished jobs that are not services.
 type finishedCounts struct{ jobs, inTime uint64 }
 
-// note enters a wait, in milliseconds.
+// record adds a wait to the account's histogram, in milliseconds. accounts is the number of
+// accounts; a negative account is ignored.
 func (w *waitStats) record(histograms *[]*hdrhistogram.Histogram, account, accounts int, wait Micros) {
 	if account < 0 {
 		return
@@ -285,10 +293,11 @@
 		h = hdrhistogram.New(1, 3_600_000, 2)
 		(*histograms)[account] = h
 	}
-	h.RecordValue(min(max(int64(wait/clock.Millisecond), 1), 3_600_000)) // within the bounds: no error
+	h.RecordValue(min(max(int64(wait/clock.Millisecond), 1), 3_600_000)) // no error is possible within the bounds
 }
 
-// noteOver counts a job that is over: in time means within the widest aim of its class.
+// recordJobEnd counts a finished job. A job is finished in time if it ended within the longest
+// target time of its class.
 func (c *Core) recordJobEnd(j *sched.Job) {
 	account := c.accountNumber(j.Spec)
 	if account < 0 || j.Service() || j.Cancelled || c.waitStats.finished == nil {
@@ -307,7 +316,7 @@
 	}
 }
 
-// Admission tells how submissions and machines are shared, as this node sees it.
+// Admission returns how submissions and machines are shared, as seen by this node.
 func (c *Core) Admission() *wire.AdmissionStatus {
 	now := c.env.Now()
 	out := &wire.AdmissionStatus{Node: c.cfg.Name, Enabled: c.policy.Admission.Enabled, IsLeader: c.Serving(), Rate: c.writeBudget.Rate(),
@@ -339,13 +348,14 @@
 	return out
 }
 
-// account numbers the account of a job.
+// accountNumber returns the number of a job's account.
 func (c *Core) accountNumber(spec *wire.Job) int {
 	return c.accountIndex.IndexOf(spec.Team, spec.Class)
 }
 
-// judgeShares works out what each account is due in the pass that begins, from all
-// that is unfinished; nil unless there is more to do than the machines can take.
+// computeShares computes the entitlement of each account for the scheduling pass that begins,
+// from all unfinished jobs. It returns a function that gives a job's share, or nil unless the
+// machines are overloaded.
 func (c *Core) computeShares(now Micros) func(*sched.Job) *sched.FairShare {
 	if !c.policy.Admission.Enabled {
 		return nil
@@ -374,8 +384,8 @@
 		c.fairShares = nil
 		return nil
 	}
-	// Between teams the shares hold. Within a team, what its accounts lack for their floors
-	// goes first, and then its jobs in the users' order.
+	// The shares apply between teams. Within a team, jobs that its accounts need for their
+	// minimum shares go first, then the other jobs in the users' order.
 	teamShares := map[string]*sched.FairShare{}
 	for i, t := range c.cfg.Params.Teams {
 		teamShares[t.Name] = &sched.FairShare{Share: shares[i]}
@@ -398,7 +408,7 @@
 			c.fairShares[unfinished[i].Account].MinShare += float64(j.PlacedCount+len(j.Queue)) * j.TaskCPUs()
 		}
 	}
-	noShare := &sched.FairShare{} // for what has no account
+	noShare := &sched.FairShare{} // for jobs without an account
 	return func(j *sched.Job) *sched.FairShare {
 		if share := teamShares[j.Spec.Team]; share != nil {
 			return share
@@ -407,7 +417,8 @@
 	}
 }
 
-// batchRoom is the CPUs that are up or on their way for work that is not production.
+// batchCapacity returns the number of CPUs for non-production work on machines that are up
+// or are starting.
 func (c *Core) batchCapacity() float64 {
 	sum := 0.0
 	for _, m := range c.sortedMachines {
@@ -418,10 +429,10 @@
 	return sum
 }
 
-// cloudHas reports whether the cloud may have machines yet: it has refused less than
-// half of the ordinary kinds that it lists of late. Spot machines don't count: they are
-// cheap and few, so they are asked for first and refused first, also on a calm day while
-// ordinary ones boot for work that was always to come.
+// cloudHasCapacity reports whether the cloud may still have machines: it has recently refused
+// fewer than half of the on-demand machine kinds that it lists. Spot machines do not count:
+// they are cheap and scarce, so they are requested first and refused first, even without an
+// overload, while on-demand machines for expected work boot.
 func (c *Core) cloudHasCapacity(now Micros) bool {
 	kinds, refused := 0, 0
 	for _, t := range c.catalog {
--- a/internal/controller/duplicate_names.go
+++ b/internal/controller/duplicate_names.go
@@ -6,25 +6,26 @@
 	"lilacthread/internal/clock"
 )
 
-// namesakes notices that a peer's name is borne by two processes at once: an operator's
-// mistake, which no restart looks like. A process that was replaced never speaks again
-// but for what a cut held back, so one that is heard again and again after another was
-// is alive.
+// duplicateNameDetector detects that two running processes use the same node name: an operator's
+// mistake, which no sequence of restarts resembles. After a process is replaced, only messages
+// that a network partition delayed still arrive from it. An incarnation whose messages keep
+// returning after those of another one is therefore still running.
 type duplicateNameDetector struct {
-	current        uint64   // who spoke last
-	previous       []uint64 // who spoke before, the latest last
-	returns        int      // how often one of those spoke again
-	firstReturnAt  Micros   // of the first of the returns
-	lastReportedAt Micros   // when it was last told, or 0
+	current        uint64   // incarnation of the last message
+	previous       []uint64 // earlier incarnations, the latest last
+	returns        int      // how often a message of an earlier incarnation arrived again
+	firstReturnAt  Micros   // time of the first of the returns
+	lastReportedAt Micros   // when a duplicate was last reported, or 0
 }
 
 const (
-	maxPreviousIncarnations = 16 // incarnations; a crash loop makes many
-	minReturns              = 4  // a cut that ends delivers its messages in order: one return a link
+	maxPreviousIncarnations = 16 // a crash loop produces many
+	minReturns              = 4  // when a partition ends, its messages arrive in order: one return per link
 	duplicateNameWindow     = 30 * clock.Second
 )
 
-// hear takes in who speaks; it reports whether that is to be told now.
+// observe records the incarnation that sent a message. It returns true if a duplicate name
+// must be reported now.
 func (d *duplicateNameDetector) observe(incarnation uint64, now Micros) bool {
 	if incarnation == 0 || incarnation == d.current {
 		return false
--- a/internal/controller/duplicate_names_test.go
+++ b/internal/controller/duplicate_names_test.go
@@ -6,21 +6,22 @@
 	"lilacthread/internal/clock"
 )
 
-// TestNamesakes: restarts, however many and quick, are no second process, nor is what a
-// cut held back; two that speak in turn are told of, and not with each message.
+// TestDuplicateNames checks that neither frequent restarts nor messages delayed by a partition
+// are reported as a duplicate name, and that two processes that send messages in turn are
+// reported, but not with each message.
 func TestDuplicateNames(t *testing.T) {
 	var detector duplicateNameDetector
 	now := Micros(0)
 	for i := range uint64(1000) {
 		now += 50 * clock.Millisecond
-		for range 2 { // a process speaks more than once
+		for range 2 { // a process sends more than one message
 			if detector.observe(i+1, now) {
-				t.Fatalf("restart %d told of", i)
+				t.Fatalf("restart %d was reported as a duplicate name", i)
 			}
 		}
 	}
 	if detector.observe(999, now) || detector.observe(1000, now) || detector.observe(998, now) {
-		t.Error("what a cut held back is told of")
+		t.Error("messages delayed by a partition were reported as a duplicate name")
 	}
 	detector, reported := duplicateNameDetector{}, 0
 	for i := range 600 { // ten minutes
@@ -30,6 +31,6 @@
 		}
 	}
 	if reported < 10 || reported > 25 {
-		t.Errorf("told %d times in ten minutes", reported)
+		t.Errorf("a duplicate name was reported %d times in ten minutes, want 10 to 25", reported)
 	}
 }
--- a/internal/controller/forward_submissions.go
+++ b/internal/controller/forward_submissions.go
@@ -6,25 +6,26 @@
 	"lilacthread/wire"
 )
 
-// passing hands submissions that would wait here on to the leader. A follower's base is
-// an eighth of the state service's changes, the leader has most of what is left, and the
-// load balancer gives each node the same number of users: in the opening second, with
-// hundreds of them, the leader stood idle while the others told theirs to come back.
+// submissionForwarding is the state of forwarding submissions to the leader that would have
+// to wait at this node. A follower's base is about an eighth of the state service's write rate
+// and the leader has most of the rest, while the load balancer sends the same number of users
+// to each node. Without forwarding, in the first second with hundreds of users, the leader is
+// idle while the followers refuse submissions.
 type submissionForwarding struct {
-	unanswered  int    // handed on and not answered yet, at most a quarter of what may wait
-	held        int    // kept until there is a leader
-	pausedUntil Micros // the leader refused: nothing is handed on before
+	unanswered  int    // forwarded and not answered yet, at most a quarter of the queue's limit
+	held        int    // held back until there is a leader
+	pausedUntil Micros // the leader refused: nothing is forwarded before this time
 }
 
 const (
-	submissionForwardAfter = 60 * clock.Millisecond // a submission that would wait this long here is handed on
-	forwardPause           = clock.Second           // after a refusal
-	startupPeriod          = clock.Second           // of a process's life; a first election takes less
-	noLeaderDelay          = 40 * clock.Millisecond
+	submissionForwardAfter = 60 * clock.Millisecond // a submission that would wait at least this long here is forwarded
+	forwardPause           = clock.Second           // after a refusal by the leader
+	startupPeriod          = clock.Second           // of a process; a first election takes less time
+	noLeaderDelay          = 40 * clock.Millisecond // after which a held submission is enqueued again
 )
 
-// waitHere is how long a submission would wait for its changes at this node; without
-// admission nobody asks.
+// localWait returns how long a submission would wait at this node until the write budget
+// allows its changes, or 0 without admission.
 func (c *Core) localWait(job *wire.Job, account int, now Micros) Micros {
 	if !c.policy.Admission.Enabled {
 		return 0
@@ -38,8 +39,8 @@
 	return clock.FromSeconds(missing / max(c.minSubmissionRate(), 0.1))
 }
 
-// passOn hands a submission to the leader, or keeps it for a moment while the first
-// leader is being elected; it reports whether it did.
+// forwardSubmission forwards a submission to the leader, or holds it for a moment while the
+// first leader is being elected. It reports whether it did either.
 func (c *Core) forwardSubmission(job *wire.Job, account int, reply func(Answer)) bool {
 	now := c.env.Now()
 	if c.elector.Leading() {
@@ -69,7 +70,7 @@
 		case 429:
 			c.recordRefusal(account, job)
 		}
-		if a.Code >= 429 { // it has enough to do, or is gone
+		if a.Code >= 429 { // the leader is overloaded or unreachable
 			c.forwarding.pausedUntil = c.env.Now() + forwardPause
 		}
 		reply(a)
--- a/internal/controller/task_records.go
+++ b/internal/controller/task_records.go
@@ -13,22 +13,25 @@
 	"lilacthread/wire"
 )
 
-// From LevelTasks on, what is known of a job's tasks, finished or placed, lies in
-// records of taskSpan tasks each, t/JOB/FIRST. What the tasks share, such as what
-// they need, stands in the job's record; so a place takes some ten bytes, a launch
-// of many tasks of a job on many machines a change or two, and a hundred thousand
-// tasks no large value. A record that is too large all the same goes on in
-// t/JOB/FIRST/1 and so on, written in one transaction with it.
+// From LevelTasks on, the finished and the placed tasks of a job are stored in records
+// of tasksPerRecord tasks each, under t/JOB/FIRST, where FIRST is the index of the first
+// task. What the tasks share, such as their resource needs, is in the job's record.
+// Therefore a placement takes about ten bytes, a launch of many tasks of a job on many
+// machines takes one or two changes, and a job of 100,000 tasks needs no large value. A
+// record that exceeds the value limit of the state service continues in t/JOB/FIRST/1
+// and so on; all its parts are written in one transaction.
 const tasksPerRecord = 64
 
+// tasksRecord is the stored state of up to tasksPerRecord tasks of a job.
 type tasksRecord struct {
 	Done        uint64   `msgpack:"d,omitempty"` // bit per task
-	Estimate    int64    `msgpack:"e,omitempty"`
-	BaseAttempt uint64   `msgpack:"a,omitempty"` // the least attempt
+	Estimate    int64    `msgpack:"e,omitempty"` // of a task's run time, microseconds; once a task succeeded
+	BaseAttempt uint64   `msgpack:"a,omitempty"` // the lowest attempt of the placements
 	Machines    []string `msgpack:"m,omitempty"`
-	Placements  []uint64 `msgpack:"p,omitempty"` // four each: task, machine, attempt over base, session
+	Placements  []uint64 `msgpack:"p,omitempty"` // four each: task minus FIRST, index in Machines, attempt minus BaseAttempt, session
 }
 
+// tasksKey returns the key of a part of the record that begins with task first.
 func tasksKey(job string, first, part int) string {
 	key := taskPrefix + job + "/" + strconv.Itoa(first)
 	if part > 0 {
@@ -37,6 +40,7 @@
 	return key
 }
 
+// splitTasksKey parses a key made by tasksKey; ok is false if it is not valid.
 func splitTasksKey(key string) (job string, first, part int, ok bool) {
 	segments := strings.Split(strings.TrimPrefix(key, taskPrefix), "/")
 	if len(segments) < 2 || len(segments) > 3 {
@@ -49,14 +53,14 @@
 	return segments[0], first, part, err == nil && first >= 0 && first%tasksPerRecord == 0 && part >= 0 && wire.ValidID(segments[0])
 }
 
-// saveTasks writes the record that one of a job's tasks lies in.
+// saveTasks queues a write of the record that contains the task of the given index.
 func (c *Core) saveTasks(j *sched.Job, index, class int, done func()) {
 	first := index / tasksPerRecord * tasksPerRecord
 	c.committer.add(tasksKey(j.ID, first, 0), class, func() ([]wire.Change, bool) {
 		var values [][]byte
 		if c.jobs[j.ID] == j {
-			// A record queued before may have come to hold a first place on a
-			// machine whose own record is queued behind it.
+			// Since this write was queued, the record may have received the first placement on a
+			// machine whose own record is queued after it.
 			for i := first; i < min(first+tasksPerRecord, len(j.Tasks)); i++ {
 				if p := j.Tasks[i].Placement; p != nil && !p.Machine.Recorded {
 					return nil, false
@@ -72,7 +76,7 @@
 			}
 			changes = append(changes, putOrDelete(tasksKey(j.ID, first, part), value))
 		}
-		if len(changes) == 0 { // neither there nor needed; an earlier write may be
+		if len(changes) == 0 { // no record is known or needed, but an earlier write may have created one
 			changes = append(changes, wire.Change{DeleteKey: tasksKey(j.ID, first, 0)})
 		}
 		j.TaskRecords[first] = max(len(values), j.TaskRecords[first])
@@ -80,7 +84,7 @@
 	}, done)
 }
 
-// deleteTasks removes the records of an archived job's tasks.
+// deleteTasks queues the deletion of a record of an archived job's tasks with all its parts.
 func (c *Core) deleteTasks(job string, first, parts int) {
 	c.committer.add(tasksKey(job, first, 0), classBackground, func() ([]wire.Change, bool) {
 		changes := []wire.Change{{DeleteKey: tasksKey(job, first, 0)}}
@@ -91,12 +95,12 @@
 	}, nil)
 }
 
-// renderTasks is what is to be remembered of the tasks from first on; nil if
-// that is nothing.
+// buildTasksRecord returns the record of the tasks from first on, or nil if there is
+// nothing to store.
 func buildTasksRecord(j *sched.Job, first int) *tasksRecord {
 	record := new(tasksRecord)
 	tasks := j.Tasks[first:min(first+tasksPerRecord, len(j.Tasks))]
-	// The place of a task whose result is committed tells nothing any more.
+	// The placement of a done task that has exited is not needed any more.
 	hasLivePlacement := func(t *sched.Task) bool {
 		return t.Placement != nil && !(t.Placement.Exited && t.State == sched.Done)
 	}
@@ -133,7 +137,8 @@
 	return record
 }
 
-// splitTasks encodes a record in values of at most limit bytes each.
+// encodeTasks encodes a record as one or more values of at most limit bytes each. A value
+// with a single placement is not split and may be larger.
 func encodeTasks(record *tasksRecord, limit int) [][]byte {
 	if record == nil {
 		return nil
@@ -148,7 +153,8 @@
 	return append(encodeTasks(head.compact(record.Machines), limit), encodeTasks(tail.compact(record.Machines), limit)...)
 }
 
-// compact keeps only the machines that the record's places name.
+// compact copies the record's placements, which refer to the given machines, and keeps
+// only the machines that they use.
 func (r *tasksRecord) compact(machines []string) *tasksRecord {
 	r.Placements, r.Machines = slices.Clone(r.Placements), nil
 	for i := 1; i < len(r.Placements); i += 4 {
@@ -163,25 +169,25 @@
 	return r
 }
 
-// foundTasks is a record of a job's tasks as a new leader finds it.
+// storedTasks is a record of a job's tasks as read by a new leader.
 type storedTasks struct {
 	job   *sched.Job
 	first int
 	tasksRecord
 }
 
-// readTasks takes in which tasks are done, and gives the records for their
-// places to be restored when the machines are known.
+// restoreDoneTasks marks tasks as done according to their records. It returns the records,
+// so that their placements can be restored once the machines are known.
 func (c *Core) restoreDoneTasks(items []wire.Item) []storedTasks {
 	var out []storedTasks
 	for i := range items {
 		job, first, part, ok := splitTasksKey(items[i].Key)
 		stored := storedTasks{job: c.jobs[job], first: first}
 		if !ok || msgpack.Unmarshal(items[i].Value, &stored.tasksRecord) != nil || len(stored.Placements)%4 != 0 {
-			slog.Error("record of tasks cannot be read", "key", items[i].Key)
+			slog.Error("task record cannot be read", "key", items[i].Key)
 			continue
 		}
-		if stored.job == nil { // archived, or never to be
+		if stored.job == nil { // the job is archived or was never created
 			c.committer.put(items[i].Key, func() []byte { return nil }, nil)
 			continue
 		}
@@ -200,9 +206,9 @@
 	return out
 }
 
-// restorePlaces enters the placements of a record. A machine that has no record
-// any more was returned, with all that was on it: its record is written before
-// the first placement and deleted only then.
+// restorePlacements restores the placements of a record. A machine without a record was
+// released with all its tasks: its record is written before the first placement on it
+// and deleted only at its release.
 func (c *Core) restorePlacements(stored storedTasks) {
 	j := stored.job
 	for fields := stored.Placements; len(fields) >= 4; fields = fields[4:] {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -616,5 +616,5 @@
 	stats.updatedAt = now
 }
 
-// arrivalWindow is the averaging window of the arrival rates.
+// arrivalWindow is the time constant with which the arrival rates decay.
 const arrivalWindow = 150 * clock.Second
