--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -248,6 +248,8 @@
 // are answered from memory go through it. It reports only states that are certainly committed
 // and gives unavailable for a job whose end is uncertain: another node may have read that end
 // and sent it, and the user would see done and then running (scenario answer_lost_at_job_end).
+// It also gives unavailable for a job that may have to be reported as cancelled along with a
+// dependency; see cancellationMayBeDue.
 func (c *Core) answerFromMemory(id string) (Answer, bool) {
 	if c.Serving() {
 		if j := c.jobs[id]; j != nil && (j.InDoubt() || c.cancellationMayBeDue(j.Submitted) && c.mayBeCancelled(j)) {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -77,7 +77,7 @@
 
 // becomeReady allows a job to start because all its dependencies are done.
 func (c *Core) becomeReady(j *sched.Job, readyAt Micros) {
-	slog.Debug("ready", "job", j.ID, "after", (readyAt - j.Submitted).Seconds())
+	slog.Debug("job ready", "job", j.ID, "after", (readyAt - j.Submitted).Seconds())
 	c.setReady(j, readyAt)
 	for _, dependency := range sched.RemoveDependencies(j) {
 		c.archive(dependency)
@@ -89,7 +89,7 @@
 }
 
 // resolveDependents handles the committed end of a job: dependents without further unmet
-// dependencies become ready, or, if the job was cancelled, are cancelled too.
+// dependencies become ready. If the job was cancelled, its dependents are cancelled.
 func (c *Core) resolveDependents(j *sched.Job) {
 	if j.CommittedPhase == wire.PhaseCancelled {
 		for _, dependency := range sched.RemoveDependencies(j) {
@@ -125,7 +125,7 @@
 			continue
 		}
 		if !affected.Ended {
-			slog.Debug("cancel", "job", affected.ID)
+			slog.Debug("cancelling job", "job", affected.ID)
 			affected.Cancelled, affected.Ended, affected.Queue = true, true, nil
 			c.dropUnsentPlacements(affected)
 		}
@@ -226,7 +226,7 @@
 		}
 		if final == nil && c.jobs[id] == nil {
 			if absent {
-				slog.Error("dependency has neither a job record nor a final record", "job", id)
+				slog.Error("dependency is not in memory and has no final record", "job", id)
 			}
 			retry()
 			return
--- a/internal/controller/duplicate_names.go
+++ b/internal/controller/duplicate_names.go
@@ -20,7 +20,7 @@
 
 const (
 	maxPreviousIncarnations = 16 // a crash loop produces many
-	minReturns              = 4  // when a partition ends, its messages arrive in order: one return per link
+	minDuplicateReturns     = 4  // when a partition ends, its messages arrive in order: one return per link
 	duplicateNameWindow     = 30 * clock.Second
 )
 
@@ -45,7 +45,7 @@
 		d.firstReturnAt, d.returns = now, 0
 	}
 	d.returns++
-	if d.returns < minReturns || d.lastReportedAt != 0 && now-d.lastReportedAt < duplicateNameWindow {
+	if d.returns < minDuplicateReturns || d.lastReportedAt != 0 && now-d.lastReportedAt < duplicateNameWindow {
 		return false
 	}
 	d.lastReportedAt = now
--- a/internal/controller/task_records.go
+++ b/internal/controller/task_records.go
@@ -101,12 +101,12 @@
 	record := new(tasksRecord)
 	tasks := j.Tasks[first:min(first+tasksPerRecord, len(j.Tasks))]
 	// The placement of a done task that has exited is not needed any more.
-	hasLivePlacement := func(t *sched.Task) bool {
+	needsPlacement := func(t *sched.Task) bool {
 		return t.Placement != nil && !(t.Placement.Exited && t.State == sched.Done)
 	}
 	record.BaseAttempt = math.MaxUint64
 	for i := range tasks {
-		if t := &tasks[i]; hasLivePlacement(t) {
+		if t := &tasks[i]; needsPlacement(t) {
 			record.BaseAttempt = min(record.BaseAttempt, t.Placement.Attempt)
 		}
 	}
@@ -115,7 +115,7 @@
 		if t.State == sched.Done {
 			record.Done |= 1 << i
 		}
-		if !hasLivePlacement(t) {
+		if !needsPlacement(t) {
 			continue
 		}
 		machineIndex := slices.Index(record.Machines, t.Placement.Machine.ID)
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -327,7 +327,8 @@
 }
 
 // handleFailedGuards handles a transaction that failed because some of its jobs exist:
-// those are answered with their status, the others are queued again.
+// those are answered with their status, the others are queued again. If no failed guard is
+// given, all users are told to retry.
 func (c *Core) handleFailedGuards(batch []*submission, failedKeys []string) {
 	known := map[string]bool{}
 	for _, key := range failedKeys {
