--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -16,19 +16,20 @@
 	"lilacthread/wire/fb"
 )
 
-// newAccountIndex numbers the accounts that the settings give.
+// newAccountIndex numbers the accounts given by the teams and objectives of the settings.
 func newAccountIndex(cfg *config.Config) *admit.AccountIndex {
 	var teams []string
 	for _, t := range cfg.Params.Teams {
 		teams = append(teams, t.Name)
 	}
-	var aims []admit.Objective
+	var objectives []admit.Objective
 	for _, o := range cfg.Params.Objectives {
-		aims = append(aims, admit.Objective{Class: o.Class, Within: clock.FromSeconds(o.Within)})
+		objectives = append(objectives, admit.Objective{Class: o.Class, Within: clock.FromSeconds(o.Within)})
 	}
-	return admit.NewAccountIndex(teams, aims)
+	return admit.NewAccountIndex(teams, objectives)
 }
 
+// admitTeams returns the guarantees and limits of the teams in the settings.
 func admitTeams(cfg *config.Config) []admit.Team {
 	var teams []admit.Team
 	for _, t := range cfg.Params.Teams {
@@ -37,61 +38,63 @@
 	return teams
 }
 
-// shareKind is what a peer takes of the state service's changes for submissions.
+// writeShareKind tells how much of the state service's write rate a peer uses for submissions.
 type writeShareKind int
 
 const (
-	unheard   writeShareKind = iota // never greeted: counted as the next
-	admitting                       // its base, and its part of the table
-	fixed                           // the share of a node without admission
+	writeShareUnknown   writeShareKind = iota // no message yet: counted as writeShareAdmission
+	writeShareAdmission                       // its base, and its part of the table
+	writeShareFixed                           // the share of a node without admission
 )
 
-// submitLimits divides the changes that the state service takes.
+// submitLimits divides the write rate of the state service among the controllers.
 func (c *Core) submitLimits() admit.Limits {
 	return admit.LimitsOf(c.stateLimits().WriteRPS, len(c.cfg.Peers)+1)
 }
 
-// writeRate is how many changes a second this node may make now. A leader takes what
-// the bases of the others and the parts that are out leave; the sum over all nodes
-// stays within what the state service takes, whoever leads and whoever is cut off.
+// writeRate returns how many changes per second this node may make now. A leader uses the
+// rate that remains after the bases of the other nodes and the parts of the pool that are
+// granted to them. The sum over all nodes stays within the limit of the state service,
+// regardless of which node leads and which nodes are disconnected.
 func (c *Core) writeRate(now Micros) float64 {
-	all := c.stateLimits().WriteRPS
+	total := c.stateLimits().WriteRPS
 	if !c.policy.Admission.Enabled {
-		return all * c.writeShare()
+		return total * c.writeShare()
 	}
 	if c.elector == nil || c.allocator == nil || !c.elector.HoldsValidLease() {
 		return c.allowance.Rate(now)
 	}
 	limits := c.submitLimits()
-	rate := all - float64(c.allocator.Outstanding(now))/1000
+	rate := total - float64(c.allocator.Outstanding(now))/1000
 	for _, p := range c.peers {
-		if p.writeShareKind == fixed {
-			rate -= all * followerShare
+		if p.writeShareKind == writeShareFixed {
+			rate -= total * followerShare
 		} else {
 			rate -= float64(limits.Base) / 1000
 		}
 	}
-	return max(rate, all*0.3)
+	return max(rate, total*0.3)
 }
 
-// electAdmission begins a term. What the last table said of the machines holds on: the
-// cloud's refusals, by which a leader sees an overload begin, are not handed down.
+// initAdmission sets up admission for a new term. The overload state of the last table is
+// kept, because a new leader does not receive the cloud's earlier refusals, which show that
+// an overload begins.
 func (c *Core) initAdmission(now Micros) {
 	c.allocator = admit.NewAllocator(c.accountIndex, c.cfg.Name, c.term, now, c.submitLimits())
 	c.shares = admit.NewTeamShares(c.accountIndex, admitTeams(c.cfg), c.policy.Admission)
 	c.shares.Overloaded = c.allowance.WasOverloaded(now)
-	c.served = c.newServed()
+	c.served = c.newObjectiveTracker()
 	c.demands, c.fairShares = make([]admit.Demand, c.accountIndex.Len()), nil
-	c.waitStats.start, c.waitStats.served = nil, make([]served, c.accountIndex.Len())
+	c.waitStats.start, c.waitStats.finished = nil, make([]finishedCounts, c.accountIndex.Len())
 }
 
-// newServed counts nothing yet.
-func (c *Core) newServed() *admit.ObjectiveTracker {
+// newObjectiveTracker returns an empty tracker with the minimum served share of each account.
+func (c *Core) newObjectiveTracker() *admit.ObjectiveTracker {
 	return admit.NewObjectiveTracker(c.policy.Admission.AccountMinServedShares(c.accountIndex))
 }
 
-// tendAdmission runs once a second: it gives the notice for the peers and, on the
-// leader, makes the next table. Without admission there is neither.
+// maintainAdmission runs once a second. It returns the notice for the peers and, on the
+// leader, builds the next table. Without admission it returns nil.
 func (c *Core) maintainAdmission(now Micros) *admit.Notice {
 	if !c.policy.Admission.Enabled {
 		return nil
@@ -108,23 +111,23 @@
 	return notice
 }
 
-// noticeFor is what a peer is told of this node's notice: the arrivals of each account only
-// the leader has a use for, and with hundreds of teams they are most of what idle controllers
-// say to each other.
-func (c *Core) noticeFor(name string, n *admit.Notice) *admit.Notice {
-	if leader := c.elector.Leader(); n == nil || leader == "" || leader == name {
-		return n
+// noticeFor returns the part of this node's notice that is sent to the named peer. Only the
+// leader, or any peer while the leader is unknown, receives the arrivals of each account:
+// with hundreds of teams they are most of the traffic between idle controllers.
+func (c *Core) noticeFor(name string, notice *admit.Notice) *admit.Notice {
+	if leader := c.elector.Leader(); notice == nil || leader == "" || leader == name {
+		return notice
 	}
-	return &admit.Notice{Digest: n.Digest, Refusals: n.Refusals}
+	return &admit.Notice{Digest: notice.Digest, Refusals: notice.Refusals}
 }
 
-// hearNotice takes a peer's notice in and gives it its table, if this node leads.
+// handleNotice processes a peer's notice and, if this node leads, returns the peer's table.
 func (c *Core) handleNotice(m *peer.Msg) *admit.Table {
 	now := c.env.Now()
 	if p := c.peers[m.Node]; p != nil {
-		p.writeShareKind = fixed
+		p.writeShareKind = writeShareFixed
 		if m.AdmissionNotice != nil {
-			p.writeShareKind = admitting
+			p.writeShareKind = writeShareAdmission
 		}
 	}
 	if m.AdmissionNotice == nil || !c.policy.Admission.Enabled {
@@ -140,15 +143,16 @@
 	return t
 }
 
-// putTable takes a table over that came with the answer to a greeting.
-func (c *Core) applyAdmissionTable(t *admit.Table, asked Micros) {
-	if c.policy.Admission.Enabled && !c.Serving() && c.allowance.ApplyTable(t, asked) {
+// applyAdmissionTable adopts a table that came with the answer to a greeting, which was
+// sent at requestedAt.
+func (c *Core) applyAdmissionTable(table *admit.Table, requestedAt Micros) {
+	if c.policy.Admission.Enabled && !c.Serving() && c.allowance.ApplyTable(table, requestedAt) {
 		c.updateWriteRate()
 	}
 }
 
-// rank is a submission's place among those of its account.
-func (c *Core) rank(job *wire.Job) admit.Rank {
+// submissionRank returns the rank of a submission within the queue of its account.
+func (c *Core) submissionRank(job *wire.Job) admit.Rank {
 	switch {
 	case c.allowance.WasRefused(job.ID, c.env.Now()):
 		return admit.RankRetry
@@ -158,59 +162,61 @@
 	return admit.RankNew
 }
 
-// turn is in how many seconds the table has a submission come again, alike on all nodes;
-// 0 if now. A later stage of a pipeline that was accepted is not made to wait by it.
+// tableRetryAfter returns after how many seconds the table lets a submission be retried, or
+// 0 if it may be accepted now. The result is the same on all nodes with the same table. The
+// table does not delay later stages of an accepted pipeline.
 func (c *Core) tableRetryAfter(job *wire.Job, account int, now Micros) int {
-	if t := c.allowance.Table(now); c.policy.Admission.Enabled && t != nil && len(job.DependsOn) == 0 {
-		return t.SlotsUntil(account, job.ID)
+	if table := c.allowance.Table(now); c.policy.Admission.Enabled && table != nil && len(job.DependsOn) == 0 {
+		return table.SlotsUntil(account, job.ID)
 	}
 	return 0
 }
 
-// mustWait says in how many seconds a submission should come again for the sake of this
-// node's own queue, where it would wait so long: what would not be answered soon is
-// refused now; 0 if it is taken.
+// queueRetryAfter returns after how many seconds a submission should be retried because of
+// this node's queue, or 0 if the queue accepts it. wait is the time that the submission is
+// expected to wait there: if it is longer than MaxQueueWait, the submission is refused now.
 func (c *Core) queueRetryAfter(job *wire.Job, account int, wait Micros) int {
 	q := c.submissions.queue
 	if q.Len() > 0 && wait > c.policy.Admission.MaxQueueWait {
 		return admit.RetryAfterSeconds(wait, job.ID)
 	}
 	if !q.Fits(account, wire.MaxBody/8) {
-		return admit.RetryAfterSeconds(clock.FromSeconds(float64(q.Cost())/max(c.submitRate(), 0.1)), job.ID)
+		return admit.RetryAfterSeconds(clock.FromSeconds(float64(q.Cost())/max(c.minSubmissionRate(), 0.1)), job.ID)
 	}
 	return 0
 }
 
-// submitRate is the changes a second that submissions surely get.
-func (c *Core) submitRate() float64 {
+// minSubmissionRate returns the rate, in changes per second, that submissions get at least.
+func (c *Core) minSubmissionRate() float64 {
 	if c.Serving() {
 		return c.writeBudget.MinRate(admit.SubmissionWrites)
 	}
 	return c.writeBudget.Rate()
 }
 
-// noteRefused remembers a job that was told to come back.
+// recordRefusal remembers a job whose submission was refused and will be retried.
 func (c *Core) recordRefusal(account int, job *wire.Job) {
 	j := &sched.Job{Spec: job}
 	j.ComputeSize(c.catalog)
 	c.allowance.RecordRefusal(account, 1, job.ID, j.TotalCPUs(), c.env.Now())
 }
 
-// expected is what refused jobs will ask for when they come back, each account's like the
-// job of its class that came last.
+// expectedRetryDemand returns the expected demand of refused jobs when they are retried. The
+// jobs of an account are assumed to resemble the latest job of its class.
 func (c *Core) expectedRetryDemand(now Micros) []sched.Unplaced {
 	var out []sched.Unplaced
-	for a, cpus := range c.allowance.ExpectedCPUs(now) {
-		if arr := c.arrivals[c.accountIndex.Accounts[a].Class]; cpus > 0 && arr != nil && arr.lastJob != nil {
-			out = append(out, sched.Unplaced{Job: arr.lastJob, Count: int(math.Ceil(cpus / arr.lastJob.TaskCPUs()))})
+	for account, cpus := range c.allowance.ExpectedCPUs(now) {
+		if stats := c.arrivals[c.accountIndex.Accounts[account].Class]; cpus > 0 && stats != nil && stats.lastJob != nil {
+			out = append(out, sched.Unplaced{Job: stats.lastJob, Count: int(math.Ceil(cpus / stats.lastJob.TaskCPUs()))})
 		}
 	}
 	return out
 }
 
-// turnAway refuses a submission, unless the job is known: what was accepted is never
-// refused. Only memory is asked, here or at the leader: under overload the state
-// service's requests are needed for what it can do about it.
+// refuseForOverload refuses a submission with a time in seconds after which to retry, unless
+// the job is known: an accepted job is never refused. Only memory is queried, here or at the
+// leader, because under overload the requests to the state service are needed to reduce the
+// load.
 func (c *Core) refuseForOverload(job *wire.Job, account, wait int, reply func(Answer)) {
 	refuse := func() {
 		c.recordRefusal(account, job)
@@ -234,14 +240,16 @@
 			return
 		}
 		c.allowance.CountAccepted(account, true)
-		reply(answerOf(r))
+		reply(answerFromMessage(r))
 	})
 }
 
-// remembered answers for a job from the leader's memory alone. It is the one place where
-// memory is told to users, and tells what is committed and known to be: nothing of a job
-// whose end is in doubt, since another node may have read and told it (users' trials and
-// scenario answer_lost_at_job_end: done, then running).
+// answerFromMemory answers a query for a job from the leader's memory only. All queries that
+// are answered from memory go through it. It reports only states that are certainly committed
+// and gives unavailable for a job whose end is uncertain: another node may have read that end
+// and sent it, and the user would see done and then running (scenario answer_lost_at_job_end).
+// It also gives unavailable for a job that may have to be reported as cancelled along with a
+// dependency; see cancellationMayBeDue.
 func (c *Core) answerFromMemory(id string) (Answer, bool) {
 	if c.Serving() {
 		if j := c.jobs[id]; j != nil && (j.InDoubt() || c.cancellationMayBeDue(j.Submitted) && c.mayBeCancelled(j)) {
@@ -256,74 +264,77 @@
 	return Answer{Code: 404}, false
 }
 
-// took notes a submission that was answered.
+// recordSubmission counts an answered submission and records how long its user waited. known
+// tells that the job existed already.
 func (c *Core) recordSubmission(s *submission, known bool) {
 	c.allowance.CountAccepted(s.account, known)
-	c.waitStats.note(&c.waitStats.accept, s.account, c.accountIndex.Len(), c.env.Now()-s.receivedAt)
+	c.waitStats.record(&c.waitStats.accept, s.account, c.accountIndex.Len(), c.env.Now()-s.receivedAt)
 }
 
-// waits are what users and jobs waited, by account.
+// waitStats holds wait times in milliseconds and counts of finished jobs, by account number.
 type waitStats struct {
-	accept []*hdrhistogram.Histogram // from a submission to its answer, at this node
-	start  []*hdrhistogram.Histogram // of the leader: until a job's first task ran
-	served []served                  // of the leader, in its term
+	accept   []*hdrhistogram.Histogram // from a submission to its answer, at this node
+	start    []*hdrhistogram.Histogram // from when a job is ready to its first task's start; leader only
+	finished []finishedCounts          // of the current term; leader only
 }
 
-// served counts jobs that are over, services aside.
-type served struct{ jobs, inTime uint64 }
+// finishedCounts counts finished jobs that are not services.
+type finishedCounts struct{ jobs, inTime uint64 }
 
-// note enters a wait, in milliseconds.
-func (w *waitStats) note(list *[]*hdrhistogram.Histogram, account, accounts int, wait Micros) {
+// record adds a wait to the account's histogram, in milliseconds. accounts is the number of
+// accounts; a negative account is ignored.
+func (w *waitStats) record(histograms *[]*hdrhistogram.Histogram, account, accounts int, wait Micros) {
 	if account < 0 {
 		return
 	}
-	if *list == nil {
-		*list = make([]*hdrhistogram.Histogram, accounts)
+	if *histograms == nil {
+		*histograms = make([]*hdrhistogram.Histogram, accounts)
 	}
-	h := (*list)[account]
+	h := (*histograms)[account]
 	if h == nil {
 		h = hdrhistogram.New(1, 3_600_000, 2)
-		(*list)[account] = h
+		(*histograms)[account] = h
 	}
-	h.RecordValue(min(max(int64(wait/clock.Millisecond), 1), 3_600_000)) // within the bounds: no error
+	h.RecordValue(min(max(int64(wait/clock.Millisecond), 1), 3_600_000)) // no error is possible within the bounds
 }
 
-// noteOver counts a job that is over: in time means within the widest aim of its class.
+// recordJobEnd counts a finished job. A job is finished in time if it ended within the longest
+// target time of its class.
 func (c *Core) recordJobEnd(j *sched.Job) {
-	a := c.accountNumber(j.Spec)
-	if a < 0 || j.Service() || j.Cancelled || c.waitStats.served == nil {
+	account := c.accountNumber(j.Spec)
+	if account < 0 || j.Service() || j.Cancelled || c.waitStats.finished == nil {
 		return
 	}
-	s := &c.waitStats.served[a]
-	s.jobs++
-	widest := c.accountIndex.LongestTargets[a]
-	good := widest == 0 || j.EndedAt-j.ReadyAt <= widest
-	if good {
-		s.inTime++
+	counts := &c.waitStats.finished[account]
+	counts.jobs++
+	longestTarget := c.accountIndex.LongestTargets[account]
+	inTime := longestTarget == 0 || j.EndedAt-j.ReadyAt <= longestTarget
+	if inTime {
+		counts.inTime++
 	}
-	c.served.RecordFinished(a, good && (j.LastStartTarget == 0 || j.StartedAt <= j.LastStartTarget), c.env.Now())
+	c.served.RecordFinished(account, inTime && (j.LastStartTarget == 0 || j.StartedAt <= j.LastStartTarget), c.env.Now())
 	if j.StartedAt > 0 {
-		c.waitStats.note(&c.waitStats.start, a, c.accountIndex.Len(), j.StartedAt-j.ReadyAt)
+		c.waitStats.record(&c.waitStats.start, account, c.accountIndex.Len(), j.StartedAt-j.ReadyAt)
 	}
 }
 
-// Admission tells how submissions and machines are shared, as this node sees it.
+// Admission returns how submissions and machines are shared, as seen by this node.
 func (c *Core) Admission() *wire.AdmissionStatus {
 	now := c.env.Now()
 	out := &wire.AdmissionStatus{Node: c.cfg.Name, Enabled: c.policy.Admission.Enabled, IsLeader: c.Serving(), Rate: c.writeBudget.Rate(),
 		Waiting: c.submissions.queue.Len(), OldestSeconds: (now - c.submissions.queue.Oldest(now)).Seconds()}
-	t := c.allowance.Table(now)
-	if t != nil {
-		out.Term, out.Number, out.Overloaded = t.Term, t.Number, t.Overloaded
+	table := c.allowance.Table(now)
+	if table != nil {
+		out.Term, out.Number, out.Overloaded = table.Term, table.Number, table.Overloaded
 	}
 	for i, account := range c.accountIndex.Accounts {
-		n := c.allowance.Counts(i)
+		counts := c.allowance.Counts(i)
 		a := wire.AdmissionAccount{Team: account.Team, Class: account.Class, Queued: c.submissions.queue.QueuedCost(i),
-			Accepted: n.Accepted, Refused: n.Refused, Duplicates: n.Duplicates}
-		if t != nil {
-			e := t.Accounts[i]
-			a.Held, a.Waiting, a.MinShare, a.Share = e.Held, e.Waiting, e.MinShare, e.Share
-			a.Rate, a.NodeRate, a.Slots = float64(e.Rate)/1000, float64(e.NodeRate)/1000, e.Slots
+			Accepted: counts.Accepted, Refused: counts.Refused, Duplicates: counts.Duplicates}
+		if table != nil {
+			entry := table.Accounts[i]
+			a.Held, a.Waiting, a.MinShare, a.Share = entry.Held, entry.Waiting, entry.MinShare, entry.Share
+			a.Rate, a.NodeRate, a.Slots = float64(entry.Rate)/1000, float64(entry.NodeRate)/1000, entry.Slots
 		}
 		if w := c.waitStats.accept; w != nil && w[i] != nil {
 			a.AcceptP50Millis, a.AcceptP99Millis = w[i].ValueAtQuantile(50), w[i].ValueAtQuantile(99)
@@ -331,21 +342,22 @@
 		if w := c.waitStats.start; w != nil && w[i] != nil {
 			a.StartP50Millis, a.StartP99Millis = w[i].ValueAtQuantile(50), w[i].ValueAtQuantile(99)
 		}
-		if s := c.waitStats.served; out.IsLeader && s != nil {
-			a.FinishedJobs, a.FinishedInTime = s[i].jobs, s[i].inTime
+		if finished := c.waitStats.finished; out.IsLeader && finished != nil {
+			a.FinishedJobs, a.FinishedInTime = finished[i].jobs, finished[i].inTime
 		}
 		out.Accounts = append(out.Accounts, a)
 	}
 	return out
 }
 
-// account numbers the account of a job.
+// accountNumber returns the number of a job's account.
 func (c *Core) accountNumber(spec *wire.Job) int {
 	return c.accountIndex.IndexOf(spec.Team, spec.Class)
 }
 
-// judgeShares works out what each account is due in the pass that begins, from all
-// that is unfinished; nil unless there is more to do than the machines can take.
+// computeShares computes the entitlement of each account for the scheduling pass that begins,
+// from all unfinished jobs. It returns a function that gives a job's share, or nil unless the
+// machines are overloaded.
 func (c *Core) computeShares(now Micros) func(*sched.Job) *sched.FairShare {
 	if !c.policy.Admission.Enabled {
 		return nil
@@ -353,61 +365,62 @@
 	clear(c.demands)
 	var jobs []*sched.Job
 	for _, j := range c.jobs {
-		a := c.accountNumber(j.Spec)
-		if a < 0 || j.Service() || j.Priority >= wire.PriorityProduction || j.PlacedCount+len(j.Queue) == 0 {
+		account := c.accountNumber(j.Spec)
+		if account < 0 || j.Service() || j.Priority >= wire.PriorityProduction || j.PlacedCount+len(j.Queue) == 0 {
 			continue
 		}
-		d := &c.demands[a]
-		d.Held += float64(j.PlacedCount) * j.TaskCPUs()
+		demand := &c.demands[account]
+		demand.Held += float64(j.PlacedCount) * j.TaskCPUs()
 		if j.Active() {
-			d.Waiting += float64(len(j.Queue)) * j.TaskCPUs()
-			d.RemainingWork += j.RemainingWork()
+			demand.Waiting += float64(len(j.Queue)) * j.TaskCPUs()
+			demand.RemainingWork += j.RemainingWork()
 			jobs = append(jobs, j)
 		}
 	}
-	was := c.shares.Overloaded
-	shares := c.shares.Evaluate(now, c.batchCapacity(), c.cloudHas(now), c.demands)
-	if was != c.shares.Overloaded {
+	wasOverloaded := c.shares.Overloaded
+	shares := c.shares.Evaluate(now, c.batchCapacity(), c.cloudHasCapacity(now), c.demands)
+	if wasOverloaded != c.shares.Overloaded {
 		slog.Info("admission mode", "overload", c.shares.Overloaded, "term", c.term)
 	}
 	if shares == nil {
 		c.fairShares = nil
 		return nil
 	}
-	// Between teams the shares hold. Within a team, what its accounts lack for their floors
-	// goes first, and then its jobs in the users' order.
-	teams := map[string]*sched.FairShare{}
+	// The shares apply between teams. Within a team, jobs that its accounts need for their
+	// minimum shares go first, then the other jobs in the users' order.
+	teamShares := map[string]*sched.FairShare{}
 	for i, t := range c.cfg.Params.Teams {
-		teams[t.Name] = &sched.FairShare{Share: shares[i]}
+		teamShares[t.Name] = &sched.FairShare{Share: shares[i]}
 	}
 	for i, d := range c.demands {
-		teams[c.accountIndex.Accounts[i].Team].Allocated += d.Held
+		teamShares[c.accountIndex.Accounts[i].Team].Allocated += d.Held
 	}
-	cases := make([]admit.UnfinishedJob, len(jobs))
+	unfinished := make([]admit.UnfinishedJob, len(jobs))
 	for i, j := range jobs {
-		cases[i] = admit.UnfinishedJob{Account: c.accountNumber(j.Spec), Feasibility: j.Feasibility(now), RemainingWork: j.RemainingWork(), ReadyAt: j.ReadyAt, ID: j.ID}
+		unfinished[i] = admit.UnfinishedJob{Account: c.accountNumber(j.Spec), Feasibility: j.Feasibility(now), RemainingWork: j.RemainingWork(), ReadyAt: j.ReadyAt, ID: j.ID}
 	}
 	c.fairShares = make([]admit.Entitlement, len(c.demands))
 	for i := range c.fairShares {
-		c.fairShares[i].Share = teams[c.accountIndex.Accounts[i].Team].Share
+		c.fairShares[i].Share = teamShares[c.accountIndex.Accounts[i].Team].Share
 	}
-	for i, turn := range c.served.Evaluate(now, cases) {
+	for i, status := range c.served.Evaluate(now, unfinished) {
 		j := jobs[i]
-		j.MinShareStatus = turn
-		if turn.Needed {
-			c.fairShares[cases[i].Account].MinShare += float64(j.PlacedCount+len(j.Queue)) * j.TaskCPUs()
+		j.MinShareStatus = status
+		if status.Needed {
+			c.fairShares[unfinished[i].Account].MinShare += float64(j.PlacedCount+len(j.Queue)) * j.TaskCPUs()
 		}
 	}
-	none := &sched.FairShare{} // for what has no account
+	noShare := &sched.FairShare{} // for jobs without an account
 	return func(j *sched.Job) *sched.FairShare {
-		if d := teams[j.Spec.Team]; d != nil {
-			return d
+		if share := teamShares[j.Spec.Team]; share != nil {
+			return share
 		}
-		return none
+		return noShare
 	}
 }
 
-// batchRoom is the CPUs that are up or on their way for work that is not production.
+// batchCapacity returns the number of CPUs for non-production work on machines that are up
+// or are starting.
 func (c *Core) batchCapacity() float64 {
 	sum := 0.0
 	for _, m := range c.sortedMachines {
@@ -418,11 +431,11 @@
 	return sum
 }
 
-// cloudHas reports whether the cloud may have machines yet: it has refused less than
-// half of the ordinary kinds that it lists of late. Spot machines don't count: they are
-// cheap and few, so they are asked for first and refused first, also on a calm day while
-// ordinary ones boot for work that was always to come.
-func (c *Core) cloudHas(now Micros) bool {
+// cloudHasCapacity reports whether the cloud may still have machines: it has recently refused
+// fewer than half of the on-demand machine kinds that it lists. Spot machines do not count:
+// they are cheap and scarce, so they are requested first and refused first, even without an
+// overload, while on-demand machines for expected work boot.
+func (c *Core) cloudHasCapacity(now Micros) bool {
 	kinds, refused := 0, 0
 	for _, t := range c.catalog {
 		for _, zone := range t.Zones {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -13,73 +13,74 @@
 	"lilacthread/wire"
 )
 
-// Pipelines: a job waits until every job that it awaits is done, which counts
-// only once it is committed; whatever is unknown, unread or open keeps it
-// waiting. A cancellation goes down to all that need the job.
+// Pipelines: a job waits until the completion of every job it depends on is committed.
+// A dependency that is unknown, not read yet or unfinished keeps the job waiting. The
+// cancellation of a job cancels all its dependents.
 
-// link finds out what a job still waits for.
+// linkDependencies determines which dependencies of a job are still unmet. The job
+// becomes ready if there are none, and is cancelled if one of them was cancelled.
 func (c *Core) linkDependencies(j *sched.Job) {
 	if !j.Active() {
 		return
 	}
-	if !j.HasUnmetDependencies() { // awaits nothing
+	if !j.HasUnmetDependencies() { // no dependencies at all
 		c.queuePendingTasks(j)
 		c.recordArrival(j)
 		return
 	}
-	for _, n := range sched.RemoveDependencies(j) {
-		c.archive(n)
+	for _, dependency := range sched.RemoveDependencies(j) {
+		c.archive(dependency)
 	}
 	j.UnmetDependencies = 0
-	ready, doomed := j.Submitted, false
+	ready, dependencyCancelled := j.Submitted, false
 	for _, id := range j.Spec.DependsOn {
-		if n := c.jobs[id]; n != nil {
-			sched.AddDependency(j, n)
-			switch n.CommittedPhase {
+		if dependency := c.jobs[id]; dependency != nil {
+			sched.AddDependency(j, dependency)
+			switch dependency.CommittedPhase {
 			case wire.PhaseDone:
-				ready = max(ready, c.endTimeOrNow(n.EndedAt))
+				ready = max(ready, c.endTimeOrNow(dependency.EndedAt))
 			case wire.PhaseCancelled:
-				doomed = true
+				dependencyCancelled = true
 			default:
 				j.UnmetDependencies++
 			}
 			continue
 		}
-		f, known := c.finalRecords[id]
+		final, known := c.finalRecords[id]
 		switch {
 		case !known:
 			j.UnmetDependencies++
-			c.readNeed(id, j)
-		case f.Phase == wire.PhaseCancelled:
-			doomed = true
-		case f.EndedAt != 0:
-			ready = max(ready, c.toSteadyTime(f.EndedAt))
+			c.readDependency(id, j)
+		case final.Phase == wire.PhaseCancelled:
+			dependencyCancelled = true
+		case final.EndedAt != 0:
+			ready = max(ready, c.toSteadyTime(final.EndedAt))
 		default:
 			ready = c.env.Now()
 		}
 	}
 	switch {
-	case doomed:
+	case dependencyCancelled:
 		c.cancelWithDependents(j, nil)
 	case j.UnmetDependencies == 0:
 		c.becomeReady(j, ready)
 	}
 }
 
-// overAt is when a job ended, or now if nobody noted that.
-func (c *Core) endTimeOrNow(at Micros) Micros {
-	if at == 0 {
+// endTimeOrNow returns the time at which a job ended, or now if it was not recorded.
+func (c *Core) endTimeOrNow(endedAt Micros) Micros {
+	if endedAt == 0 {
 		return c.env.Now()
 	}
-	return at
+	return endedAt
 }
 
-// becomeReady lets a job start: all that it awaits is done.
-func (c *Core) becomeReady(j *sched.Job, at Micros) {
-	slog.Debug("ready", "job", j.ID, "after", (at - j.Submitted).Seconds())
-	c.setReady(j, at)
-	for _, n := range sched.RemoveDependencies(j) {
-		c.archive(n)
+// becomeReady allows a job to start because all its dependencies are done.
+func (c *Core) becomeReady(j *sched.Job, readyAt Micros) {
+	slog.Debug("job ready", "job", j.ID, "after", (readyAt - j.Submitted).Seconds())
+	c.setReady(j, readyAt)
+	for _, dependency := range sched.RemoveDependencies(j) {
+		c.archive(dependency)
 	}
 	c.saveProgress(j, classBackground, nil)
 	c.queuePendingTasks(j)
@@ -87,69 +88,71 @@
 	c.requestSchedulingPass()
 }
 
-// over is told that a job's end is committed: what needs it is ready, or
-// cancelled with it.
+// resolveDependents handles the committed end of a job: dependents without further unmet
+// dependencies become ready. If the job was cancelled, its dependents are cancelled.
 func (c *Core) resolveDependents(j *sched.Job) {
 	if j.CommittedPhase == wire.PhaseCancelled {
-		for _, n := range sched.RemoveDependencies(j) {
-			c.archive(n)
+		for _, dependency := range sched.RemoveDependencies(j) {
+			c.archive(dependency)
 		}
 	}
-	for _, d := range slices.Clone(j.DirectDependents) {
+	for _, dependent := range slices.Clone(j.DirectDependents) {
 		switch {
-		case !d.Active() || !d.HasUnmetDependencies():
-		case j.CommittedPhase == wire.PhaseCancelled: // it came after the cascade was begun
-			c.cancelWithDependents(d, nil)
+		case !dependent.Active() || !dependent.HasUnmetDependencies():
+		case j.CommittedPhase == wire.PhaseCancelled: // submitted after the cascade had begun
+			c.cancelWithDependents(dependent, nil)
 		default:
-			if d.UnmetDependencies--; d.UnmetDependencies == 0 {
-				c.becomeReady(d, c.env.Now())
+			if dependent.UnmetDependencies--; dependent.UnmetDependencies == 0 {
+				c.becomeReady(dependent, c.env.Now())
 			}
 		}
 	}
 }
 
-// cancelWith cancels a job, unless it is over, and all that need it. The jobs
-// are queued in the order of the pipeline, and the committer keeps that: nothing
-// is called cancelled before what it needs is. then runs when all of it is
-// committed.
-func (c *Core) cancelWithDependents(j *sched.Job, then func()) {
-	left := 1
+// cancelWithDependents cancels a job, unless it has ended, and all its dependents. The
+// jobs are queued in the order of the pipeline, which the committer keeps: no job is
+// reported as cancelled before its dependencies are. onCommitted, if not nil, runs once
+// all cancellations are committed.
+func (c *Core) cancelWithDependents(j *sched.Job, onCommitted func()) {
+	pending := 1
 	committed := func() {
-		if left--; left == 0 && then != nil {
-			then()
+		if pending--; pending == 0 && onCommitted != nil {
+			onCommitted()
 		}
 	}
-	for _, d := range append([]*sched.Job{j}, j.Dependents()...) {
-		if d.CommittedPhase != "" {
+	for _, affected := range append([]*sched.Job{j}, j.Dependents()...) {
+		if affected.CommittedPhase != "" {
 			continue
 		}
-		if !d.Ended {
-			slog.Debug("cancel", "job", d.ID)
-			d.Cancelled, d.Ended, d.Queue = true, true, nil
-			c.dropUnsentPlacements(d)
+		if !affected.Ended {
+			slog.Debug("cancelling job", "job", affected.ID)
+			affected.Cancelled, affected.Ended, affected.Queue = true, true, nil
+			c.dropUnsentPlacements(affected)
 		}
-		left++
-		c.commitJobEnd(d, committed)
+		pending++
+		c.commitJobEnd(affected, committed)
 	}
 	c.requestSchedulingPass()
 	committed()
 }
 
-// A job that awaits others must not be called queued for longer than cancel_s after a user was
-// told that one of them is cancelled. Its own cancellation is committed within a second or so,
-// unless nothing can be for that long: the job was accepted as the need was cancelled, and then
-// the state service was out. Before the outage is over for the job's record, nobody knows by
-// that alone (chaos with pairs, seed 1235; scenario dependent_submitted_before_outage). So of a job that
-// was accepted a while ago nothing is said while that may be so.
+// A job with dependencies must not be reported as queued for longer than cancel_s after a user
+// was notified that one of them is cancelled. Its own cancellation is normally committed within
+// about a second. It takes longer if nothing can be committed: the job was accepted while the
+// dependency was being cancelled, and then the state service became unavailable. The job's record
+// alone does not show this, even when it can be read again (chaos with pairs, seed 1235; scenario
+// dependent_submitted_before_outage). As long as a job that was accepted a while ago may be
+// affected, queries for its status are answered with unavailable.
 
-// old reports whether something happened so long ago that a cancellation told of before it
-// may be due soon.
+// cancellationMayBeDue reports whether more than half of cancel_s has passed since the given
+// time: if a user was notified of a cancellation before it, the cancellation of dependents may
+// have to be visible soon.
 func (c *Core) cancellationMayBeDue(at Micros) bool {
 	return c.env.Now()-at > clock.FromSeconds(c.cfg.Params.Workers.Cancel)/2
 }
 
-// uncertain reports whether a job may be cancelled with what it needs, though that is not
-// committed: its cancellation is under way, or something that it needs was not read yet.
+// mayBeCancelled reports whether a job may be cancelled along with a dependency although that is
+// not committed: its cancellation is in progress, or a dependency has not been read yet.
 func (c *Core) mayBeCancelled(j *sched.Job) bool {
 	if len(j.Spec.DependsOn) == 0 || j.CommittedPhase != "" {
 		return false
@@ -158,75 +161,78 @@
 		return true
 	}
 	return j.HasUnmetDependencies() && slices.ContainsFunc(j.Spec.DependsOn, func(id string) bool {
-		if n := c.jobs[id]; n != nil {
-			return c.mayBeCancelled(n)
+		if dependency := c.jobs[id]; dependency != nil {
+			return c.mayBeCancelled(dependency)
 		}
 		_, known := c.finalRecords[id]
 		return !known
 	})
 }
 
-// needsRead is how many needs of a job are looked up for a query.
-const needsRead = 8
+// maxDependencyLookups is the number of dependencies up to which a query looks them up.
+const maxDependencyLookups = 8
 
-// unlessDoomed answers from the record of a job that has not begun, unless something that it
-// awaits is found cancelled, or can't be found out.
-func (c *Core) answerUnlessCancelled(record []byte, a Answer, reply func(Answer)) {
-	var r jobRecord
-	switch err := msgpack.Unmarshal(record, &r); {
-	case err == nil && (len(r.Job.DependsOn) == 0 && r.Parts == 0 || !c.cancellationMayBeDue(c.toSteadyTime(r.AcceptedAt))):
-		reply(a)
+// answerUnlessCancelled gives the answer for a job that has not started, based on its record,
+// unless a dependency is cancelled or its state cannot be determined.
+func (c *Core) answerUnlessCancelled(record []byte, answer Answer, reply func(Answer)) {
+	var rec jobRecord
+	switch err := msgpack.Unmarshal(record, &rec); {
+	case err == nil && (len(rec.Job.DependsOn) == 0 && rec.Parts == 0 || !c.cancellationMayBeDue(c.toSteadyTime(rec.AcceptedAt))):
+		reply(answer)
 		return
-	case err != nil || r.Parts > 0 || len(r.Job.DependsOn) > needsRead:
+	case err != nil || rec.Parts > 0 || len(rec.Job.DependsOn) > maxDependencyLookups:
 		reply(unavailable)
 		return
 	}
-	left := len(r.Job.DependsOn)
-	for _, id := range r.Job.DependsOn {
-		c.lookup(id, func(need Answer) {
-			if need.Code != 200 || need.Status.Phase == wire.PhaseCancelled {
-				a = unavailable
+	pending := len(rec.Job.DependsOn)
+	for _, id := range rec.Job.DependsOn {
+		c.lookupStatus(id, func(dependency Answer) {
+			if dependency.Code != 200 || dependency.Status.Phase == wire.PhaseCancelled {
+				answer = unavailable
 			}
-			if left--; left == 0 {
-				reply(a)
+			if pending--; pending == 0 {
+				reply(answer)
 			}
 		})
 	}
 }
 
-// needRetry is the pause before a need that could not be read is read again.
-const needRetry = 500 * clock.Millisecond
+// dependencyRetryDelay is the time after which a failed read of a dependency is retried.
+const dependencyRetryDelay = 500 * clock.Millisecond
 
-// readNeed reads the final state of a job that is not in memory.
-func (c *Core) readNeed(id string, j *sched.Job) {
-	if waiting, under := c.finalReadWaiters[id]; under {
+// readDependency reads the final record of a dependency of j that is not in memory. Jobs
+// that wait for the same record share one read.
+func (c *Core) readDependency(id string, j *sched.Job) {
+	if waiting, reading := c.finalReadWaiters[id]; reading {
 		c.finalReadWaiters[id] = append(waiting, j)
 		return
 	}
 	c.finalReadWaiters[id] = []*sched.Job{j}
-	c.tryNeed(id)
+	c.tryReadDependency(id)
 }
 
-func (c *Core) tryNeed(id string) {
-	again := func() { c.env.After(needRetry, c.whileInTerm(func() { c.tryNeed(id) })) }
+// tryReadDependency reads a final record, retrying until that succeeds or the job is in
+// memory, and then links the jobs that wait for it.
+func (c *Core) tryReadDependency(id string) {
+	retry := func() { c.env.After(dependencyRetryDelay, c.whileInTerm(func() { c.tryReadDependency(id) })) }
 	if c.jobs[id] == nil && !c.readBudget.Allow(stdTime(c.env.Now()), admit.DependencyReads) {
-		again()
+		retry()
 		return
 	}
 	term := c.term
-	c.readFinalRecord(id, func(f *finalRecord, absent bool) {
+	c.readFinalRecord(id, func(final *finalRecord, absent bool) {
 		if !c.elector.Leading() || c.term != term || !c.loaded {
 			return
 		}
-		if f == nil && c.jobs[id] == nil {
+		if final == nil && c.jobs[id] == nil {
 			if absent {
-				slog.Error("an awaited job is not to be found", "job", id)
+				slog.Error("dependency is not in memory and has no final record", "job", id)
 			}
-			again()
+			retry()
 			return
 		}
-		if f != nil && c.jobs[id] == nil {
-			c.cacheFinalRecord(f)
+		if final != nil && c.jobs[id] == nil {
+			c.cacheFinalRecord(final)
 		}
 		waiting := c.finalReadWaiters[id]
 		delete(c.finalReadWaiters, id)
@@ -239,52 +245,53 @@
 	})
 }
 
-// readFinal reads a job's final record: nil if there is none or it can't be
-// read, and whether it is surely absent.
+// readFinalRecord reads a job's final record. It passes nil to done if there is none or
+// it cannot be read; absent tells that there is certainly none.
 func (c *Core) readFinalRecord(id string, done func(f *finalRecord, absent bool)) {
 	c.env.State().Get(finalPrefix+id, func(o store.Outcome, it *wire.Item) {
-		f := new(finalRecord)
-		if o != store.OK || msgpack.Unmarshal(it.Value, f) != nil || f.Phase == "" {
+		final := new(finalRecord)
+		if o != store.OK || msgpack.Unmarshal(it.Value, final) != nil || final.Phase == "" {
 			done(nil, o == store.Failed)
 			return
 		}
-		done(f, false)
+		done(final, false)
 	})
 }
 
-// verdict is what is known of the jobs that a submission awaits.
+// dependencyResult is the result of checking the dependencies of a submission.
 type dependencyResult struct {
-	rejectReason string // the submission can't be accepted
-	incomplete   bool   // not all could be read
+	rejectReason string // why the submission cannot be accepted, or ""
+	incomplete   bool   // some dependencies could not be read
 }
 
-// maxAccepted bounds how many accepted jobs are remembered.
-const maxAccepted = 50_000
+// maxAcceptedJobs bounds the number of remembered accepted jobs.
+const maxAcceptedJobs = 50_000
 
-// noteAccepted remembers that a job that others may await was accepted, which
-// never ends.
+// rememberAccepted remembers that a job on which others may depend was accepted. That
+// never changes, so an entry is never outdated.
 func (c *Core) rememberAccepted(id string) {
-	if len(c.acceptedJobs) >= maxAccepted {
+	if len(c.acceptedJobs) >= maxAcceptedJobs {
 		clear(c.acceptedJobs)
 	}
 	c.acceptedJobs[id] = true
 }
 
-// judge finds out whether all that a submission awaits was accepted.
+// checkDependencies checks that all dependencies of a submission are accepted jobs that
+// are not services.
 func (c *Core) checkDependencies(job *wire.Job, done func(dependencyResult)) {
-	var v dependencyResult
-	left := 1
+	var result dependencyResult
+	pending := 1
 	finish := func() {
-		if left--; left == 0 {
-			done(v)
+		if pending--; pending == 0 {
+			done(result)
 		}
 	}
 	for _, id := range job.DependsOn {
 		if !wire.ValidID(id) || id == job.ID {
-			v.rejectReason = "awaits: " + id + " is not a job that was accepted"
+			result.rejectReason = "awaits: " + id + " is not a job that was accepted"
 		}
 	}
-	if v.rejectReason != "" {
+	if result.rejectReason != "" {
 		finish()
 		return
 	}
@@ -293,24 +300,24 @@
 			continue
 		}
 		if c.elector.Leading() && c.loaded {
-			if n := c.jobs[id]; n != nil && !n.Service() {
+			if dependency := c.jobs[id]; dependency != nil && !dependency.Service() {
 				c.rememberAccepted(id)
 				continue
 			}
 		}
 		if !c.stateOK() || !c.readBudget.Allow(stdTime(c.env.Now()), admit.DependencyReads) {
-			v.incomplete = true
-			break // the rest would be asked for in vain; what was read is remembered
+			result.incomplete = true
+			break // further reads would fail as well; accepted jobs found so far are remembered
 		}
-		left++
+		pending++
 		c.readAccepted(id, func(accepted, service, known bool) {
 			switch {
 			case !known:
-				v.incomplete = true
+				result.incomplete = true
 			case service:
-				v.rejectReason = "awaits: " + id + " is a service"
+				result.rejectReason = "awaits: " + id + " is a service"
 			case !accepted:
-				v.rejectReason = "awaits: " + id + " is not a job that was accepted"
+				result.rejectReason = "awaits: " + id + " is not a job that was accepted"
 			default:
 				c.rememberAccepted(id)
 			}
@@ -320,8 +327,9 @@
 	finish()
 }
 
-// readAccepted reads whether a job was accepted: its record first and its final
-// one second, the order in which archiving moves it.
+// readAccepted reads whether a job was accepted: first its record, then its final record.
+// Archiving moves a job in the same direction, so it cannot be missed. known is false if
+// the state service gave no usable answer.
 func (c *Core) readAccepted(id string, done func(accepted, service, known bool)) {
 	c.env.State().Get(jobPrefix+id, func(o store.Outcome, it *wire.Item) {
 		switch o {
--- a/internal/controller/task_records.go
+++ b/internal/controller/task_records.go
@@ -13,22 +13,25 @@
 	"lilacthread/wire"
 )
 
-// From LevelTasks on, what is known of a job's tasks, finished or placed, lies in
-// records of taskSpan tasks each, t/JOB/FIRST. What the tasks share, such as what
-// they need, stands in the job's record; so a place takes some ten bytes, a launch
-// of many tasks of a job on many machines a change or two, and a hundred thousand
-// tasks no large value. A record that is too large all the same goes on in
-// t/JOB/FIRST/1 and so on, written in one transaction with it.
+// From LevelTasks on, the finished and the placed tasks of a job are stored in records
+// of tasksPerRecord tasks each, under t/JOB/FIRST, where FIRST is the index of the first
+// task. What the tasks share, such as their resource needs, is in the job's record.
+// Therefore a placement takes about ten bytes, a launch of many tasks of a job on many
+// machines takes one or two changes, and a job of 100,000 tasks needs no large value. A
+// record that exceeds the value limit of the state service continues in t/JOB/FIRST/1
+// and so on; all its parts are written in one transaction.
 const tasksPerRecord = 64
 
+// tasksRecord is the stored state of up to tasksPerRecord tasks of a job.
 type tasksRecord struct {
 	Done        uint64   `msgpack:"d,omitempty"` // bit per task
-	Estimate    int64    `msgpack:"e,omitempty"`
-	BaseAttempt uint64   `msgpack:"a,omitempty"` // the least attempt
+	Estimate    int64    `msgpack:"e,omitempty"` // of a task's run time, microseconds; once a task succeeded
+	BaseAttempt uint64   `msgpack:"a,omitempty"` // the lowest attempt of the placements
 	Machines    []string `msgpack:"m,omitempty"`
-	Placements  []uint64 `msgpack:"p,omitempty"` // four each: task, machine, attempt over base, session
+	Placements  []uint64 `msgpack:"p,omitempty"` // four each: task minus FIRST, index in Machines, attempt minus BaseAttempt, session
 }
 
+// tasksKey returns the key of a part of the record that begins with task first.
 func tasksKey(job string, first, part int) string {
 	key := taskPrefix + job + "/" + strconv.Itoa(first)
 	if part > 0 {
@@ -37,32 +40,33 @@
 	return key
 }
 
+// splitTasksKey parses a key made by tasksKey; ok is false if it is not valid.
 func splitTasksKey(key string) (job string, first, part int, ok bool) {
-	words := strings.Split(strings.TrimPrefix(key, taskPrefix), "/")
-	if len(words) < 2 || len(words) > 3 {
+	segments := strings.Split(strings.TrimPrefix(key, taskPrefix), "/")
+	if len(segments) < 2 || len(segments) > 3 {
 		return "", 0, 0, false
 	}
-	first, err := strconv.Atoi(words[1])
-	if err == nil && len(words) == 3 {
-		part, err = strconv.Atoi(words[2])
+	first, err := strconv.Atoi(segments[1])
+	if err == nil && len(segments) == 3 {
+		part, err = strconv.Atoi(segments[2])
 	}
-	return words[0], first, part, err == nil && first >= 0 && first%tasksPerRecord == 0 && part >= 0 && wire.ValidID(words[0])
+	return segments[0], first, part, err == nil && first >= 0 && first%tasksPerRecord == 0 && part >= 0 && wire.ValidID(segments[0])
 }
 
-// saveTasks writes the record that one of a job's tasks lies in.
+// saveTasks queues a write of the record that contains the task of the given index.
 func (c *Core) saveTasks(j *sched.Job, index, class int, done func()) {
 	first := index / tasksPerRecord * tasksPerRecord
 	c.committer.add(tasksKey(j.ID, first, 0), class, func() ([]wire.Change, bool) {
 		var values [][]byte
 		if c.jobs[j.ID] == j {
-			// A record queued before may have come to hold a first place on a
-			// machine whose own record is queued behind it.
+			// Since this write was queued, the record may have received the first placement on a
+			// machine whose own record is queued after it.
 			for i := first; i < min(first+tasksPerRecord, len(j.Tasks)); i++ {
 				if p := j.Tasks[i].Placement; p != nil && !p.Machine.Recorded {
 					return nil, false
 				}
 			}
-			values = splitTasks(renderTasks(j, first), c.stateLimits().ValueBytes())
+			values = encodeTasks(buildTasksRecord(j, first), c.stateLimits().ValueBytes())
 		}
 		var changes []wire.Change
 		for part := range max(len(values), j.TaskRecords[first]) {
@@ -72,7 +76,7 @@
 			}
 			changes = append(changes, putOrDelete(tasksKey(j.ID, first, part), value))
 		}
-		if len(changes) == 0 { // neither there nor needed; an earlier write may be
+		if len(changes) == 0 { // no record is known or needed, but an earlier write may have created one
 			changes = append(changes, wire.Change{DeleteKey: tasksKey(j.ID, first, 0)})
 		}
 		j.TaskRecords[first] = max(len(values), j.TaskRecords[first])
@@ -80,7 +84,7 @@
 	}, done)
 }
 
-// deleteTasks removes the records of an archived job's tasks.
+// deleteTasks queues the deletion of a record of an archived job's tasks with all its parts.
 func (c *Core) deleteTasks(job string, first, parts int) {
 	c.committer.add(tasksKey(job, first, 0), classBackground, func() ([]wire.Change, bool) {
 		changes := []wire.Change{{DeleteKey: tasksKey(job, first, 0)}}
@@ -91,131 +95,133 @@
 	}, nil)
 }
 
-// renderTasks is what is to be remembered of the tasks from first on; nil if
-// that is nothing.
-func renderTasks(j *sched.Job, first int) *tasksRecord {
-	r := new(tasksRecord)
+// buildTasksRecord returns the record of the tasks from first on, or nil if there is
+// nothing to store.
+func buildTasksRecord(j *sched.Job, first int) *tasksRecord {
+	record := new(tasksRecord)
 	tasks := j.Tasks[first:min(first+tasksPerRecord, len(j.Tasks))]
-	// The place of a task whose result is committed tells nothing any more.
-	held := func(t *sched.Task) bool {
+	// The placement of a done task that has exited is not needed any more.
+	needsPlacement := func(t *sched.Task) bool {
 		return t.Placement != nil && !(t.Placement.Exited && t.State == sched.Done)
 	}
-	r.BaseAttempt = math.MaxUint64
+	record.BaseAttempt = math.MaxUint64
 	for i := range tasks {
-		if t := &tasks[i]; held(t) {
-			r.BaseAttempt = min(r.BaseAttempt, t.Placement.Attempt)
+		if t := &tasks[i]; needsPlacement(t) {
+			record.BaseAttempt = min(record.BaseAttempt, t.Placement.Attempt)
 		}
 	}
 	for i := range tasks {
 		t := &tasks[i]
 		if t.State == sched.Done {
-			r.Done |= 1 << i
+			record.Done |= 1 << i
 		}
-		if !held(t) {
+		if !needsPlacement(t) {
 			continue
 		}
-		at := slices.Index(r.Machines, t.Placement.Machine.ID)
-		if at < 0 {
-			at = len(r.Machines)
-			r.Machines = append(r.Machines, t.Placement.Machine.ID)
+		machineIndex := slices.Index(record.Machines, t.Placement.Machine.ID)
+		if machineIndex < 0 {
+			machineIndex = len(record.Machines)
+			record.Machines = append(record.Machines, t.Placement.Machine.ID)
 		}
-		r.Placements = append(r.Placements, uint64(i), uint64(at), t.Placement.Attempt-r.BaseAttempt, t.Placement.Session)
+		record.Placements = append(record.Placements, uint64(i), uint64(machineIndex), t.Placement.Attempt-record.BaseAttempt, t.Placement.Session)
 	}
-	if r.Done == 0 && len(r.Placements) == 0 {
+	if record.Done == 0 && len(record.Placements) == 0 {
 		return nil
 	}
-	if len(r.Placements) == 0 {
-		r.BaseAttempt = 0
+	if len(record.Placements) == 0 {
+		record.BaseAttempt = 0
 	}
 	if j.AnyTaskSucceeded {
-		r.Estimate = int64(j.Estimate)
+		record.Estimate = int64(j.Estimate)
 	}
-	return r
+	return record
 }
 
-// splitTasks encodes a record in values of at most limit bytes each.
-func splitTasks(r *tasksRecord, limit int) [][]byte {
-	if r == nil {
+// encodeTasks encodes a record as one or more values of at most limit bytes each. A value
+// with a single placement is not split and may be larger.
+func encodeTasks(record *tasksRecord, limit int) [][]byte {
+	if record == nil {
 		return nil
 	}
-	value := wire.Encode(r)
-	if wire.JSONSize(value) <= limit || len(r.Placements) <= 4 {
+	value := wire.Encode(record)
+	if wire.JSONSize(value) <= limit || len(record.Placements) <= 4 {
 		return [][]byte{value}
 	}
-	half := len(r.Placements) / 8 * 4
-	head, tail := *r, tasksRecord{BaseAttempt: r.BaseAttempt}
-	head.Placements, tail.Placements = r.Placements[:half], r.Placements[half:]
-	return append(splitTasks(head.compact(r.Machines), limit), splitTasks(tail.compact(r.Machines), limit)...)
+	half := len(record.Placements) / 8 * 4
+	head, tail := *record, tasksRecord{BaseAttempt: record.BaseAttempt}
+	head.Placements, tail.Placements = record.Placements[:half], record.Placements[half:]
+	return append(encodeTasks(head.compact(record.Machines), limit), encodeTasks(tail.compact(record.Machines), limit)...)
 }
 
-// compact keeps only the machines that the record's places name.
+// compact copies the record's placements, which refer to the given machines, and keeps
+// only the machines that they use.
 func (r *tasksRecord) compact(machines []string) *tasksRecord {
 	r.Placements, r.Machines = slices.Clone(r.Placements), nil
 	for i := 1; i < len(r.Placements); i += 4 {
 		name := machines[r.Placements[i]]
-		at := slices.Index(r.Machines, name)
-		if at < 0 {
-			at = len(r.Machines)
+		machineIndex := slices.Index(r.Machines, name)
+		if machineIndex < 0 {
+			machineIndex = len(r.Machines)
 			r.Machines = append(r.Machines, name)
 		}
-		r.Placements[i] = uint64(at)
+		r.Placements[i] = uint64(machineIndex)
 	}
 	return r
 }
 
-// foundTasks is a record of a job's tasks as a new leader finds it.
-type foundTasks struct {
+// storedTasks is a record of a job's tasks as read by a new leader.
+type storedTasks struct {
 	job   *sched.Job
 	first int
 	tasksRecord
 }
 
-// readTasks takes in which tasks are done, and gives the records for their
-// places to be restored when the machines are known.
-func (c *Core) restoreDoneTasks(items []wire.Item) []foundTasks {
-	var out []foundTasks
+// restoreDoneTasks marks tasks as done according to their records. It returns the records,
+// so that their placements can be restored once the machines are known.
+func (c *Core) restoreDoneTasks(items []wire.Item) []storedTasks {
+	var out []storedTasks
 	for i := range items {
 		job, first, part, ok := splitTasksKey(items[i].Key)
-		f := foundTasks{job: c.jobs[job], first: first}
-		if !ok || msgpack.Unmarshal(items[i].Value, &f.tasksRecord) != nil || len(f.Placements)%4 != 0 {
-			slog.Error("record of tasks cannot be read", "key", items[i].Key)
+		stored := storedTasks{job: c.jobs[job], first: first}
+		if !ok || msgpack.Unmarshal(items[i].Value, &stored.tasksRecord) != nil || len(stored.Placements)%4 != 0 {
+			slog.Error("task record cannot be read", "key", items[i].Key)
 			continue
 		}
-		if f.job == nil { // archived, or never to be
+		if stored.job == nil { // the job is archived or was never created
 			c.committer.put(items[i].Key, func() []byte { return nil }, nil)
 			continue
 		}
-		f.job.TaskRecords[first] = max(f.job.TaskRecords[first], part+1)
-		if f.Estimate > 0 {
-			f.job.Estimate, f.job.AnyTaskSucceeded = Micros(f.Estimate), true
+		stored.job.TaskRecords[first] = max(stored.job.TaskRecords[first], part+1)
+		if stored.Estimate > 0 {
+			stored.job.Estimate, stored.job.AnyTaskSucceeded = Micros(stored.Estimate), true
 		}
 		for i := range tasksPerRecord {
-			if at := first + i; f.Done&(1<<i) != 0 && at < len(f.job.Tasks) && f.job.Tasks[at].State != sched.Done {
-				f.job.Tasks[at].State = sched.Done
-				f.job.DoneCount++
+			if index := first + i; stored.Done&(1<<i) != 0 && index < len(stored.job.Tasks) && stored.job.Tasks[index].State != sched.Done {
+				stored.job.Tasks[index].State = sched.Done
+				stored.job.DoneCount++
 			}
 		}
-		out = append(out, f)
+		out = append(out, stored)
 	}
 	return out
 }
 
-// restorePlaces enters the placements of a record. A machine that has no record
-// any more was returned, with all that was on it: its record is written before
-// the first placement and deleted only then.
-func (c *Core) restorePlacements(f foundTasks) {
-	j := f.job
-	for p := f.Placements; len(p) >= 4; p = p[4:] {
-		index := f.first + int(p[0])
-		if p[0] >= tasksPerRecord || index >= len(j.Tasks) || p[1] >= uint64(len(f.Machines)) {
+// restorePlacements restores the placements of a record. A machine without a record was
+// released with all its tasks: its record is written before the first placement on it
+// and deleted only at its release.
+func (c *Core) restorePlacements(stored storedTasks) {
+	j := stored.job
+	for fields := stored.Placements; len(fields) >= 4; fields = fields[4:] {
+		index := stored.first + int(fields[0])
+		if fields[0] >= tasksPerRecord || index >= len(j.Tasks) || fields[1] >= uint64(len(stored.Machines)) {
 			continue
 		}
-		m := c.machines[f.Machines[p[1]]]
+		m := c.machines[stored.Machines[fields[1]]]
 		if m == nil {
 			continue
 		}
-		c.restorePlacement(j, &sched.Placement{Index: index, Task: wire.TaskID(j.ID, index), Attempt: f.BaseAttempt + p[2],
-			Machine: m, Session: p[3], Need: j.Need(), Team: j.Spec.Team, Priority: j.Priority,
+		c.restorePlacement(j, &sched.Placement{Index: index, Task: wire.TaskID(j.ID, index), Attempt: stored.BaseAttempt + fields[2],
+			Machine: m, Session: fields[3], Need: j.Need(), Team: j.Spec.Team, Priority: j.Priority,
 			Image: j.Spec.Image, InJobRecord: true})
 	}
 }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -15,32 +15,34 @@
 	"lilacthread/wire/fb"
 )
 
-// unavailable is the answer of a node that cannot know or do what was asked.
+// unavailable is the answer of a node that can neither determine nor do what was requested.
 var unavailable = Answer{Code: 503, RetryAfter: 1}
 
-// intake gathers submissions, so that one transaction creates several jobs.
+// submissionBatcher queues submissions so that one transaction creates several jobs.
 type submissionBatcher struct {
 	queue *admit.Queue[*submission]
 	busy  bool
 }
 
+// submission is a job that waits to be written to the state service.
 type submission struct {
 	job        *wire.Job
 	account    int
 	receivedAt Micros
-	changes    []wire.Change // its record first
+	changes    []wire.Change // the job's record first
 	reply      func(Answer)
 }
 
-// intakeMemory is the part of the process's memory that the records of waiting
-// submissions may take.
+// submissionMemoryDivisor limits the records of queued submissions to this fraction
+// (1/50) of the process's memory limit.
 const submissionMemoryDivisor = 50
 
-// Submit takes a job from a user.
+// Submit handles a job submitted by a user. A job that can never run is rejected;
+// a node that does not reach the state service forwards the job to a peer that does.
 func (c *Core) Submit(job *wire.Job, reply func(Answer)) {
 	if c.catalog != nil {
-		if why := c.impossible(job); why != "" {
-			c.refuseNew(job.ID, Answer{Code: 422, Status: wire.JobStatus{ID: why}}, reply)
+		if reason := c.unrunnableReason(job); reason != "" {
+			c.refuseNew(job.ID, Answer{Code: 422, Status: wire.JobStatus{ID: reason}}, reply)
 			return
 		}
 	}
@@ -49,19 +51,20 @@
 		return
 	}
 	if !c.stateOK() {
-		c.submitElsewhere(job, reply)
+		c.submitToAnyPeer(job, reply)
 		return
 	}
 	c.submitLocally(job, true, reply)
 }
 
-// Malformed takes a submission that lacks a field or has one that is not valid.
-func (c *Core) RejectMalformed(id, why string, reply func(Answer)) {
-	c.refuseNew(id, Answer{Code: 400, Status: wire.JobStatus{ID: why}}, reply)
+// RejectMalformed answers a submission in which a field is missing or invalid.
+func (c *Core) RejectMalformed(id, reason string, reply func(Answer)) {
+	c.refuseNew(id, Answer{Code: 400, Status: wire.JobStatus{ID: reason}}, reply)
 }
 
-// refuseNew refuses a job for good unless it is known: one that was accepted stays accepted,
-// whatever the submission, the settings, its awaits and the limits of the state service say now.
+// refuseNew rejects a job permanently unless it exists. An accepted job stays accepted even if
+// its submission would be rejected now because of changed settings, dependencies or limits of
+// the state service; the answer is then the job's status.
 func (c *Core) refuseNew(id string, refusal Answer, reply func(Answer)) {
 	c.Status(id, func(a Answer) {
 		if a.Code == 404 {
@@ -71,10 +74,10 @@
 	})
 }
 
-// submitElsewhere hands a submission to a peer that reaches the state service,
-// which this node does not.
-func (c *Core) submitElsewhere(job *wire.Job, reply func(Answer)) {
-	for _, peer := range c.cfg.Peers { // in the same order each time
+// submitToAnyPeer forwards a submission to a peer that reaches the state service,
+// because this node does not reach it.
+func (c *Core) submitToAnyPeer(job *wire.Job, reply func(Answer)) {
+	for _, peer := range c.cfg.Peers { // the configured order, which is always the same
 		if p := c.peers[peer.Name]; p.stateOK && c.env.Now()-p.lastMessageAt < 3*clock.Second {
 			c.submitToPeer(peer.Name, job, reply)
 			return
@@ -83,26 +86,29 @@
 	reply(unavailable)
 }
 
-// submitTo hands a submission to a peer.
+// submitToPeer forwards a submission to a peer.
 func (c *Core) submitToPeer(node string, job *wire.Job, reply func(Answer)) {
 	m := c.newMessage(fb.KindSubmit)
 	m.Body = wire.Encode(job)
-	c.env.Call(node, m, 2*clock.Second, func(r *peer.Msg) { reply(answerOf(r)) })
+	c.env.Call(node, m, 2*clock.Second, func(r *peer.Msg) { reply(answerFromMessage(r)) })
 }
 
-func answerOf(m *peer.Msg) Answer {
-	if m == nil || m.Code < 200 || m.Code > 599 {
+// answerFromMessage converts a peer's reply to an answer to the user. A missing reply
+// or one with an invalid code gives unavailable.
+func answerFromMessage(message *peer.Msg) Answer {
+	if message == nil || message.Code < 200 || message.Code > 599 {
 		return unavailable
 	}
-	a := Answer{Code: m.Code, Status: wire.JobStatus{ID: m.Job, Phase: m.Phase, Done: m.Done, Running: m.Running}}
-	if m.Code >= 429 {
-		a.RetryAfter = max(m.RetryAfter, 1)
+	a := Answer{Code: message.Code, Status: wire.JobStatus{ID: message.Job, Phase: message.Phase, Done: message.Done, Running: message.Running}}
+	if message.Code >= 429 {
+		a.RetryAfter = max(message.RetryAfter, 1)
 	}
 	return a
 }
 
-// submitHere takes a submission at this node, or at the leader if it may be passed on.
-func (c *Core) submitLocally(job *wire.Job, pass bool, reply func(Answer)) {
+// submitLocally accepts a submission at this node once its dependencies are checked.
+// With mayForward, the submission may go to the leader instead of the local queue.
+func (c *Core) submitLocally(job *wire.Job, mayForward bool, reply func(Answer)) {
 	if c.elector.Leading() && c.loaded {
 		if _, known := c.jobs[job.ID]; known {
 			c.Status(job.ID, reply)
@@ -110,58 +116,61 @@
 		}
 	}
 	if len(job.DependsOn) == 0 {
-		c.enqueue(job, pass, reply)
+		c.enqueue(job, mayForward, reply)
 		return
 	}
-	c.checkDependencies(job, func(v dependencyResult) {
-		if v.rejectReason == "" && !v.incomplete {
-			c.enqueue(job, pass, reply)
+	c.checkDependencies(job, func(result dependencyResult) {
+		if result.rejectReason == "" && !result.incomplete {
+			c.enqueue(job, mayForward, reply)
 			return
 		}
 		refusal := unavailable
-		if v.rejectReason != "" {
-			refusal = Answer{Code: 422, Status: wire.JobStatus{ID: v.rejectReason}}
+		if result.rejectReason != "" {
+			refusal = Answer{Code: 422, Status: wire.JobStatus{ID: result.rejectReason}}
 		}
 		c.refuseNew(job.ID, refusal, reply)
 	})
 }
 
-// enqueue lets a submission wait for the next transaction, or says when to come back.
-func (c *Core) enqueue(job *wire.Job, pass bool, reply func(Answer)) {
+// enqueue queues a submission for the next transaction, forwards it to the leader, or
+// refuses it with a time after which to retry.
+func (c *Core) enqueue(job *wire.Job, mayForward bool, reply func(Answer)) {
 	now, account := c.env.Now(), c.accountNumber(job)
-	turn, here := c.tableRetryAfter(job, account, now), c.localWait(job, account, now)
-	if turn == 0 && pass && here >= submissionForwardAfter && c.forwardSubmission(job, account, reply) {
+	tableWait, queueWait := c.tableRetryAfter(job, account, now), c.localWait(job, account, now)
+	if tableWait == 0 && mayForward && queueWait >= submissionForwardAfter && c.forwardSubmission(job, account, reply) {
 		return
 	}
-	if wait := max(turn, c.queueRetryAfter(job, account, here)); wait > 0 {
+	if wait := max(tableWait, c.queueRetryAfter(job, account, queueWait)); wait > 0 {
 		c.refuseForOverload(job, account, wait, reply)
 		return
 	}
-	changes, why := c.jobChanges(job)
-	if why != "" {
-		c.RejectMalformed(job.ID, why, reply)
+	changes, reason := c.jobChanges(job)
+	if reason != "" {
+		c.RejectMalformed(job.ID, reason, reply)
 		return
 	}
 	c.allowance.RecordSubmission(account, len(changes), now)
-	c.await(&submission{job, account, now, changes, reply})
-	c.takeIn()
+	c.queueSubmission(&submission{job, account, now, changes, reply})
+	c.commitSubmissions()
 }
 
-// await enters a submission into the queue.
-func (c *Core) await(s *submission) {
+// queueSubmission appends a submission to the queue.
+func (c *Core) queueSubmission(s *submission) {
 	bytes := 0
 	for _, ch := range s.changes {
 		bytes += len(ch.PutKey) + len(ch.Value)
 	}
-	c.submissions.queue.Push(s.account, c.rank(s.job), len(s.changes), bytes, s.receivedAt, s)
+	c.submissions.queue.Push(s.account, c.submissionRank(s.job), len(s.changes), bytes, s.receivedAt, s)
 }
 
+// awaitsKey returns the key of a record that holds some of a job's dependencies.
 func awaitsKey(job string, part int) string {
 	return fmt.Sprintf("%s%s%s%04d", jobPrefix, job, awaitsSuffix, part)
 }
 
-// jobChanges renders the record of a job; what its awaits don't fit in beside it
-// goes into keys of its own, written in the same transaction.
+// jobChanges returns the changes that create a job, its record first. Dependencies that
+// do not fit in the record go to keys of their own, written in the same transaction.
+// If the job exceeds the limits of the state service, the reason is returned instead.
 func (c *Core) jobChanges(job *wire.Job) ([]wire.Change, string) {
 	limits := c.stateLimits()
 	limit := limits.ValueBytes()
@@ -172,7 +181,7 @@
 		rec.Job.DependsOn, rec.Parts = nil, 1
 		value = wire.Encode(&rec)
 		if wire.JSONSize(value) > limit-16 {
-			return nil, fmt.Sprintf("too large: a job's record may take %d bytes beside its awaits", limit-16)
+			return nil, fmt.Sprintf("too large: a job's record without its awaits may take %d bytes", limit-16)
 		}
 		var part awaitsRecord
 		size := 0
@@ -181,12 +190,12 @@
 			part, size = awaitsRecord{}, 0
 		}
 		for _, id := range job.DependsOn {
-			n := len(id) + 3
-			if size+n > limit-16 {
+			idSize := len(id) + 3
+			if size+idSize > limit-16 {
 				flush()
 			}
 			part.Awaits = append(part.Awaits, id)
-			size += n
+			size += idSize
 		}
 		flush()
 		rec.Parts = len(changes) - 1
@@ -194,66 +203,66 @@
 	}
 	changes[0].Value = value
 	if size := changesSize(changes) + txnOverhead; len(changes) > limits.TxnOps || size > wire.MaxBody {
-		return nil, fmt.Sprintf("awaits: too long, a job may take %d records of %d bytes and %d in all", limits.TxnOps, limit, wire.MaxBody-txnOverhead)
+		return nil, fmt.Sprintf("awaits: too long, a job may take %d records of %d bytes each and %d bytes in all", limits.TxnOps, limit, wire.MaxBody-txnOverhead)
 	}
 	return changes, ""
 }
 
-// impossible says why a job can never run, or "".
-func (c *Core) impossible(job *wire.Job) string {
-	limit := sched.Team{}
+// unrunnableReason returns why a job can never run, or "" if it can.
+func (c *Core) unrunnableReason(job *wire.Job) string {
+	team := sched.Team{}
 	known := false
 	for _, t := range c.cfg.Params.Teams {
 		if t.Name == job.Team {
 			known = true
-			limit.Limit = sched.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
+			team.Limit = sched.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
 		}
 	}
 	if !known {
 		return "unknown team"
 	}
-	j := &sched.Job{Spec: job}
+	candidate := &sched.Job{Spec: job}
 	fits := false
 	for i := range c.catalog {
 		for _, zone := range c.catalog[i].Zones {
-			fits = fits || j.Allows(&c.catalog[i], zone, false)
+			fits = fits || candidate.Allows(&c.catalog[i], zone, false)
 		}
 	}
 	if !fits {
 		return "a task fits no allowed machine type"
 	}
-	need := j.Need()
+	need := candidate.Need()
 	if job.Kind != wire.KindArray {
 		need.CPUs *= float64(job.Tasks)
 		need.GPUs *= float64(job.Tasks)
 	}
-	if !limit.Allows(need) {
+	if !team.Allows(need) {
 		return "needs more than the team's limit"
 	}
 	return ""
 }
 
-// takeIn creates the waiting jobs in one transaction. A job that exists
-// already, under way or over, makes its guard fail and gets its state instead.
-func (c *Core) takeIn() {
+// commitSubmissions creates queued jobs in one transaction. If a job exists already,
+// unfinished or finished, its guard fails and its status is the answer instead.
+func (c *Core) commitSubmissions() {
 	c.writeBudget.SetWaiting(admit.SubmissionWrites, c.submissions.queue.Len() > 0)
 	if c.submissions.busy || c.submissions.queue.Len() == 0 {
 		return
 	}
 	now := c.env.Now()
 	at := stdTime(now)
-	// A submission of more changes than the budget ever holds goes when that is full.
+	// A submission with more changes than the budget's burst is sent once the budget is full.
 	need := min(c.submissions.queue.HeadCost(), c.writeBudget.Burst())
 	tokens := int(c.writeBudget.Available(at, admit.SubmissionWrites))
 	if tokens < need && c.writeBudget.Remaining(at) < float64(c.writeBudget.Burst()) {
 		c.submissions.busy = true
 		c.env.After(50*clock.Millisecond, func() {
 			c.submissions.busy = false
-			c.takeIn()
+			c.commitSubmissions()
 		})
 		return
 	}
-	batch, txn := c.collect(min(c.stateLimits().TxnOps, tokens))
+	batch, txn := c.collectSubmissions(min(c.stateLimits().TxnOps, tokens))
 	c.submissions.busy = true
 	term, leading := c.term, c.elector.Leading()
 	c.writeBudget.Spend(at, admit.SubmissionWrites, len(txn.Then))
@@ -262,34 +271,35 @@
 		switch o {
 		case store.OK:
 			c.lastStateContact = c.env.Now()
-			// In this term only this node can have ended them since, and would know.
-			c.created(batch, leading && c.elector.Leading() && c.term == term && c.loaded)
+			// In an unchanged term, only this leader can have ended the jobs since, and it would know.
+			c.answerCreated(batch, leading && c.elector.Leading() && c.term == term && c.loaded)
 		case store.Failed:
-			c.notCreated(batch, a.FailedGuards)
+			c.handleFailedGuards(batch, a.FailedGuards)
 		case store.Invalid:
 			c.resubmit(batch, txn.Then)
 		default:
-			// Perhaps created, perhaps not: the user asks again and finds out.
+			// The jobs may or may not have been created: a retry by the user settles it.
 			for _, s := range batch {
 				s.reply(unavailable)
 			}
 		}
-		c.takeIn()
+		c.commitSubmissions()
 	})
 }
 
-// collect takes submissions out of the queue for one transaction of at most so many changes.
-func (c *Core) collect(room int) ([]*submission, *wire.Txn) {
+// collectSubmissions removes submissions from the queue for one transaction of at most
+// maxChanges changes; the first submission may exceed that.
+func (c *Core) collectSubmissions(maxChanges int) ([]*submission, *wire.Txn) {
 	txn := &wire.Txn{}
 	var batch []*submission
 	seen := map[string]bool{}
 	bytes := txnOverhead
 	fits := func(s *submission) bool {
-		bytes += changesSize(s.changes) + 4*changeOverhead // with its guards
+		bytes += changesSize(s.changes) + 4*changeOverhead // the overhead covers the guards
 		return (len(batch) == 0 || bytes <= wire.MaxBody) && !seen[s.job.ID]
 	}
 	for {
-		s, ok := c.submissions.queue.Pop(room-len(txn.Then), len(batch) == 0, fits)
+		s, ok := c.submissions.queue.Pop(maxChanges-len(txn.Then), len(batch) == 0, fits)
 		if !ok {
 			return batch, txn
 		}
@@ -300,13 +310,14 @@
 	}
 }
 
-// created answers submissions whose jobs were written; add: this leader takes them up.
-func (c *Core) created(batch []*submission, add bool) {
+// answerCreated answers submissions whose jobs were written. With addJobs, this node is
+// the leader and adds the jobs to memory.
+func (c *Core) answerCreated(batch []*submission, addJobs bool) {
 	for _, s := range batch {
 		if s.job.Kind != wire.KindService {
 			c.rememberAccepted(s.job.ID)
 		}
-		if add {
+		if addJobs {
 			c.addSubmitted(s)
 			c.requestSchedulingPass()
 		}
@@ -315,10 +326,12 @@
 	}
 }
 
-// notCreated deals with submissions of which some are known: those keys exist.
-func (c *Core) notCreated(batch []*submission, failed []string) {
+// handleFailedGuards handles a transaction that failed because some of its jobs exist:
+// those are answered with their status, the others are queued again. If no failed guard is
+// given, all users are told to retry.
+func (c *Core) handleFailedGuards(batch []*submission, failedKeys []string) {
 	known := map[string]bool{}
-	for _, key := range failed {
+	for _, key := range failedKeys {
 		known[key[2:]] = true
 	}
 	for _, s := range batch {
@@ -326,7 +339,7 @@
 		case known[s.job.ID]:
 			c.recordSubmission(s, true)
 			c.Status(s.job.ID, func(a Answer) {
-				if a.Code == 404 { // cannot be: its record exists
+				if a.Code == 404 { // contradicts the failed guard: the job's record exists
 					a = unavailable
 				}
 				s.reply(a)
@@ -334,12 +347,12 @@
 		case len(known) == 0:
 			s.reply(unavailable)
 		default:
-			c.await(s)
+			c.queueSubmission(s)
 		}
 	}
 }
 
-// addSubmitted enters a job that this node, the leader, has just created.
+// addSubmitted adds a job to memory that this node, the leader, has just created.
 func (c *Core) addSubmitted(s *submission) {
 	items := make([]wire.Item, 0, len(s.changes))
 	for _, ch := range s.changes {
@@ -348,9 +361,10 @@
 	c.addJobRecords(items, nil)
 }
 
-// resubmit deals with submissions that the state service called invalid. If that
-// shows that its limits are lower now, they are rendered again under those;
-// otherwise one of them is at fault, and all are asked to come again one by one.
+// resubmit handles submissions that the state service rejected as invalid. If the
+// rejection shows that the limits of the state service are lower now, the changes are
+// rendered again within these limits and queued. Otherwise one of the submissions is
+// invalid, and all users are told to retry, so that the submissions come one by one.
 func (c *Core) resubmit(batch []*submission, changes []wire.Change) {
 	if !c.raiseLevelOnSizeRefusal(changes) {
 		for _, s := range batch {
@@ -359,19 +373,19 @@
 		return
 	}
 	for _, s := range batch {
-		changes, why := c.jobChanges(s.job)
-		if why != "" {
-			c.RejectMalformed(s.job.ID, why, s.reply)
+		changes, reason := c.jobChanges(s.job)
+		if reason != "" {
+			c.RejectMalformed(s.job.ID, reason, s.reply)
 			continue
 		}
 		s.changes = changes
-		c.await(s)
+		c.queueSubmission(s)
 	}
 }
 
-// Status answers a user's query: from memory on the leader, otherwise from the
-// leader, otherwise from the state service, which holds every state that a
-// user was ever told.
+// Status answers a user's query for a job. The leader answers from memory; any other
+// node asks the leader and, if that fails, reads the state service, which holds every
+// state that was ever sent to a user.
 func (c *Core) Status(id string, reply func(Answer)) {
 	if c.Serving() {
 		c.statusOnLeader(id, reply)
@@ -379,22 +393,22 @@
 	}
 	leader := c.elector.Leader()
 	if p := c.peers[leader]; p == nil || !p.seenRecently(c.env.Now()) {
-		c.lookup(id, reply)
+		c.lookupStatus(id, reply)
 		return
 	}
 	m := c.newMessage(fb.KindStatus)
 	m.Job = id
 	c.env.Call(leader, m, 700*clock.Millisecond, func(r *peer.Msg) {
 		if r == nil || r.Code != 200 && r.Code != 404 {
-			c.lookup(id, reply)
+			c.lookupStatus(id, reply)
 			return
 		}
-		reply(answerOf(r))
+		reply(answerFromMessage(r))
 	})
 }
 
-// statusHere answers on the leader: from memory, or from the state service for a job that is
-// not there or whose end is in doubt.
+// statusOnLeader answers a query on the leader from memory, or from the state service if the
+// job is not in memory or if it is uncertain whether its end was committed.
 func (c *Core) statusOnLeader(id string, reply func(Answer)) {
 	if j := c.jobs[id]; j == nil || !j.InDoubt() {
 		if a, ok := c.answerFromMemory(id); ok {
@@ -402,11 +416,11 @@
 			return
 		}
 	}
-	c.lookup(id, reply)
+	c.lookupStatus(id, reply)
 }
 
-// statusOf tells only what is committed: a state that a user heard must
-// survive this leader.
+// statusOf returns the committed status of a job: a state that was sent to a user must
+// outlive this leader.
 func statusOf(j *sched.Job) wire.JobStatus {
 	s := wire.JobStatus{ID: j.ID, Phase: j.CommittedPhase, Done: j.DoneCount}
 	if s.Phase != "" {
@@ -422,20 +436,20 @@
 		}
 	}
 	if j.DoneCount == len(j.Tasks) {
-		s.Done, s.Phase = j.DoneCount-1, wire.PhaseRunning // not committed yet
+		s.Done, s.Phase = j.DoneCount-1, wire.PhaseRunning // the job's end is not committed yet
 	}
 	return s
 }
 
-// lookup reads a job's state from the state service. The job is looked for
-// first and its final record second, the order in which archiving moves it.
-func (c *Core) lookup(id string, reply func(Answer)) {
+// lookupStatus reads a job's status from the state service: first the job's record, then
+// its final record. Archiving moves a job in the same direction, so it cannot be missed.
+func (c *Core) lookupStatus(id string, reply func(Answer)) {
 	if !c.stateOK() || !c.readBudget.Allow(stdTime(c.env.Now()), admit.UserReads) {
 		reply(unavailable)
 		return
 	}
 	term, leading := c.term, c.elector.Leading()
-	c.env.State().List(jobPrefix+id, "", lookupItems, func(o store.Outcome, l *wire.ItemList) {
+	c.env.State().List(jobPrefix+id, "", maxLookupItems, func(o store.Outcome, l *wire.ItemList) {
 		if o != store.OK {
 			reply(unavailable)
 			return
@@ -454,28 +468,28 @@
 			}
 		}
 		if record != nil {
-			st := wire.JobStatus{ID: id, Phase: progress.Phase, Done: progress.DoneCount}
-			if st.Phase == "" {
-				st.Phase = wire.PhaseQueued
+			status := wire.JobStatus{ID: id, Phase: progress.Phase, Done: progress.DoneCount}
+			if status.Phase == "" {
+				status.Phase = wire.PhaseQueued
 				if progress.DoneCount > 0 {
-					st.Phase = wire.PhaseRunning
+					status.Phase = wire.PhaseRunning
 				}
 				if leading && c.Serving() && c.term == term {
-					c.addJobRecords(l.Items, nil) // the watch has not brought it yet
+					c.addJobRecords(l.Items, nil) // the watch has not delivered the job yet
 					c.requestSchedulingPass()
 				}
 				if progress.ReadyAt == 0 {
-					c.answerUnlessCancelled(record, Answer{Code: 200, Status: st}, reply)
+					c.answerUnlessCancelled(record, Answer{Code: 200, Status: status}, reply)
 					return
 				}
 			}
-			reply(Answer{Code: 200, Status: st})
+			reply(Answer{Code: 200, Status: status})
 			return
 		}
-		c.readFinalRecord(id, func(f *finalRecord, absent bool) {
+		c.readFinalRecord(id, func(final *finalRecord, absent bool) {
 			switch {
-			case f != nil:
-				reply(Answer{Code: 200, Status: f.JobStatus})
+			case final != nil:
+				reply(Answer{Code: 200, Status: final.JobStatus})
 			case absent:
 				reply(Answer{Code: 404})
 			default:
@@ -485,11 +499,11 @@
 	})
 }
 
-// lookupItems is enough for a job with its progress and the parts of its awaits;
-// what is cut off of those is left to the watch.
-const lookupItems = 16
+// maxLookupItems is how many items a status lookup reads: the job's record, its progress
+// and the records of its dependencies. The watch delivers those beyond the limit.
+const maxLookupItems = 16
 
-// Cancel cancels a job for a user.
+// Cancel cancels a job for a user, at the leader.
 func (c *Core) Cancel(id string, reply func(Answer)) {
 	if c.Serving() {
 		c.cancelOnLeader(id, reply)
@@ -502,11 +516,11 @@
 	}
 	m := c.newMessage(fb.KindCancel)
 	m.Job = id
-	c.env.Call(leader, m, 2*clock.Second, func(r *peer.Msg) { reply(answerOf(r)) })
+	c.env.Call(leader, m, 2*clock.Second, func(r *peer.Msg) { reply(answerFromMessage(r)) })
 }
 
-// cancelHere cancels on the leader: no task starts from now on, and the answer
-// follows the commit.
+// cancelOnLeader cancels a job on the leader: no task of the job starts from now on, and
+// the user is answered once the cancellation is committed.
 func (c *Core) cancelOnLeader(id string, reply func(Answer)) {
 	if !c.Serving() {
 		reply(unavailable)
@@ -514,7 +528,7 @@
 	}
 	j := c.jobs[id]
 	if j == nil {
-		// The watch may not have brought the job yet; statusHere would add it.
+		// The watch may not have delivered the job yet; statusOnLeader adds it if it exists.
 		c.statusOnLeader(id, func(a Answer) {
 			if a.Code == 200 && a.Status.Phase != wire.PhaseDone && a.Status.Phase != wire.PhaseCancelled {
 				if c.Serving() && c.jobs[id] != nil {
@@ -527,25 +541,26 @@
 		})
 		return
 	}
-	told := func() { reply(Answer{Code: 200, Status: statusOf(j)}) }
+	answer := func() { reply(Answer{Code: 200, Status: statusOf(j)}) }
 	if j.CommittedPhase == wire.PhaseDone || j.Ended && !j.Cancelled {
-		c.commitJobEnd(j, told)
+		c.commitJobEnd(j, answer)
 		return
 	}
-	c.cancelWithDependents(j, told)
+	c.cancelWithDependents(j, answer)
 }
 
-// commitEnd writes a job's end and tells it once it is committed.
-func (c *Core) commitJobEnd(j *sched.Job, then func()) {
+// commitJobEnd writes the end of a job. Once that is committed, it calls onCommitted,
+// if not nil, then resolves the dependents and archives the job.
+func (c *Core) commitJobEnd(j *sched.Job, onCommitted func()) {
 	if j.CommittedPhase != "" {
-		if then != nil {
-			then()
+		if onCommitted != nil {
+			onCommitted()
 		}
 		return
 	}
 	c.saveProgress(j, classUrgent, c.whileInTerm(func() {
-		first := j.CommittedPhase == ""
-		if first {
+		firstCommit := j.CommittedPhase == ""
+		if firstCommit {
 			j.CommittedPhase = wire.PhaseDone
 			if j.Cancelled {
 				j.CommittedPhase = wire.PhaseCancelled
@@ -555,10 +570,10 @@
 				"submitted", j.Submitted.Seconds(), "ready", j.ReadyAt.Seconds(), "began", j.StartedAt.Seconds(), "over", j.EndedAt.Seconds(),
 				"estimate", j.Estimate.Seconds(), "stated", j.Spec.Estimate, "deadline", (j.Deadline - j.Submitted).Seconds(), "again", j.Requeues)
 		}
-		if then != nil {
-			then()
+		if onCommitted != nil {
+			onCommitted()
 		}
-		if !first {
+		if !firstCommit {
 			return
 		}
 		for i := range j.Tasks {
@@ -573,8 +588,8 @@
 	c.committer.startTransaction()
 }
 
-// dropUnsent takes back placements whose launch was never sent: nothing of
-// them can be on a machine.
+// dropUnsentPlacements ends the placements of a job whose launch was never sent, so that
+// their tasks cannot be on a machine.
 func (c *Core) dropUnsentPlacements(j *sched.Job) {
 	for i := range j.Tasks {
 		if p := j.Tasks[i].Placement; p != nil && !p.Sent {
@@ -583,24 +598,24 @@
 	}
 }
 
-// noteArrival smooths the demand of a class: the CPUs a second that services
-// ask for, or the CPUs that batch work keeps busy.
+// recordArrival updates the smoothed demand of a class: for services the CPUs requested
+// per second, for batch work the number of CPUs that it keeps busy.
 func (c *Core) recordArrival(j *sched.Job) {
-	a := c.arrivals[j.Spec.Class]
+	stats := c.arrivals[j.Spec.Class]
 	now := c.env.Now()
-	if a == nil {
-		a = &arrivalStats{updatedAt: now, firstArrival: now}
-		c.arrivals[j.Spec.Class] = a
+	if stats == nil {
+		stats = &arrivalStats{updatedAt: now, firstArrival: now}
+		c.arrivals[j.Spec.Class] = stats
 	}
-	a.lastJob = j
-	asked := j.TotalCPUs()
+	stats.lastJob = j
+	demand := j.TotalCPUs()
 	if !j.Service() {
-		a.batch = true
-		asked *= j.Estimate.Seconds()
+		stats.batch = true
+		demand *= j.Estimate.Seconds()
 	}
-	a.rate = a.rateAt(now) + asked/arrivalWindow.Seconds()
-	a.updatedAt = now
+	stats.rate = stats.rateAt(now) + demand/arrivalWindow.Seconds()
+	stats.updatedAt = now
 }
 
-// arrivalWindow is the memory of the arrival rates.
+// arrivalWindow is the time constant with which the arrival rates decay.
 const arrivalWindow = 150 * clock.Second
