--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -80,8 +80,8 @@
 	c.allocator = admit.NewAllocator(c.accountIndex, c.cfg.Name, c.term, now, c.submitLimits())
 	c.shares = admit.NewTeamShares(c.accountIndex, admitTeams(c.cfg), c.policy.Admission)
 	c.shares.Overloaded = c.allowance.WasOverloaded(now)
-	c.served = c.newServed()
-	c.demands, c.fairShares = make([]admit.Demand, c.accountIndex.Len()), nil
+	c.objectiveTracker = c.newServed()
+	c.accountDemands, c.fairShares = make([]admit.Demand, c.accountIndex.Len()), nil
 	c.waitStats.start, c.waitStats.served = nil, make([]served, c.accountIndex.Len())
 }
 
@@ -101,7 +101,7 @@
 	if c.Serving() && c.allocator != nil {
 		c.allocator.SetLimits(c.submitLimits())
 		c.allocator.RecordNotice(c.cfg.Name, notice, now)
-		c.allocator.BuildTable(now, c.shares.Overloaded, c.demands, c.fairShares)
+		c.allocator.BuildTable(now, c.shares.Overloaded, c.accountDemands, c.fairShares)
 		c.allowance.ApplyTable(c.allocator.TableFor(c.cfg.Name, now), now)
 	}
 	c.updateWriteRate()
@@ -301,7 +301,7 @@
 	if good {
 		s.inTime++
 	}
-	c.served.RecordFinished(a, good && (j.LastStartTarget == 0 || j.StartedAt <= j.LastStartTarget), c.env.Now())
+	c.objectiveTracker.RecordFinished(a, good && (j.LastStartTarget == 0 || j.StartedAt <= j.LastStartTarget), c.env.Now())
 	if j.StartedAt > 0 {
 		c.waitStats.note(&c.waitStats.start, a, c.accountIndex.Len(), j.StartedAt-j.ReadyAt)
 	}
@@ -350,14 +350,14 @@
 	if !c.policy.Admission.Enabled {
 		return nil
 	}
-	clear(c.demands)
+	clear(c.accountDemands)
 	var jobs []*sched.Job
 	for _, j := range c.jobs {
 		a := c.accountNumber(j.Spec)
 		if a < 0 || j.Service() || j.Priority >= wire.PriorityProduction || j.PlacedCount+len(j.Queue) == 0 {
 			continue
 		}
-		d := &c.demands[a]
+		d := &c.accountDemands[a]
 		d.Held += float64(j.PlacedCount) * j.TaskCPUs()
 		if j.Active() {
 			d.Waiting += float64(len(j.Queue)) * j.TaskCPUs()
@@ -366,7 +366,7 @@
 		}
 	}
 	was := c.shares.Overloaded
-	shares := c.shares.Evaluate(now, c.batchCapacity(), c.cloudHas(now), c.demands)
+	shares := c.shares.Evaluate(now, c.batchCapacity(), c.cloudHas(now), c.accountDemands)
 	if was != c.shares.Overloaded {
 		slog.Info("admission mode", "overload", c.shares.Overloaded, "term", c.term)
 	}
@@ -380,18 +380,18 @@
 	for i, t := range c.cfg.Params.Teams {
 		teams[t.Name] = &sched.FairShare{Share: shares[i]}
 	}
-	for i, d := range c.demands {
+	for i, d := range c.accountDemands {
 		teams[c.accountIndex.Accounts[i].Team].Allocated += d.Held
 	}
 	cases := make([]admit.UnfinishedJob, len(jobs))
 	for i, j := range jobs {
 		cases[i] = admit.UnfinishedJob{Account: c.accountNumber(j.Spec), Feasibility: j.Feasibility(now), RemainingWork: j.RemainingWork(), ReadyAt: j.ReadyAt, ID: j.ID}
 	}
-	c.fairShares = make([]admit.Entitlement, len(c.demands))
+	c.fairShares = make([]admit.Entitlement, len(c.accountDemands))
 	for i := range c.fairShares {
 		c.fairShares[i].Share = teams[c.accountIndex.Accounts[i].Team].Share
 	}
-	for i, turn := range c.served.Evaluate(now, cases) {
+	for i, turn := range c.objectiveTracker.Evaluate(now, cases) {
 		j := jobs[i]
 		j.MinShareStatus = turn
 		if turn.Needed {
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -16,16 +16,16 @@
 )
 
 // still is a world in which time stands still and nothing answers.
-type still struct{ Env }
+type frozenEnv struct{ Env }
 
-func (still) Now() Micros  { return 10 * clock.Second }
-func (still) Wall() Micros { return 1_700_000_010 * clock.Second }
+func (frozenEnv) Now() Micros  { return 10 * clock.Second }
+func (frozenEnv) Wall() Micros { return 1_700_000_010 * clock.Second }
 
 // loading makes a core as a new leader is while it reads its records.
 func newLoadingCore(level int, state config.StateLimits) *Core {
 	cfg := new(config.Config)
 	cfg.Params.State = state
-	c := &Core{accountIndex: newAccountIndex(cfg), served: admit.NewObjectiveTracker(nil), env: still{}, cfg: cfg, policy: policy.Default(), format: formatState{maxLevel: LevelTasks, level: level},
+	c := &Core{accountIndex: newAccountIndex(cfg), objectiveTracker: admit.NewObjectiveTracker(nil), env: frozenEnv{}, cfg: cfg, policy: policy.Default(), format: formatState{maxLevel: LevelTasks, level: level},
 		jobs: map[string]*sched.Job{}, finalRecords: map[string]finalRecord{}, machines: map[string]*sched.Machine{}, machineGroups: map[string]*machineGroup{}, allowance: admit.NewAllowance(newAccountIndex(cfg), admit.Limits{}),
 		teams: map[string]*sched.Team{"core": {Name: "core"}}, fetchRates: map[string]float64{}, arrivals: map[string]*arrivalStats{}}
 	c.committer = committer{core: c, pending: map[string]*pendingWrite{}}
@@ -68,13 +68,13 @@
 	for id, p := range progress {
 		c.restoreProgress(c.jobs[id], p)
 	}
-	found := c.restoreDoneTasks(tasks)
+	taskRecords := c.restoreDoneTasks(tasks)
 	for key, value := range records {
 		if strings.HasPrefix(key, machinePrefix) {
 			c.restoreMachine(&wire.Item{Key: key, Value: value})
 		}
 	}
-	for _, f := range found {
+	for _, f := range taskRecords {
 		c.restorePlacements(f)
 	}
 	c.sortMachines()
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -1,7 +1,12 @@
-// Package controller is the owner of all scheduling state: events in,
-// decisions out. A Core runs on one goroutine and does no I/O of its own;
-// everything outside reaches it through Env, so that the same code runs on
-// real sockets and in the simulator's virtual time.
+// Package controller implements a controller of the cluster: it accepts jobs, and
+// while it is the leader it owns all scheduling state, assigns tasks to machines,
+// rents and releases machines, and persists its decisions in the state service.
+//
+// A Core is an event-driven state machine. It runs on one goroutine and does no I/O
+// of its own; it uses sockets, timers, the state service and the cloud only through
+// Env, so that the same code runs on real sockets and in the simulator's virtual time.
+// The package does not implement leader election (package lead), the placement
+// algorithm (package sched) or the HTTP interface (package server).
 package controller
 
 import (
@@ -26,68 +31,71 @@
 	"lilacthread/wire/fb"
 )
 
-// Micros is the project's unit of time.
+// Micros is a time or a duration in microseconds, the unit of time of all packages.
 type Micros = clock.Micros
 
-// Cloud is the cloud's interface; done runs later on the owner goroutine.
+// Cloud is the client of the cloud's API. Each method calls done later, on the owner
+// goroutine.
 type Cloud interface {
 	Catalog(done func(store.Outcome, *wire.Catalog))
-	// Rent answers Failed when the cloud has no capacity.
+	// Rent reports Failed when the cloud has no capacity.
 	Rent(r *wire.RentRequest, done func(store.Outcome, []string))
 	Release(ids []string, done func(store.Outcome))
 	List(after string, limit int, done func(store.Outcome, *wire.MachineList))
 }
 
-// Env is the world outside a Core.
+// Env gives a Core access to clocks, timers, other controllers, workers, the state
+// service and the cloud.
 type Env interface {
 	Now() Micros  // steady clock
 	Wall() Micros // time of day
 	After(d Micros, f func())
-	// Ask sends a message to another controller; done gets nil when no answer
-	// came in time.
+	// Call sends a message to another controller. It passes nil to done if no answer
+	// arrives within the timeout.
 	Call(node string, m *peer.Msg, timeout Micros, done func(*peer.Msg))
-	// Order sends commands to the worker at addr; done gets OK or, when nothing
-	// was executed because token or session differ, Failed, both with the
-	// worker's report.
+	// SendOrders sends commands to the worker at addr. It passes OK to done, or Failed if
+	// the worker executed nothing because the token or the session differs; in both cases
+	// with the worker's report.
 	SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report))
-	// Sockets is the share of this node's connections for users and workers in use.
+	// ConnectionUsage returns the fraction of this node's connections for users and
+	// workers that is in use.
 	ConnectionUsage() float64
 	State() store.Service
 	Cloud() Cloud
 }
 
-// Answer is the reply to a user.
+// Answer is the reply to a user request.
 type Answer struct {
-	Code       int
+	Code       int // HTTP status
 	Status     wire.JobStatus
-	RetryAfter int // seconds; with 429 and 503
+	RetryAfter int // seconds; set with codes 429 and 503
 }
 
-// ReportAnswer is the reply to a worker.
+// ReportAnswer is the reply to a worker's report.
 type ReportAnswer = carrier.ReportAnswer
 
-// Core is one controller.
+// Core is the state of one controller. Only the owner goroutine may use it.
 type Core struct {
 	env          Env
 	cfg          *config.Config
 	policy       *policy.Policy
 	elector      *lead.Elector
-	writeBudget  *admit.Budget // puts and deletes
+	writeBudget  *admit.Budget // puts and deletes in the state service
 	cloudLimiter *rate.Limiter // requests to the cloud
-	readBudget   *admit.Budget // of single jobs: for users, and of those that others await
+	readBudget   *admit.Budget // reads of single jobs, for users and to resolve dependencies
 
 	incarnation uint64
 
 	format       formatState
-	levelsReadAt Micros          // when the leader last read the announcements
-	acceptedJobs map[string]bool // jobs that others may await, known to be accepted
+	levelsReadAt Micros          // when the leader last read the nodes' announced format levels
+	acceptedJobs map[string]bool // jobs known to be accepted, which other jobs may depend on
 
-	lastStateContact Micros // last answer of the state service
+	lastStateContact Micros // when the state service last answered
 	peers            map[string]*peerInfo
-	reportingWorkers map[string]*reportingWorker // workers that reported while not leading
-	deferredReports  []func()                    // reports that came before the records were read
-	lateRenewals     int                         // leases renewed past this leader's deadline
-	longExpired      bool                        // it was past its deadline for long, in this term
+	reportingWorkers map[string]*reportingWorker // workers that reported while this node was not the leader
+	deferredReports  []func()                    // reports received before the records were loaded
+	lateRenewals     int                         // worker leases renewed after this leader's own lease deadline
+	leaseLongExpired bool                        // in this term, the lease was expired for more than half a worker lease
 	catalog          []wire.MachineType
 	submissions      submissionBatcher
 	forwarding       submissionForwarding
@@ -97,7 +105,7 @@
 	waitStats        waitStats
 	relay            *carrier.Relay
 
-	// Of the leader.
+	// The fields below are valid only while this node is the leader.
 	term                uint64
 	electedAt           Micros
 	loaded              bool
@@ -105,77 +113,78 @@
 	finalRecords        map[string]finalRecord
 	finalRecordOrder    []string
 	machines            map[string]*sched.Machine
-	sortedMachines      []*sched.Machine         // machines by name
-	machineGroups       map[string]*machineGroup // of each machine
-	groupCount          uint64                   // groups, in this term
+	sortedMachines      []*sched.Machine         // all machines, sorted by id
+	machineGroups       map[string]*machineGroup // by machine id
+	groupCount          uint64                   // groups created in this term
 	releasedMachines    map[string]bool
 	teams               map[string]*sched.Team
 	fetchRates          map[string]float64
 	committer           committer
-	finalReadWaiters    map[string][]*sched.Job // who waits for a final state to be read
-	attempts            uint64
+	finalReadWaiters    map[string][]*sched.Job // jobs that wait for the final record of a dependency, by its id
+	attemptCount        uint64
 	rentalCount         uint64
 	pendingRentals      map[string]fleet.Rental
 	refusedUntil        map[fleet.MachineKind]Micros
 	cloudPausedUntil    Micros
 	releaseInFlight     bool
 	releaseQueue        []string
-	pendingReleases     []releaseBatch // to be intended, and not yet known to be carried out
+	pendingReleases     []releaseBatch // without a committed intent, or not yet confirmed by the cloud
 	openIntents         map[string]bool
 	releaseCount        uint64
 	arrivals            map[string]*arrivalStats
-	planSet             bool
-	planned             Micros
-	unplaced            []sched.Unplaced
-	lastReport          Micros
-	ordersInFlight      int // orders under way
+	passScheduled       bool
+	lastPassAt          Micros
+	unplacedTasks       []sched.Unplaced
+	lastReportAt        Micros
+	ordersInFlight      int // command batches sent and not yet answered
 	orderQueue          []*sched.Machine
-	moveBudgetUpdatedAt Micros  // up to when moves of replicas are accounted for
-	moveBudget          float64 // replicas that may be moved now
+	moveBudgetUpdatedAt Micros  // when moveBudget was last updated
+	moveBudget          float64 // service replicas that may be moved now
 	spotLosses          spotLosses
 	allocator           *admit.Allocator
 	shares              *admit.TeamShares
-	demands             []admit.Demand // of the latest pass, by account
-	served              *admit.ObjectiveTracker
-	fairShares          []admit.Entitlement // nil while not overloaded
+	accountDemands      []admit.Demand // of the latest scheduling pass, by account
+	objectiveTracker    *admit.ObjectiveTracker
+	fairShares          []admit.Entitlement // nil unless the cluster is overloaded
 	router              *carrier.Router
 }
 
+// peerInfo is what this node knows of another controller from its messages.
 type peerInfo struct {
-	lastMessageAt  Micros
-	stateOK        bool
-	reports        uint32
-	term           uint64
-	names          duplicateNameDetector
-	sockets        float64        // share of its connections in use
-	writeShareKind writeShareKind // how much of the state service's changes it takes for submissions
+	lastMessageAt    Micros
+	stateOK          bool
+	reportingWorkers uint32
+	term             uint64
+	duplicateNames   duplicateNameDetector
+	connectionUsage  float64        // fraction of its connections in use
+	writeShareKind   writeShareKind // which share of the state service's write budget it uses for submissions
 }
 
-// heard reports whether the peer spoke to this node of late.
+// seenRecently reports whether a message of the peer arrived within the last 2.5 s.
 func (p *peerInfo) seenRecently(now Micros) bool { return now-p.lastMessageAt <= 5*clock.Second/2 }
 
-// arrival smooths what a class of jobs asks for: see noteArrival.
+// arrivalStats is the smoothed demand of a class of jobs; see recordArrival.
 type arrivalStats struct {
 	rate         float64
-	updatedAt    Micros // of the rate
-	firstArrival Micros // first arrival
+	updatedAt    Micros // when rate was last updated
+	firstArrival Micros
 	batch        bool
-	lastJob      *sched.Job // the latest job
+	lastJob      *sched.Job // the job that arrived last
 }
 
-// New makes a controller that speaks all format levels. Start must be called on
+// New returns a controller that supports all format levels. Start must be called on
 // the owner goroutine.
-func New(env Env, cfg *config.Config, pol *policy.Policy, incarnation uint64) *Core {
-	return NewAtLevel(env, cfg, pol, incarnation, HighestLevel)
+func New(env Env, cfg *config.Config, controllerPolicy *policy.Policy, incarnation uint64) *Core {
+	return NewAtLevel(env, cfg, controllerPolicy, incarnation, HighestLevel)
 }
 
-// NewAt makes a controller that speaks no higher format level than the given one,
-// as one of version 0.1 does.
-func NewAtLevel(env Env, cfg *config.Config, pol *policy.Policy, incarnation uint64, speaks int) *Core {
-	c := &Core{env: env, cfg: cfg, policy: pol, acceptedJobs: map[string]bool{}, levelsReadAt: -clock.Forever,
-		format: formatState{maxLevel: speaks, level: LevelPlacements, peerMaxLevels: map[string]int{}},
+// NewAtLevel returns a controller that supports format levels up to maxLevel only, as
+// version 0.1 supports only the first.
+func NewAtLevel(env Env, cfg *config.Config, controllerPolicy *policy.Policy, incarnation uint64, maxLevel int) *Core {
+	c := &Core{env: env, cfg: cfg, policy: controllerPolicy, acceptedJobs: map[string]bool{}, levelsReadAt: -clock.Forever,
+		format: formatState{maxLevel: maxLevel, level: LevelPlacements, peerMaxLevels: map[string]int{}},
 		peers:  map[string]*peerInfo{}, reportingWorkers: map[string]*reportingWorker{}, accountIndex: newAccountIndex(cfg)}
-	c.served = c.newServed()
+	c.objectiveTracker = c.newServed()
 	c.allowance = admit.NewAllowance(c.accountIndex, c.submitLimits())
 	c.submissions.queue = admit.NewQueue[*submission](c.accountIndex.Len(),
 		admit.Bounds{Count: cfg.MaxQueuedSubmissions(), Bytes: int(cfg.Params.Resources.MemoryMB * (1 << 20) / submissionMemoryDivisor)})
@@ -188,57 +197,59 @@
 	c.lastStateContact, c.startedAt = -clock.Forever, env.Now()
 	c.relay = carrier.NewRelay(relayHost{c}, cfg.Name, cfg.WorkerLease(), cfg.MaxClientConns(), cfg.MaxCommandBatches())
 	c.incarnation = incarnation
-	c.elector = lead.New(env, env.State(), lead.Record{Node: cfg.Name, Incarnation: incarnation, Addr: cfg.HostAddr()}, pol.LeaderTTL, lead.Callbacks{
-		OnElected:        c.elected,
-		OnLeadershipLost: c.lost,
+	c.elector = lead.New(env, env.State(), lead.Record{Node: cfg.Name, Incarnation: incarnation, Addr: cfg.HostAddr()}, controllerPolicy.LeaderTTL, lead.Callbacks{
+		OnElected:        c.onElected,
+		OnLeadershipLost: c.onLeadershipLost,
 		OnStoreResponse:  func() { c.lastStateContact = env.Now() },
 	})
 	return c
 }
 
-// Shares of the state service's write budget without admission: one leader, the rest
-// followers that only create jobs.
+// Shares of the state service's write budget when admission control is off. Besides the
+// one leader, all nodes are followers, which only create jobs.
 const (
 	leaderShare   = 0.7
 	followerShare = 0.12
-	readShare     = 0.2 // of the request budget, two requests each
+	readShare     = 0.2 // share of the request budget; a read takes two requests
 )
 
-// Start begins the controller's work.
+// Start begins election, periodic work and the initial reads.
 func (c *Core) Start() {
 	c.elector.Start()
-	c.every(clock.Second, c.hello)
-	c.every(500*clock.Millisecond, c.tick)
+	c.runEvery(clock.Second, c.sendHellos)
+	c.runEvery(500*clock.Millisecond, c.tick)
 	c.loadCatalog()
 	c.readLevels(func(bool) { c.announceLevel() })
 }
 
-// every runs f now and then again and again.
-func (c *Core) every(d Micros, f func()) {
+// runEvery runs f now and then repeatedly, an interval apart.
+func (c *Core) runEvery(interval Micros, f func()) {
 	f()
-	c.env.After(d, func() { c.every(d, f) })
+	c.env.After(interval, func() { c.runEvery(interval, f) })
 }
 
+// stdTime converts a reading of the steady clock to a time.Time.
 func stdTime(m Micros) time.Time { return time.UnixMicro(int64(m)) }
 
-// Serving reports whether this node may answer users from memory and start
-// tasks.
+// Serving reports whether this node is the leader, holds a valid lease and has loaded
+// its records, so that it may answer users from memory and start tasks.
 func (c *Core) Serving() bool { return c.loaded && c.elector.HoldsValidLease() }
 
-// margin covers drift of the clocks over a worker's lease, and processing.
+// leaseMargin covers processing time and a clock drift of 0.2 % over a worker's lease.
 func (c *Core) leaseMargin() Micros { return c.policy.LeaseMargin + c.cfg.WorkerLease()/500 }
 
-// renewal is the bound on what this node may renew.
+// renewalBound returns the limits within which this node may renew worker leases.
 func (c *Core) renewalBound() lead.RenewalLimits {
 	return lead.RenewalLimits{LeaseDuration: c.cfg.WorkerLease(), CancelTimeout: clock.FromSeconds(c.cfg.Params.Workers.Cancel), Margin: c.leaseMargin()}
 }
 
-// keeping reports whether this node may renew worker leases.
+// mayRenewLeases reports whether this node may renew worker leases.
 func (c *Core) mayRenewLeases() bool {
 	return c.elector.Leading() && c.renewalBound().Allowed(c.env.Now(), c.elector.LeaseDeadline(), c.loaded)
 }
 
-// logLateRenewals logs, once it is over, how many leases this leader renewed past its deadline.
+// logLateRenewals logs and resets the number of worker leases that this leader renewed
+// after its own lease deadline.
 func (c *Core) logLateRenewals() {
 	if c.lateRenewals > 0 {
 		slog.Info("leases renewed past the leader's deadline", "renewals", c.lateRenewals, "term", c.term)
@@ -246,8 +257,8 @@
 	}
 }
 
-// Ready tells the load balancer whether this node can take requests. When all
-// nodes have lost the state service, leaving the rotation helps nobody.
+// Ready reports to the load balancer whether this node can take requests. If all nodes
+// have lost the state service, all stay in the rotation: removing them would not help.
 func (c *Core) Ready() bool {
 	if c.catalog == nil {
 		return false
@@ -255,24 +266,24 @@
 	if c.stateOK() {
 		return true
 	}
-	heard := false
+	peerReached := false
 	for _, p := range c.peers {
 		if c.env.Now()-p.lastMessageAt < 3*clock.Second {
-			heard = true
+			peerReached = true
 			if p.stateOK {
 				return false
 			}
 		}
 	}
-	// Who reaches neither the state service nor a peer is more likely cut off himself.
-	return heard || len(c.peers) == 0
+	// A node that reaches neither the state service nor a peer is probably isolated itself.
+	return peerReached || len(c.peers) == 0
 }
 
-// cutOff reports whether this leader has lost the state service, so that its lead is over,
-// and all its peers as well, so that none of them can say who succeeded it. An outage of
-// the state service alone leaves the peers.
+// lostStateAndPeers reports whether this leader's lease ended because it lost the state
+// service, and it has lost all its peers too, so that it cannot learn who succeeded it.
+// During an outage of the state service alone the peers remain reachable.
 func (c *Core) lostStateAndPeers(now Micros) bool {
-	if len(c.peers) == 0 || now < c.elector.LeaseDeadline()+successorTime {
+	if len(c.peers) == 0 || now < c.elector.LeaseDeadline()+electionDuration {
 		return false
 	}
 	for _, p := range c.peers {
@@ -283,14 +294,15 @@
 	return true
 }
 
-// successorTime is about what an election takes once a lease has ended.
-const successorTime = clock.Second
+// electionDuration is the approximate duration of an election after a lease has ended.
+const electionDuration = clock.Second
 
+// stateOK reports whether the state service answered within the last 2.5 s.
 func (c *Core) stateOK() bool { return c.env.Now()-c.lastStateContact < 2500*clock.Millisecond }
 
-// hello tells the peers how this node fares, and probes the state service when
-// nothing else did.
-func (c *Core) hello() {
+// sendHellos sends this node's status to all peers. It also probes the state service if
+// that has not answered any request for 700 ms.
+func (c *Core) sendHellos() {
 	now := c.env.Now()
 	if now-c.lastStateContact > 700*clock.Millisecond {
 		c.env.State().Get(lead.TermKey, func(o store.Outcome, _ *wire.Item) {
@@ -301,14 +313,14 @@
 	}
 	c.relay.PruneWorkers()
 	notice := c.maintainAdmission(now)
-	for _, p := range c.cfg.Peers { // in the same order each time
+	for _, p := range c.cfg.Peers { // a slice, so the order is deterministic
 		name := p.Name
-		greeting := c.newMessage(fb.KindHello)
-		greeting.AdmissionNotice = c.noticeFor(name, notice)
-		greeting.ConnectionUsagePermille = int(c.env.ConnectionUsage() * 1000)
-		c.env.Call(name, greeting, clock.Second, func(m *peer.Msg) {
+		hello := c.newMessage(fb.KindHello)
+		hello.AdmissionNotice = c.noticeFor(name, notice)
+		hello.ConnectionUsagePermille = int(c.env.ConnectionUsage() * 1000)
+		c.env.Call(name, hello, clock.Second, func(m *peer.Msg) {
 			if m != nil {
-				c.learn(m)
+				c.updatePeerInfo(m)
 				c.applyAdmissionTable(m.AdmissionTable, now)
 				c.applyRelays(m.RelayTable)
 			}
@@ -316,12 +328,14 @@
 	}
 }
 
+// newMessage returns a message to another controller with this node's status. It also
+// forgets workers that have not reported here for two worker leases.
 func (c *Core) newMessage(kind fb.Kind) *peer.Msg {
 	now := c.env.Now()
 	reports := uint32(0)
 	for id, s := range c.reportingWorkers {
 		if now-s.lastReportAt < 3*clock.Second && s.forwardingSince == 0 {
-			reports++ // those that are handed on, the leader hears
+			reports++ // reports that are forwarded reach the leader anyway
 		}
 		if now-s.lastReportAt > 2*c.cfg.WorkerLease() {
 			delete(c.reportingWorkers, id)
@@ -331,23 +345,25 @@
 	if c.elector.Leading() {
 		m.Term = c.elector.Term()
 	}
-	if c.format.maxLevel >= LevelTasks { // version 0.1 does not have these fields
+	if c.format.maxLevel >= LevelTasks { // version 0.1 does not send these fields
 		m.MaxFormatLevel, m.FormatLevel = c.format.maxLevel, c.format.level
 	}
 	return m
 }
 
-func (c *Core) learn(m *peer.Msg) {
+// updatePeerInfo records the status that a peer sent with its message. A leader steps
+// down if the peer leads a later term.
+func (c *Core) updatePeerInfo(m *peer.Msg) {
 	p := c.peers[m.Node]
 	if p == nil {
 		return
 	}
-	if p.names.observe(m.Incarnation, c.env.Now()) {
+	if p.duplicateNames.observe(m.Incarnation, c.env.Now()) {
 		slog.Error("two processes run under one name", "name", m.Node)
 	}
-	p.lastMessageAt, p.stateOK, p.reports, p.term = c.env.Now(), m.StateOK, m.ReportingWorkers, m.Term
+	p.lastMessageAt, p.stateOK, p.reportingWorkers, p.term = c.env.Now(), m.StateOK, m.ReportingWorkers, m.Term
 	if m.Kind == fb.KindHello {
-		p.sockets = float64(m.ConnectionUsagePermille) / 1000
+		p.connectionUsage = float64(m.ConnectionUsagePermille) / 1000
 	}
 	c.recordNodeLevel(m.Node, m.MaxFormatLevel, m.FormatLevel)
 	if c.elector.Leading() && m.Term > c.elector.Term() {
@@ -355,9 +371,9 @@
 	}
 }
 
-// OnPeer handles a message of another controller.
+// HandlePeerMessage handles a message of another controller and answers it with reply.
 func (c *Core) HandlePeerMessage(m *peer.Msg, reply func(*peer.Msg)) {
-	c.learn(m)
+	c.updatePeerInfo(m)
 	answer := func(a Answer) {
 		r := c.newMessage(fb.KindAnswer)
 		r.Code, r.Job, r.RetryAfter = a.Code, a.Status.ID, a.RetryAfter
@@ -404,11 +420,12 @@
 	}
 }
 
-// elected begins a term: all state is read again from the state service.
-func (c *Core) elected(term uint64) {
+// onElected begins a term: it resets the leader's state and loads all records from the
+// state service.
+func (c *Core) onElected(term uint64) {
 	now := c.env.Now()
-	c.term, c.electedAt, c.loaded, c.longExpired = term, now, false, false
-	c.lastReport, c.moveBudgetUpdatedAt, c.moveBudget = now, now, 0
+	c.term, c.electedAt, c.loaded, c.leaseLongExpired = term, now, false, false
+	c.lastReportAt, c.moveBudgetUpdatedAt, c.moveBudget = now, now, 0
 	c.jobs = map[string]*sched.Job{}
 	c.finalRecords = map[string]finalRecord{}
 	c.finalReadWaiters = map[string][]*sched.Job{}
@@ -424,13 +441,13 @@
 	}
 	c.fetchRates, c.spotLosses = map[string]float64{}, spotLosses{updatedAt: now}
 	c.committer = committer{core: c, pending: map[string]*pendingWrite{}}
-	c.attempts, c.rentalCount = 0, 0
+	c.attemptCount, c.rentalCount = 0, 0
 	c.pendingRentals = map[string]fleet.Rental{}
 	c.refusedUntil = map[fleet.MachineKind]Micros{}
 	c.releaseQueue, c.pendingReleases, c.releaseCount, c.releaseInFlight = nil, nil, 0, false
 	c.openIntents = map[string]bool{}
 	c.arrivals = map[string]*arrivalStats{}
-	c.unplaced = nil
+	c.unplacedTasks = nil
 	c.ordersInFlight, c.orderQueue = 0, nil
 	c.format.raising = false
 	c.router = carrier.NewRouter(relayHost{c}, term, c.cfg.MaxCommandBatches())
@@ -439,7 +456,8 @@
 	c.load(term)
 }
 
-func (c *Core) lost() {
+// onLeadershipLost ends a term: it discards the leader's state and uncommitted writes.
+func (c *Core) onLeadershipLost() {
 	c.loaded = false
 	c.logLateRenewals()
 	c.handleDeferredReports()
@@ -449,9 +467,9 @@
 	c.updateWriteRate()
 }
 
-// share is this node's part of the changes that the state service takes. Under
-// the next limits, which are meant to be felt, the shares of all nodes together
-// stay within them.
+// writeShare returns this node's share of the state service's write rate when admission
+// control is off. Once the next limits apply, which are tight, the shares of all nodes
+// add up to at most 1.
 func (c *Core) writeShare() float64 {
 	if c.elector != nil && c.elector.Leading() {
 		return leaderShare
@@ -462,12 +480,13 @@
 	return followerShare
 }
 
+// updateWriteRate applies the present write rate to the write budget.
 func (c *Core) updateWriteRate() {
 	now := c.env.Now()
 	c.writeBudget.SetRate(stdTime(now), c.writeRate(now))
 }
 
-// during makes a callback that runs only while the same term is led.
+// whileInTerm wraps f so that it runs only while this node still leads the present term.
 func (c *Core) whileInTerm(f func()) func() {
 	term := c.term
 	return func() {
@@ -477,13 +496,14 @@
 	}
 }
 
-// attempt hands out attempt numbers that no leader uses twice.
-func (c *Core) attempt() uint64 {
-	c.attempts++
-	return c.term<<32 | c.attempts
+// nextAttempt returns a new attempt number: the term in the upper 32 bits and a counter
+// in the lower ones, so that no two leaders use the same number.
+func (c *Core) nextAttempt() uint64 {
+	c.attemptCount++
+	return c.term<<32 | c.attemptCount
 }
 
-// tick looks after everything that time alone changes.
+// tick runs the leader's periodic work.
 func (c *Core) tick() {
 	if !c.elector.Leading() {
 		return
@@ -493,14 +513,16 @@
 		c.logLateRenewals()
 	}
 	if !c.elector.HoldsValidLease() {
-		// Giving up a lead that is over helps nobody, and one cut off has sent its workers
-		// away itself: they come back to be kept where they find no successor.
-		c.lastReport = now
-		c.longExpired = c.longExpired || c.loaded && now-c.elector.LeaseDeadline() > c.cfg.WorkerLease()/2
-	} else if c.longExpired {
-		// The key was never lost, but the workers look elsewhere, and all that was judged by
-		// their silence is wrong: one that led on returned the whole fleet after an outage
-		// longer than a lease (scenario state_outage_keeps_fleet). All is read again.
+		// Resigning after the lease has ended would not help. An isolated leader has
+		// redirected its workers; those that find no successor return and have their leases
+		// renewed here.
+		c.lastReportAt = now
+		c.leaseLongExpired = c.leaseLongExpired || c.loaded && now-c.elector.LeaseDeadline() > c.cfg.WorkerLease()/2
+	} else if c.leaseLongExpired {
+		// The leader key was not lost, but the workers have turned to other controllers, so
+		// conclusions from missing reports are wrong: a leader that continued would release
+		// the whole fleet after an outage longer than a worker lease (scenario
+		// state_outage_keeps_fleet). Resigning makes the next leader load all records again.
 		c.elector.Resign("the state service was out of reach for long", 0)
 		return
 	} else if c.isolated(now) {
@@ -526,61 +548,61 @@
 	c.committer.startTransaction()
 }
 
-// isolated reports whether workers that should report here do not, while this
-// node has lost its peers too or a peer hears them: another node would serve
-// better, although the state service is still reached.
+// isolated reports whether no worker reports here although some should, while a peer
+// receives reports or this node has lost all its peers too. Another node would then be
+// a better leader, although this one still reaches the state service.
 func (c *Core) isolated(now Micros) bool {
-	// A worker reports at least every 1.25 intervals, so by then all are missing.
-	// Each second counts: redirected workers come back to a leader that does not
-	// answer and wait there for 4 s, while their leases run out.
-	quiet := max(7*c.cfg.ReportInterval()/4, 5*clock.Second/2)
-	// Workers may need several tries to find a new leader, and if its peers are silent
-	// too, they may be dead. Once some have come, they are missed as soon as at any other
-	// time: found on a day of our own, where a leader was cut off nine seconds after its
-	// election and held on for longer than a lease.
-	since, came := c.lastReport, c.lastReport > c.electedAt
-	if !came {
-		since += 2 * responseTimeout
-	}
-	if now-since < quiet {
+	// A worker reports at least every 1.25 intervals, so after 1.75 intervals reports are
+	// overdue from all workers. A quick decision matters: redirected workers return to the
+	// unreachable leader and wait there for 4 s, while their leases run out.
+	maxSilence := max(7*c.cfg.ReportInterval()/4, 5*clock.Second/2)
+	// After an election, workers may need several attempts to find the new leader, and
+	// peers that are silent too may be dead, so the leader waits longer. That ends with the
+	// first report: a leader isolated nine seconds after its election would otherwise stay
+	// leader for longer than a worker lease.
+	silentSince, reportReceived := c.lastReportAt, c.lastReportAt > c.electedAt
+	if !reportReceived {
+		silentSince += 2 * responseTimeout
+	}
+	if now-silentSince < maxSilence {
 		return false
 	}
-	up := slices.ContainsFunc(c.sortedMachines, func(m *sched.Machine) bool {
+	reportsExpected := slices.ContainsFunc(c.sortedMachines, func(m *sched.Machine) bool {
 		return !m.Releasing && (m.Up || m.Inherited())
 	})
-	if !up {
+	if !reportsExpected {
 		return false
 	}
-	alone := came && len(c.peers) > 0
+	peersSilent := reportReceived && len(c.peers) > 0
 	for _, p := range c.peers {
-		if now-p.lastMessageAt < quiet {
-			alone = false
-			if p.reports > 0 {
+		if now-p.lastMessageAt < maxSilence {
+			peersSilent = false
+			if p.reportingWorkers > 0 {
 				return true
 			}
 		}
 	}
-	return alone
+	return peersSilent
 }
 
-// wake asks for a scheduling pass soon.
+// requestSchedulingPass schedules a pass, at least MaxPassDelay after the last one began.
 func (c *Core) requestSchedulingPass() {
-	if c.planSet {
+	if c.passScheduled {
 		return
 	}
-	c.planSet = true
-	wait := max(c.planned+c.policy.MaxPassDelay-c.env.Now(), 0)
-	c.env.After(wait, func() {
-		c.planSet = false
+	c.passScheduled = true
+	delay := max(c.lastPassAt+c.policy.MaxPassDelay-c.env.Now(), 0)
+	c.env.After(delay, func() {
+		c.passScheduled = false
 		if c.Serving() {
-			c.planned = c.env.Now()
-			c.plan()
+			c.lastPassAt = c.env.Now()
+			c.runSchedulingPass()
 		}
 	})
 }
 
-// plan runs a scheduling pass and hands its decisions on.
-func (c *Core) plan() {
+// runSchedulingPass runs a scheduling pass and starts to carry out its decisions.
+func (c *Core) runSchedulingPass() {
 	now := c.env.Now()
 	var pending []*sched.Job
 	for _, j := range c.jobs {
@@ -593,47 +615,49 @@
 			c.fetchRates[t.Name] = max(t.FetchRate, c.policy.DefaultFetchRate)
 		}
 	}
-	out := sched.Plan(&sched.Input{
+	result := sched.Plan(&sched.Input{
 		Now: now, MaxReportAge: c.maxReportAge(), Jobs: pending, Machines: c.sortedMachines, Teams: c.teams,
-		FetchRates: c.fetchRates, NextAttempt: c.attempt, ImageLocalityWindow: c.policy.ImageLocalityWindow,
-		MaxTasksPerMachine: c.maxTasks(), SpotLossRate: c.spotLosses.rate(), FairShare: c.computeShares(now),
+		FetchRates: c.fetchRates, NextAttempt: c.nextAttempt, ImageLocalityWindow: c.policy.ImageLocalityWindow,
+		MaxTasksPerMachine: c.maxTasksPerMachine(), SpotLossRate: c.spotLosses.rate(), FairShare: c.computeShares(now),
 	})
-	for _, pl := range out.Launch {
-		slog.Debug("placed", "task", pl.Task, "class", pl.Job.Spec.Class, "machine", pl.Machine.ID, "spot", pl.Machine.Spot, "delay", pl.FetchDelay)
+	for _, placement := range result.Launch {
+		slog.Debug("placed", "task", placement.Task, "class", placement.Job.Spec.Class, "machine", placement.Machine.ID, "spot", placement.Machine.Spot, "delay", placement.FetchDelay)
 		if c.format.level >= LevelTasks {
-			c.savePlacement(pl)
+			c.savePlacement(placement)
 			continue
 		}
-		c.saveMachine(pl.Machine, c.whileInTerm(func() {
-			pl.Committed = true
-			c.queueOrder(pl.Machine)
+		c.saveMachine(placement.Machine, c.whileInTerm(func() {
+			placement.Committed = true
+			c.queueOrder(placement.Machine)
 		}))
 	}
-	for _, v := range out.Stop {
-		if v.Grace > 0 { // the others go with the launch that they make room for
-			c.queueOrder(v.Machine)
+	for _, victim := range result.Stop {
+		if victim.Grace > 0 { // the other stops are sent with the launch that needs their resources
+			c.queueOrder(victim.Machine)
 		}
 	}
 	c.sendOrders()
-	c.unplaced = out.Unplaced
+	c.unplacedTasks = result.Unplaced
 	c.rentMachines(now)
 	c.committer.startTransaction()
-	if len(out.Launch)+len(out.Stop) > 0 {
-		slog.Debug("plan", "launch", len(out.Launch), "stop", len(out.Stop), "unplaced", len(out.Unplaced))
+	if len(result.Launch)+len(result.Stop) > 0 {
+		slog.Debug("plan", "launch", len(result.Launch), "stop", len(result.Stop), "unplaced", len(result.Unplaced))
 	}
 }
 
-// maxTasks is how many tasks a machine may hold: while its record must hold them,
-// as many as surely fit in there.
-func (c *Core) maxTasks() int {
+// maxTasksPerMachine returns how many tasks a machine may hold. Below LevelTasks the
+// machine's record holds their placements, so the size of a value limits their number.
+func (c *Core) maxTasksPerMachine() int {
 	if c.format.level < LevelTasks {
-		return c.stateLimits().ValueBytes() / placeSize
+		return c.stateLimits().ValueBytes() / maxPlacementSize
 	}
 	return math.MaxInt
 }
 
-// placeSize is more than a placement takes in its machine's record.
-const placeSize = 250
+// maxPlacementSize is an upper bound, in bytes, of a placement's size in its machine's
+// record.
+const maxPlacementSize = 250
 
-// fresh is how old a machine's last report may be for new tasks.
+// maxReportAge returns how old a machine's last report may be for the machine to get new
+// tasks.
 func (c *Core) maxReportAge() Micros { return 5 * c.cfg.ReportInterval() / 2 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -174,10 +174,10 @@
 func (c *Core) answerUnlessCancelled(record []byte, a Answer, reply func(Answer)) {
 	var r jobRecord
 	switch err := msgpack.Unmarshal(record, &r); {
-	case err == nil && (len(r.Job.DependsOn) == 0 && r.Parts == 0 || !c.cancellationMayBeDue(c.toSteadyTime(r.AcceptedAt))):
+	case err == nil && (len(r.Job.DependsOn) == 0 && r.AwaitsKeys == 0 || !c.cancellationMayBeDue(c.toSteadyTime(r.AcceptedAt))):
 		reply(a)
 		return
-	case err != nil || r.Parts > 0 || len(r.Job.DependsOn) > needsRead:
+	case err != nil || r.AwaitsKeys > 0 || len(r.Job.DependsOn) > needsRead:
 		reply(unavailable)
 		return
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -246,7 +246,7 @@
 // the fleet: a fixed one left hundreds of CPUs idle for minutes where hundreds
 // of machines had to empty.
 func (c *Core) consolidate(in *fleet.Input, now Micros) {
-	waiting := len(c.unplaced) > 0
+	waiting := len(c.unplacedTasks) > 0
 	retiring := 0
 	for _, m := range c.sortedMachines {
 		if m.Retiring && waiting {
@@ -298,7 +298,7 @@
 // wanted reports whether an idle machine is worth keeping, given what services
 // could take on all machines.
 func (c *Core) wanted(in *fleet.Input, m *sched.Machine, spare float64) bool {
-	for _, u := range c.unplaced {
+	for _, u := range c.unplacedTasks {
 		if u.Job.Active() && u.Job.Allows(m.Type, m.Zone, m.Spot) {
 			return true
 		}
@@ -419,7 +419,7 @@
 
 func (c *Core) fleetInput(now Micros) *fleet.Input {
 	in := &fleet.Input{Now: now, Catalog: c.catalog, RefusedUntil: c.refusedUntil, Machines: c.sortedMachines,
-		Unplaced: c.unplaced, SpotWait: c.policy.SpotWaitThreshold, FetchRates: c.fetchRates, MaxReportAge: c.maxReportAge()}
+		Unplaced: c.unplacedTasks, SpotWait: c.policy.SpotWaitThreshold, FetchRates: c.fetchRates, MaxReportAge: c.maxReportAge()}
 	for _, bid := range slices.Sorted(maps.Keys(c.pendingRentals)) {
 		in.PendingRentals = append(in.PendingRentals, c.pendingRentals[bid])
 	}
@@ -621,7 +621,7 @@
 		}
 	}
 	waiting := 0
-	for _, u := range c.unplaced {
+	for _, u := range c.unplacedTasks {
 		waiting += u.Count
 	}
 	in := c.fleetInput(c.env.Now())
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -75,7 +75,7 @@
 		c.lateRenewals++
 	}
 	// Only what is new shows that workers reach this node; late copies don't.
-	c.lastReport, m.UnansweredProbes = now, 0
+	c.lastReportAt, m.UnansweredProbes = now, 0
 	renew := ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: c.term}}
 	if r.Session == m.Session && r.Seq < m.LastCommandSeq {
 		// Written before the worker executed an order whose answer is known: what
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -169,7 +169,7 @@
 	value := wire.Encode(&rec)
 	changes := []wire.Change{{PutKey: jobPrefix + job.ID}}
 	if wire.JSONSize(value) > limit {
-		rec.Job.DependsOn, rec.Parts = nil, 1
+		rec.Job.DependsOn, rec.AwaitsKeys = nil, 1
 		value = wire.Encode(&rec)
 		if wire.JSONSize(value) > limit-16 {
 			return nil, fmt.Sprintf("too large: a job's record may take %d bytes beside its awaits", limit-16)
@@ -189,7 +189,7 @@
 			size += n
 		}
 		flush()
-		rec.Parts = len(changes) - 1
+		rec.AwaitsKeys = len(changes) - 1
 		value = wire.Encode(&rec)
 	}
 	changes[0].Value = value
