--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -9,25 +9,27 @@
 	"lilacthread/wire"
 )
 
-// committer writes the leader's records in group commits. Every record is a
-// whole snapshot of its keys, so writes of one record merge and a transaction
-// can be sent again; one transaction is in flight at a time.
+// committer writes the leader's records to the state service in group commits. Each
+// record is a complete snapshot of its keys, so several writes of one record merge into
+// one and a transaction can be repeated. At most one transaction is in flight.
 type committer struct {
 	core           *Core
 	pending        map[string]*pendingWrite
-	urgent         []*pendingWrite // urgent: first come first served
-	delayed        []*pendingWrite // somebody waits, but not for this very write
-	background     []*pendingWrite
-	inFlight       bool
-	paused         bool
-	sizeReductions int // how often in a row the state service refused what was sent
-	rateLimitCount int // 429s in a row
+	urgent         []*pendingWrite // classUrgent, in order of arrival
+	delayed        []*pendingWrite // classDelayed
+	background     []*pendingWrite // classBackground
+	inFlight       bool            // a transaction is being sent or repeated
+	paused         bool            // pauseFor runs
+	sizeReductions int             // consecutive times that a refused transaction made the next one smaller
+	rateLimitCount int             // consecutive answers with status 429
 }
 
-// render gives a record's changes, or false if it has to wait.
+// renderFunc returns the changes that write a record, or false if the record cannot be
+// written yet.
 type renderFunc func() ([]wire.Change, bool)
 
-// record is what waits to be written: one key, or several that change together.
+// pendingWrite is a record that waits to be written: one key, or several keys that change
+// together.
 type pendingWrite struct {
 	key      string
 	render   renderFunc
@@ -36,33 +38,33 @@
 	queuedAt Micros
 }
 
-// Classes of records.
+// Classes of pending writes, by rising urgency.
 const (
-	classBackground = iota
-	classDelayed
-	classUrgent
+	classBackground = iota // nothing waits for the write
+	classDelayed           // ends of tasks: something waits, but the write may be delayed to merge
+	classUrgent            // something waits for the write
 )
 
-// How long records of the lower classes may stay unwritten, so that more writes
-// of the same record merge: where changes are scarce that keeps launches from
-// queueing behind the ends of other tasks.
+// How long records of the lower classes stay unwritten before they start a transaction
+// of their own, so that more writes of the same record merge. When the write budget is
+// short, this keeps launches from queueing behind the ends of other tasks.
 const (
-	maxDelayedWriteAge    = 4 * clock.Second
-	maxBackgroundWriteAge = 2 * clock.Second
+	delayedMergeTime    = 4 * clock.Second
+	backgroundMergeTime = 2 * clock.Second
 )
 
-// wait is how long records that somebody waits for may stay unwritten now: not
-// at all while the budget is as good as untouched.
+// delayedWriteWait returns how long records of classDelayed stay unwritten at present: not
+// at all while at least three quarters of the write budget's burst are left.
 func (w *committer) delayedWriteWait() Micros {
 	c := w.core
 	if left := c.writeBudget.Remaining(stdTime(c.env.Now())); left < 0.75*float64(c.writeBudget.Burst()) {
-		return maxDelayedWriteAge
+		return delayedMergeTime
 	}
 	return 0
 }
 
-// put queues the record of one key; a nil value deletes it. done, if any, runs
-// once it is committed, and makes it urgent.
+// put queues the record of one key; a nil value deletes the key. If done is not nil, the
+// record is urgent and done runs once it is committed.
 func (w *committer) put(key string, value func() []byte, done func()) {
 	class := classBackground
 	if done != nil {
@@ -71,7 +73,7 @@
 	w.add(key, class, func() ([]wire.Change, bool) { return []wire.Change{putOrDelete(key, value())}, true }, done)
 }
 
-// change puts a value, or deletes the key if there is none.
+// putOrDelete returns a change that puts the value, or deletes the key if the value is nil.
 func putOrDelete(key string, value []byte) wire.Change {
 	if value == nil {
 		return wire.Change{DeleteKey: key}
@@ -79,34 +81,37 @@
 	return wire.Change{PutKey: key, Value: value}
 }
 
-// add queues a record of any class.
-func (w *committer) add(key string, class int, f renderFunc, done func()) {
-	r := w.pending[key]
-	if r == nil {
-		r = &pendingWrite{key: key, queuedAt: w.core.env.Now(), class: -1}
-		w.pending[key] = r
+// add queues a record under a key, or merges it with the one queued under that key: the
+// latest render function and the higher class apply, and all done functions run.
+func (w *committer) add(key string, class int, render renderFunc, done func()) {
+	write := w.pending[key]
+	if write == nil {
+		write = &pendingWrite{key: key, queuedAt: w.core.env.Now(), class: -1}
+		w.pending[key] = write
 	}
-	r.render = f
+	write.render = render
 	if done != nil {
-		r.done = append(r.done, done)
+		write.done = append(write.done, done)
 	}
-	if class <= r.class {
+	if class <= write.class {
 		return
 	}
-	r.class = class
+	write.class = class
 	switch class {
 	case classUrgent:
-		w.urgent = append(w.urgent, r)
+		w.urgent = append(w.urgent, write)
 	case classDelayed:
-		w.delayed = append(w.delayed, r)
+		w.delayed = append(w.delayed, write)
 	default:
-		w.background = append(w.background, r)
+		w.background = append(w.background, write)
 	}
 }
 
+// reset drops all pending writes.
 func (w *committer) reset() { *w = committer{core: w.core, pending: map[string]*pendingWrite{}} }
 
-// head gives the first record of a list that still belongs to it.
+// firstPending drops stale entries from the front of a class's list and returns the first
+// record that is still pending in that class, or nil.
 func (w *committer) firstPending(list *[]*pendingWrite, class int) *pendingWrite {
 	for len(*list) > 0 {
 		if r := (*list)[0]; w.pending[r.key] == r && r.class == class {
@@ -117,7 +122,7 @@
 	return nil
 }
 
-// age is how long the first of the urgent records has waited.
+// oldestUrgentAge returns how long the first of the urgent records has waited.
 func (w *committer) oldestUrgentAge() Micros {
 	if r := w.firstPending(&w.urgent, classUrgent); r != nil {
 		return w.core.env.Now() - r.queuedAt
@@ -125,21 +130,23 @@
 	return 0
 }
 
-// batch is a transaction being filled.
+// batch is a transaction that is being filled or sent.
 type batch struct {
-	notReady       map[*pendingWrite]bool // not to be rendered yet
+	notReady       map[*pendingWrite]bool // records whose render function reported that they cannot be written yet
 	records        []*pendingWrite
 	changes        []wire.Change
-	changesByClass [classUrgent + 1]int // changes by class
-	size           int
+	changesByClass [classUrgent + 1]int
+	size           int // bytes of the changes in JSON
 }
 
-// Sizes of a transaction's JSON form beside its changes' keys and values.
+// Upper bounds, in bytes, of what a transaction's JSON form needs besides the keys and
+// values of its changes.
 const (
 	txnOverhead    = 512
 	changeOverhead = 48
 )
 
+// changesSize returns an upper bound of the changes' size in JSON, in bytes.
 func changesSize(changes []wire.Change) int {
 	n := 0
 	for _, ch := range changes {
@@ -151,9 +158,9 @@
 	return n
 }
 
-// pump starts a transaction if there is something to write. While the lease is
-// in doubt nothing is sent: the guard would catch it, but the budget is better
-// kept.
+// startTransaction sends a transaction if records are due and the write budget allows it.
+// It sends nothing after the leader's lease deadline: the guard would reject a transaction
+// that another leader must not see, but the attempt would use up budget.
 func (w *committer) startTransaction() {
 	c := w.core
 	if w.inFlight || w.paused || !c.elector.Leading() || c.env.Now() >= c.elector.LeaseDeadline() {
@@ -161,13 +168,13 @@
 	}
 	now := c.env.Now()
 	due := func(r *pendingWrite, minAge Micros) bool { return r != nil && now-r.queuedAt >= minAge }
-	if w.firstPending(&w.urgent, classUrgent) == nil && !due(w.firstPending(&w.delayed, classDelayed), w.delayedWriteWait()) && !due(w.firstPending(&w.background, classBackground), maxBackgroundWriteAge) {
+	if w.firstPending(&w.urgent, classUrgent) == nil && !due(w.firstPending(&w.delayed, classDelayed), w.delayedWriteWait()) && !due(w.firstPending(&w.background, classBackground), backgroundMergeTime) {
 		return
 	}
 	urgent, budgetTime := w.firstPending(&w.urgent, classUrgent) != nil, stdTime(now)
 	c.writeBudget.SetWaiting(admit.UrgentWrites, urgent)
-	c.writeBudget.SetWaiting(admit.TaskEndWrites, due(w.firstPending(&w.delayed, classDelayed), maxDelayedWriteAge))
-	c.writeBudget.SetWaiting(admit.BackgroundWrites, due(w.firstPending(&w.background, classBackground), 2*maxBackgroundWriteAge))
+	c.writeBudget.SetWaiting(admit.TaskEndWrites, due(w.firstPending(&w.delayed, classDelayed), delayedMergeTime))
+	c.writeBudget.SetWaiting(admit.BackgroundWrites, due(w.firstPending(&w.background, classBackground), 2*backgroundMergeTime))
 	budget := c.writeBudget.Available(budgetTime, admit.UrgentWrites)
 	if !urgent {
 		budget = max(c.writeBudget.Available(budgetTime, admit.TaskEndWrites), c.writeBudget.Available(budgetTime, admit.BackgroundWrites))
@@ -178,11 +185,11 @@
 		return
 	}
 	txnBatch := &batch{notReady: map[*pendingWrite]bool{}}
-	full := w.fill(txnBatch, &w.urgent, classUrgent, max(maxChanges, 1), func(*pendingWrite) bool { return true }) ||
-		w.fill(txnBatch, &w.delayed, classDelayed, w.maxChangesWith(admit.TaskEndWrites, maxChanges, len(txnBatch.changes), 4), func(r *pendingWrite) bool { return due(r, w.delayedWriteWait()/2) }) ||
-		w.fill(txnBatch, &w.background, classBackground, w.maxChangesWith(admit.BackgroundWrites, maxChanges, len(txnBatch.changes), 2), func(r *pendingWrite) bool { return due(r, maxBackgroundWriteAge/2) })
+	noCapacity := w.fill(txnBatch, &w.urgent, classUrgent, max(maxChanges, 1), func(*pendingWrite) bool { return true }) ||
+		w.fill(txnBatch, &w.delayed, classDelayed, w.maxChangesFor(admit.TaskEndWrites, maxChanges, len(txnBatch.changes), 4), func(r *pendingWrite) bool { return due(r, w.delayedWriteWait()/2) }) ||
+		w.fill(txnBatch, &w.background, classBackground, w.maxChangesFor(admit.BackgroundWrites, maxChanges, len(txnBatch.changes), 2), func(r *pendingWrite) bool { return due(r, backgroundMergeTime/2) })
 	if len(txnBatch.records) == 0 {
-		if full || len(txnBatch.notReady) > 0 { // the budget has no room for the first record, or all have to wait
+		if noCapacity || len(txnBatch.notReady) > 0 { // the budget does not cover the first record, or no record can be written yet
 			w.pauseFor(50 * clock.Millisecond)
 		}
 		return
@@ -195,21 +202,21 @@
 	w.send(c.term, txnBatch)
 }
 
-// useOf tells what the records of a class are spent on.
+// requestClassOf maps a class of records to its class in the write budget.
 var requestClassOf = [...]admit.RequestClass{classBackground: admit.BackgroundWrites, classDelayed: admit.TaskEndWrites, classUrgent: admit.UrgentWrites}
 
-// spare is how many changes a transaction may hold once records join it that are
-// not urgent: they leave a part of a second's budget to those that are, but for
-// their own floor.
-func (w *committer) maxChangesWith(requestClass admit.RequestClass, limit, used, reserveDivisor int) int {
+// maxChangesFor returns how many changes a transaction that holds used changes may hold
+// once records that are not urgent join it. They leave 1/reserveDivisor of the budget's
+// burst to urgent ones, but always get the guaranteed minimum of their own request class.
+func (w *committer) maxChangesFor(requestClass admit.RequestClass, limit, used, reserveDivisor int) int {
 	c := w.core
 	at := stdTime(c.env.Now())
 	unreserved := int(c.writeBudget.Remaining(at)) - c.writeBudget.Burst()/reserveDivisor
 	return min(limit, max(unreserved, used+int(c.writeBudget.Reserved(at, requestClass)), used))
 }
 
-// fill moves records of one list into the batch; it reports whether the next one
-// found no room.
+// fill moves eligible records from one list into the batch. It reports whether it stopped
+// because the batch has no room for the next one.
 func (w *committer) fill(b *batch, list *[]*pendingWrite, class, maxChanges int, eligible func(*pendingWrite) bool) bool {
 	for {
 		r := w.firstPending(list, class)
@@ -220,10 +227,10 @@
 			return true
 		}
 		if b.notReady[r] {
-			return false // all that is left waits for something
+			return false // none of the remaining records can be written yet
 		}
-		changes, ok := r.render()
-		if !ok {
+		changes, ready := r.render()
+		if !ready {
 			b.notReady[r] = true
 			*list = append((*list)[1:], r)
 			continue
@@ -232,8 +239,9 @@
 		if len(b.records) > 0 && b.size+size > wire.MaxBody-txnOverhead {
 			return true
 		}
-		// A record of several changes goes whole or not at all; alone it may wait
-		// for the budget, but not for ever.
+		// The changes of a record stay together. A record that would be alone in the batch
+		// waits until the budget covers it, unless the budget or the limit of a transaction
+		// never will.
 		if len(b.changes)+len(changes) > maxChanges && (len(b.records) > 0 || len(changes) <= w.core.stateLimits().TxnOps && !w.budgetCovers(len(changes))) {
 			return true
 		}
@@ -244,12 +252,14 @@
 	}
 }
 
-// enough reports whether the budget covers n changes, as far as it ever can.
+// budgetCovers reports whether the write budget covers n changes, or is at its burst if n
+// exceeds that.
 func (w *committer) budgetCovers(n int) bool {
 	c := w.core
 	return c.writeBudget.Remaining(stdTime(c.env.Now())) >= float64(min(n, c.writeBudget.Burst()))
 }
 
+// pauseFor keeps the committer from sending for a while, then calls startTransaction.
 func (w *committer) pauseFor(d Micros) {
 	w.paused = true
 	w.core.env.After(d, func() {
@@ -258,12 +268,11 @@
 	})
 }
 
-// requeue puts the records of a refused transaction back to the head of the urgent
-// queue, to be rendered again. Their order among each other stays: a cascade of
-// cancellations depends on it.
-func (w *committer) requeue(b *batch) {
+// requeue returns the records of a refused transaction to the head of the urgent list, to
+// be rendered again. It keeps their order, which cascading cancellations depend on.
+func (w *committer) requeue(refused *batch) {
 	var front []*pendingWrite
-	for _, r := range b.records {
+	for _, r := range refused.records {
 		r = w.reinsert(r)
 		r.class = classUrgent
 		front = append(front, r)
@@ -271,13 +280,14 @@
 	w.urgent = append(front, w.urgent...)
 }
 
-// putBack is requeue where the state service had enough to do: each record goes back to
-// where it came from, the urgent ones first of all. A record of three changes that came
-// to stand alone before all others, where the service took two and a half a second, would
-// otherwise never be taken, nor anything behind it: found by the scenario throttled.
-func (w *committer) requeueByClass(b *batch) {
+// requeueInOwnClass returns the records of a rate-limited transaction to the heads of the
+// lists of their own classes, so that the urgent ones are sent first. With requeue, a
+// background record of three changes could end up alone ahead of all others; if the state
+// service takes 2.5 changes a second, neither that record nor any behind it would ever be
+// written (scenario throttled).
+func (w *committer) requeueInOwnClass(refused *batch) {
 	var lists [classUrgent + 1][]*pendingWrite
-	for _, r := range b.records {
+	for _, r := range refused.records {
 		r = w.reinsert(r)
 		lists[r.class] = append(lists[r.class], r)
 	}
@@ -286,7 +296,8 @@
 	w.background = append(lists[classBackground], w.background...)
 }
 
-// again takes a record that was sent back in, with what was put under its key since.
+// reinsert makes a record pending again and merges it with what was queued under its key
+// since it was sent.
 func (w *committer) reinsert(r *pendingWrite) *pendingWrite {
 	if newer := w.pending[r.key]; newer != nil {
 		r.render, r.done, r.class = newer.render, append(r.done, newer.done...), max(r.class, newer.class)
@@ -295,9 +306,9 @@
 	return r
 }
 
-// send commits the changes, again if need be. A transaction whose outcome is
-// unknown is fenced off before it is repeated: applied late, it would bring old
-// values back.
+// send commits a batch and repeats the transaction as long as it should be. Before it
+// repeats a transaction whose outcome is unknown, it fences the earlier one off, which
+// would restore old values if it were applied late.
 func (w *committer) send(term uint64, b *batch) {
 	c := w.core
 	stillCurrent := func() bool { return c.elector.Leading() && c.term == term && c.committer.inFlight }
@@ -328,9 +339,9 @@
 			c.env.After(150*clock.Millisecond, func() { resend(true) })
 		case store.RateLimited:
 			if w.rateLimitCount++; w.rateLimitCount%4 == 0 && (len(b.records) > 1 || b.records[0].class != classUrgent) {
-				// So many changes at once may be more than it ever takes.
+				// The state service may never accept this many changes at once.
 				w.inFlight, w.sizeReductions = false, min(w.sizeReductions+1, 3)
-				w.requeueByClass(b)
+				w.requeueInOwnClass(b)
 				w.pauseFor(250 * clock.Millisecond)
 				return
 			}
@@ -338,27 +349,27 @@
 		case store.Invalid:
 			w.handleInvalidTransaction(b)
 		default:
-			slog.Info("transaction without an answer, fencing", "records", len(b.records))
+			slog.Info("transaction not answered, fencing before a retry", "records", len(b.records))
 			c.elector.Fence(resend)
 		}
 	})
 }
 
-// maxSqueeze is how often a transaction is made smaller before a single record
-// that is still refused is given up, so as not to hold up all others.
+// maxSizeReductions is how often a refused transaction is made smaller before its first
+// record is dropped, which would otherwise block all others.
 const maxSizeReductions = 6
 
-// refused deals with a transaction that the state service calls invalid: either
-// its limits were lowered, or one of the records is too large for them.
-func (w *committer) handleInvalidTransaction(b *batch) {
+// handleInvalidTransaction handles a transaction that the state service rejects as
+// invalid: either the limits of the service were lowered, or a record exceeds them.
+func (w *committer) handleInvalidTransaction(refused *batch) {
 	c := w.core
 	w.inFlight = false
-	raised := c.raiseLevelOnSizeRefusal(b.changes)
-	w.requeue(b)
+	raised := c.raiseLevelOnSizeRefusal(refused.changes)
+	w.requeue(refused)
 	if !raised {
 		if w.sizeReductions++; w.sizeReductions > maxSizeReductions {
 			r := w.urgent[0]
-			slog.Error("record given up: the state service refuses it", "key", r.key)
+			slog.Error("record dropped, the state service rejects it as invalid", "key", r.key)
 			w.urgent = w.urgent[1:]
 			delete(w.pending, r.key)
 			w.sizeReductions = 0
--- a/internal/controller/format_level.go
+++ b/internal/controller/format_level.go
@@ -15,70 +15,74 @@
 	"lilacthread/wire"
 )
 
-// Format levels: how records are written. All levels are read at any time.
-// While versions that speak only a lower level may still run, or come back after
-// a crash, that lower level is written. The level in force rises once every node
-// of the settings has announced that it speaks the next one, and never falls.
+// Format levels define how records are written. Records of all levels can always be read.
+// The level in force is written; it rises once every node in the settings has announced
+// that it supports a higher one, and never falls. So a lower level is written as long as a
+// version that supports no more may still run, or may restart after a crash.
 const (
-	// LevelPlaces is version 0.1: placements lie in their machine's record,
-	// finished tasks in their job's progress.
+	// LevelPlacements is the format of version 0.1: a machine's record holds the
+	// placements on it, and a job's progress record holds which of its tasks are done.
 	LevelPlacements = 1
-	// LevelTasks keeps both in records of a job's tasks, small enough for the
+	// LevelTasks keeps both in task records of the job, which are small enough for the
 	// next limits of the state service.
 	LevelTasks = 2
-	// LevelGroups keeps machines that came together in one record.
+	// LevelGroups keeps machines that were rented together in one record.
 	LevelGroups = 3
-	// LevelIntents writes rentals and returns ahead of the calls.
+	// LevelIntents writes an intent ahead of each call to the cloud that rents or releases
+	// machines.
 	LevelIntents = 4
-	// LevelRelay lets controllers that do not lead relay workers' reports; records are as
-	// before.
+	// LevelRelay lets controllers that do not lead relay workers' reports. Records do not
+	// change.
 	LevelRelay = 5
-	// Highest is what this version speaks.
+	// HighestLevel is the highest level that this version supports.
 	HighestLevel = LevelRelay
 )
 
-// Keys of the upgrade, which version 0.1 neither reads nor writes.
+// Keys of the format level, which version 0.1 neither reads nor writes.
 const (
 	levelPrefix = "fmt/"
 	levelKey    = "fmt/level"
 	nodePrefix  = "fmt/node/"
 )
 
+// levelRecord is stored for the level in force, and by each node for the highest level
+// that it supports.
 type levelRecord struct {
 	Level int `msgpack:"level"`
 }
 
-// upgrade is what a node knows of the format levels.
+// formatState is what a node knows about the format levels.
 type formatState struct {
-	maxLevel      int            // what this process reads and writes at most
-	level         int            // in force
-	peerMaxLevels map[string]int // what the nodes are known to speak
-	raising       bool           // the record of the new level is on its way
-	announced     bool           // the state service has this node's announcement
+	maxLevel      int            // highest level that this process supports
+	level         int            // level in force, as far as this node knows
+	peerMaxLevels map[string]int // highest level known to be supported, by node
+	raising       bool           // the record of the new level is not yet committed
+	announced     bool           // the state service holds this node's announcement
 }
 
-// Level is the format level in force, as far as this node knows.
+// FormatLevel returns the format level in force, as far as this node knows.
 func (c *Core) FormatLevel() int { return c.format.level }
 
-// limits are those of the state service in force: the present ones until the
-// upgrade is over, from then on the smaller of the present and the next.
+// stateLimits returns the limits of the state service to observe: below LevelTasks the
+// present ones, from then on the lower of the present and the next ones.
 func (c *Core) stateLimits() config.StateLimits {
 	s := c.cfg.Params.State
 	if c.format.level >= LevelTasks {
 		s = s.Lowest()
 	}
-	// A transaction of a single record that is refused all the same: shrink it.
+	// A transaction was refused although it was made smaller three times: the value limit
+	// may be lower than the settings say.
 	if n := c.committer.sizeReductions - 3; n > 0 {
 		s.ValueKB *= math.Pow(0.75, float64(n))
 	}
 	return s
 }
 
-// announce tells the others, through the state service, what this process
-// speaks; peers also hear it in every message.
+// announceLevel writes the highest level that this process supports to the state service;
+// peers also receive it with every message.
 //
-// A process before this one may have said the same: then nothing is written, so that a
-// loop of crashes costs no changes.
+// If the record is the same from before a restart, nothing is written, so that a crash
+// loop uses no write budget.
 func (c *Core) announceLevel() {
 	if c.format.maxLevel < LevelTasks || c.format.announced {
 		return
@@ -99,18 +103,19 @@
 	})
 }
 
-// hearLevel takes in what is known of another node's process.
+// recordNodeLevel records the highest level that another node supports and the level in
+// force that it reports. Zero stands for unknown.
 func (c *Core) recordNodeLevel(node string, nodeMaxLevel, levelInForce int) {
 	if c.format.maxLevel < LevelTasks {
 		return
 	}
 	c.format.peerMaxLevels[node] = max(c.format.peerMaxLevels[node], nodeMaxLevel)
 	if levelInForce = min(levelInForce, c.format.maxLevel); levelInForce > c.format.level {
-		c.raiseLevel(levelInForce, "another node says so")
+		c.raiseLevel(levelInForce, "reported by another node")
 	}
 }
 
-// readLevels reads the announcements and the level in force.
+// readLevels reads the announcements of all nodes and the level in force.
 func (c *Core) readLevels(done func(ok bool)) {
 	if c.format.maxLevel < LevelTasks {
 		done(true)
@@ -139,8 +144,8 @@
 	})
 }
 
-// tendLevel has the leader raise the level once every node speaks it. The level
-// is recorded first, and used after.
+// maintainFormatLevel lets the leader raise the level once every node supports a higher
+// one. It uses the new level only after the record of that level is committed.
 func (c *Core) maintainFormatLevel(now Micros) {
 	if c.format.level >= c.format.maxLevel || c.format.raising {
 		return
@@ -154,11 +159,11 @@
 		c.readLevels(func(bool) {})
 	}
 	if commonLevel > c.format.level {
-		c.recordLevel(commonLevel, func() { c.raiseLevel(commonLevel, "every node speaks it") })
+		c.recordLevel(commonLevel, func() { c.raiseLevel(commonLevel, "supported by every node") })
 	}
 }
 
-// recordLevel writes a level for good.
+// recordLevel writes the level in force and calls done once it is committed.
 func (c *Core) recordLevel(level int, done func()) {
 	c.format.raising = true
 	c.committer.put(levelKey, func() []byte { return wire.Encode(&levelRecord{max(level, c.format.level)}) }, c.whileInTerm(func() {
@@ -167,7 +172,8 @@
 	}))
 }
 
-// raise begins to write a new level and to keep the next limits.
+// raiseLevel starts to use a higher level: it observes the limits that go with it, and a
+// leader converts the records.
 func (c *Core) raiseLevel(level int, reason string) {
 	if c.format.level >= level {
 		return
@@ -181,14 +187,16 @@
 	}
 }
 
-// convert writes the placements that lie in their machines' records into those
-// of their jobs. A machine's record drops a placement only when that is done.
+// migrateRecords converts records to the level in force. It writes placements that are
+// held by machine records to the task records of their jobs; a machine's record drops a
+// placement only once the task record is committed. From LevelGroups on it also moves
+// machines to group records.
 func (c *Core) migrateRecords() {
 	for _, m := range c.sortedMachines {
 		for _, p := range sortedPlacements(m) {
 			switch {
 			case p.InJobRecord:
-			case p.Job == nil: // over, or replaced after its absence was proven
+			case p.Job == nil: // the task is over, or was placed again after proof that it does not run here
 				p.InJobRecord = true
 			default:
 				c.savePlacement(p)
@@ -208,9 +216,10 @@
 	}
 }
 
-// refusedForSize is told of changes that the state service called invalid. A
-// refusal of what the present limits allow and the next ones don't proves that
-// the upgrade is over.
+// raiseLevelOnSizeRefusal handles changes that the state service rejected as invalid, and
+// reports whether it raised the level. If the changes exceed the lower of the present and
+// the next limits, the rejection shows that the next limits apply, so the leader raises
+// the level to LevelTasks.
 func (c *Core) raiseLevelOnSizeRefusal(changes []wire.Change) bool {
 	lowestLimits := c.cfg.Params.State.Lowest()
 	exceedsLowest := len(changes) > lowestLimits.TxnOps
@@ -220,16 +229,16 @@
 	if !exceedsLowest || c.format.level >= LevelTasks || c.format.maxLevel < LevelTasks {
 		return false
 	}
-	c.raiseLevel(LevelTasks, "the state service has its next limits")
+	c.raiseLevel(LevelTasks, "the state service enforces its next limits")
 	if c.elector.Leading() && c.loaded {
 		c.recordLevel(LevelTasks, func() {})
 	}
 	return true
 }
 
-// savePlace writes a placement ahead of its launch, or converts it. The machine's
-// own record goes before the first one: a new leader takes a machine without a
-// record for returned, and all that was on it for gone.
+// savePlacement writes a placement to the task records of its job, ahead of its launch or
+// to convert it. The machine's record is queued before the first placement on it, because
+// a new leader treats a machine without a record as released and its tasks as lost.
 func (c *Core) savePlacement(p *sched.Placement) {
 	if !p.Machine.Recorded {
 		c.saveMachine(p.Machine, func() {})
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -88,7 +88,7 @@
 	SavedAt       int64              `msgpack:"at"`
 	TeamUsage     map[string]float64 `msgpack:"use"`
 	FetchRates    map[string]float64 `msgpack:"rates"`
-	Arrivals      map[string]float64 `msgpack:"arrivals"`
+	ArrivalRates  map[string]float64 `msgpack:"arrivals"`
 	FirstArrivals map[string]int64   `msgpack:"since"` // time of day of a class's first arrival
 	Batch         map[string]bool    `msgpack:"batch"`
 	SpotLosses    float64            `msgpack:"lost,omitempty"` // of spotLosses
@@ -610,7 +610,7 @@
 	if rec.AccountsDigest == c.accountIndex.Digest {
 		c.objectiveTracker.Restore(rec.ServedCounts, at)
 	}
-	for class, r := range rec.Arrivals {
+	for class, r := range rec.ArrivalRates {
 		c.arrivals[class] = &arrivalStats{rate: r, updatedAt: at, batch: rec.Batch[class],
 			firstArrival: min(at, Micros(rec.FirstArrivals[class])-c.env.Wall()+now)}
 	}
@@ -630,7 +630,7 @@
 // is learnt again.
 func (c *Core) renderLearned(limit int) []byte {
 	rec := learnedRecord{SavedAt: int64(c.env.Wall()), TeamUsage: map[string]float64{},
-		FetchRates: map[string]float64{}, Arrivals: map[string]float64{}, FirstArrivals: map[string]int64{}, Batch: map[string]bool{}}
+		FetchRates: map[string]float64{}, ArrivalRates: map[string]float64{}, FirstArrivals: map[string]int64{}, Batch: map[string]bool{}}
 	now := c.env.Now()
 	rec.SpotLosses, rec.SpotUpSeconds = roundToSixDigits(c.spotLosses.lost), roundToSixDigits(c.spotLosses.upSeconds)
 	if c.policy.Admission.Enabled {
@@ -647,22 +647,22 @@
 		rec.TeamUsage[name] = roundToSixDigits(t.Usage)
 	}
 	for class, a := range c.arrivals {
-		rec.Arrivals[class], rec.Batch[class] = roundToSixDigits(a.rateAt(now)), a.batch
+		rec.ArrivalRates[class], rec.Batch[class] = roundToSixDigits(a.rateAt(now)), a.batch
 		rec.FirstArrivals[class] = c.toWallTime(a.firstArrival)
 	}
 	value := wire.Encode(&rec)
 	for wire.JSONSize(value) > limit {
 		class, least := "", math.Inf(1)
-		for _, name := range slices.Sorted(maps.Keys(rec.Arrivals)) {
-			if rec.Arrivals[name] < least {
-				class, least = name, rec.Arrivals[name]
+		for _, name := range slices.Sorted(maps.Keys(rec.ArrivalRates)) {
+			if rec.ArrivalRates[name] < least {
+				class, least = name, rec.ArrivalRates[name]
 			}
 		}
 		switch {
 		case rec.ServedCounts != nil:
 			rec.ServedCounts, rec.AccountsDigest = nil, 0
 		case class != "":
-			delete(rec.Arrivals, class)
+			delete(rec.ArrivalRates, class)
 			delete(rec.FirstArrivals, class)
 			delete(rec.Batch, class)
 		case len(rec.FetchRates) > 0:
--- a/internal/controller/records_test.go
+++ b/internal/controller/records_test.go
@@ -44,8 +44,8 @@
 		t.Errorf("learnt takes %d bytes", n)
 	}
 	var rec learnedRecord
-	if err := wire.Decode(c.renderLearned(limit), &rec); err != nil || rec.Arrivals["class-199"] == 0 || rec.Arrivals["class-0"] != 0 {
-		t.Errorf("learnt keeps %v, %v", rec.Arrivals, err)
+	if err := wire.Decode(c.renderLearned(limit), &rec); err != nil || rec.ArrivalRates["class-199"] == 0 || rec.ArrivalRates["class-0"] != 0 {
+		t.Errorf("learnt keeps %v, %v", rec.ArrivalRates, err)
 	}
 
 	for i := range 40 {
