--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -159,8 +159,8 @@
 }
 
 // startTransaction sends a transaction if records are due and the write budget allows it.
-// It sends nothing after the leader's lease deadline: the guard would reject a transaction
-// that another leader must not see, but the attempt would use up budget.
+// It sends nothing after the leader's lease deadline: the guard would reject the
+// transaction if another leader had been elected, but the attempt would use up budget.
 func (w *committer) startTransaction() {
 	c := w.core
 	if w.inFlight || w.paused || !c.elector.Leading() || c.env.Now() >= c.elector.LeaseDeadline() {
@@ -239,9 +239,8 @@
 		if len(b.records) > 0 && b.size+size > wire.MaxBody-txnOverhead {
 			return true
 		}
-		// The changes of a record stay together. A record that would be alone in the batch
-		// waits until the budget covers it, unless the budget or the limit of a transaction
-		// never will.
+		// The changes of a record stay together. A record that is alone in the batch waits
+		// until the budget covers it or is full, unless it exceeds the limit of a transaction.
 		if len(b.changes)+len(changes) > maxChanges && (len(b.records) > 0 || len(changes) <= w.core.stateLimits().TxnOps && !w.budgetCovers(len(changes))) {
 			return true
 		}
@@ -252,8 +251,8 @@
 	}
 }
 
-// budgetCovers reports whether the write budget covers n changes, or is at its burst if n
-// exceeds that.
+// budgetCovers reports whether the write budget covers n changes, or is full if n exceeds
+// its burst.
 func (w *committer) budgetCovers(n int) bool {
 	c := w.core
 	return c.writeBudget.Remaining(stdTime(c.env.Now())) >= float64(min(n, c.writeBudget.Burst()))
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -15,13 +15,13 @@
 	"lilacthread/wire"
 )
 
-// still is a world in which time stands still and nothing answers.
+// frozenEnv is an Env in which time does not advance and only the clocks can be used.
 type frozenEnv struct{ Env }
 
 func (frozenEnv) Now() Micros  { return 10 * clock.Second }
 func (frozenEnv) Wall() Micros { return 1_700_000_010 * clock.Second }
 
-// loading makes a core as a new leader is while it reads its records.
+// newLoadingCore returns a Core in the state of a new leader that is loading its records.
 func newLoadingCore(level int, state config.StateLimits) *Core {
 	cfg := new(config.Config)
 	cfg.Params.State = state
@@ -32,25 +32,27 @@
 	return c
 }
 
+// productionRecords returns the records in testdata/production.txt, by key.
 func productionRecords(t *testing.T) map[string][]byte {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/production.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := map[string][]byte{}
+	records := map[string][]byte{}
 	for line := range strings.Lines(string(raw)) {
 		key, value, ok := strings.Cut(strings.TrimSpace(line), " ")
 		if !ok || key == "#" {
 			continue
 		}
-		if out[key], err = hex.DecodeString(value); err != nil {
+		if records[key], err = hex.DecodeString(value); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return out
+	return records
 }
 
+// loadRecords restores jobs, tasks and machines in the order that Core.load uses.
 func loadRecords(t *testing.T, c *Core, records map[string][]byte) {
 	t.Helper()
 	c.setCatalog(readCatalog([]wire.Item{{Key: catalogKey, Value: records[catalogKey]}}))
@@ -80,21 +82,22 @@
 	c.sortMachines()
 }
 
-// written renders what waits to be written.
+// renderPending returns the values that pending writes would put, by key.
 func renderPending(c *Core, t *testing.T) map[string][]byte {
 	t.Helper()
-	out := map[string][]byte{}
+	values := map[string][]byte{}
 	for _, r := range c.committer.pending {
 		changes, ok := r.render()
 		for _, ch := range changes {
 			if ok && ch.PutKey != "" {
-				out[ch.PutKey] = ch.Value
+				values[ch.PutKey] = ch.Value
 			}
 		}
 	}
-	return out
+	return values
 }
 
+// checkRestored checks the state restored from testdata/production.txt.
 func checkRestored(t *testing.T, c *Core) {
 	t.Helper()
 	j, m := c.jobs["req-000001"], c.machines["m-000001"]
@@ -117,10 +120,10 @@
 	}
 }
 
-// TestProductionRecords: what the version in production wrote is read whole, and
-// what is written before the upgrade is over is the same to the byte, so its
-// readers accept it. At the next level the same state is kept in the new records,
-// within the lowest limits.
+// TestProductionRecords checks compatibility with the records of the version in
+// production: they are read completely, and records written at LevelPlacements are equal
+// byte for byte, so that this version can read them. At LevelTasks the new records hold
+// the same state, within the lowest limits.
 func TestProductionRecords(t *testing.T) {
 	records := productionRecords(t)
 	c := newLoadingCore(LevelPlacements, config.StateLimits{ValueKB: 32, TxnOps: 32, WriteRPS: 100})
@@ -139,20 +142,20 @@
 			t.Errorf("%s: written %x\nproduction %x", key, got[key], records[key])
 		}
 	}
-	changes, why := c.jobChanges(c.jobs["req-000001"].Spec)
+	changes, rejectReason := c.jobChanges(c.jobs["req-000001"].Spec)
 	rec, err := decodeJobRecord(changes[0].Value, nil)
-	if why != "" || err != nil || rec.Job.Tasks != 12 || len(changes[0].Value) != len(records["j/req-000001"]) {
-		t.Errorf("job record: %s, %v, %d bytes", why, err, len(changes[0].Value))
+	if rejectReason != "" || err != nil || rec.Job.Tasks != 12 || len(changes[0].Value) != len(records["j/req-000001"]) {
+		t.Errorf("job record: %s, %v, %d bytes", rejectReason, err, len(changes[0].Value))
 	}
 
 	c.format.level = LevelTasks
 	m := new(machineRecord)
 	if err := wire.Decode(renderPending(c, t)["m/m-000001"], m); err != nil || len(m.Placements) != 4 {
-		t.Errorf("a machine's record dropped places that no job's record holds yet: %+v", m)
+		t.Errorf("a machine's record dropped placements that no task record holds yet: %+v", m)
 	}
 	c.cfg.Params.State.ValueKB = 1
 	c.migrateRecords()
-	for _, r := range c.committer.pending { // as if committed: the jobs' records first
+	for _, r := range c.committer.pending { // as if committed, the task records first
 		r.render()
 	}
 	for _, m := range c.machines {
@@ -167,10 +170,10 @@
 		records[key] = value
 	}
 	records["j/req-000001/s"] = wire.Encode(c.progressRecordOf(c.jobs["req-000001"]))
-	again := newLoadingCore(LevelTasks, c.cfg.Params.State)
-	loadRecords(t, again, records)
-	checkRestored(t, again)
-	if m := again.machines["m-000002"]; len(m.Placements) != 1 || !m.Placements["req-000001/4"].InJobRecord {
+	migrated := newLoadingCore(LevelTasks, c.cfg.Params.State)
+	loadRecords(t, migrated, records)
+	checkRestored(t, migrated)
+	if m := migrated.machines["m-000002"]; len(m.Placements) != 1 || !m.Placements["req-000001/4"].InJobRecord {
 		t.Errorf("placements of m-000002: %v", m.Placements)
 	}
 	var f finalRecord
@@ -179,12 +182,12 @@
 	}
 	c.restoreLearned(records[learnedKey])
 	if c.arrivals["check"].rate != 3.25 || c.fetchRates["t"] != 0.21 {
-		t.Errorf("learnt: %+v", c.arrivals["check"])
+		t.Errorf("learned statistics: %+v", c.arrivals["check"])
 	}
 }
 
-// FuzzRecords: whatever a record of tasks holds, reading it does not panic and
-// enters no place that the job does not have.
+// FuzzRecords checks that reading a task record with any content neither panics nor adds
+// a placement of a task outside the record's range or the job.
 func FuzzRecords(f *testing.F) {
 	f.Add(wire.Encode(&tasksRecord{Done: 5, BaseAttempt: 7, Machines: []string{"m-000001"}, Placements: []uint64{1, 0, 2, 3}}))
 	f.Add(wire.Encode(&tasksRecord{Machines: []string{"m-000001"}, Placements: []uint64{1, 9, 2, 3, 99, 0, 0, 1}}))
@@ -201,7 +204,7 @@
 		}
 		for _, p := range m.Placements {
 			if p.Index < tasksPerRecord || p.Index >= 70 {
-				t.Fatalf("place of task %d", p.Index)
+				t.Fatalf("placement of task %d, which the record or the job does not have", p.Index)
 			}
 		}
 	})
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -105,7 +105,7 @@
 	waitStats        waitStats
 	relay            *carrier.Relay
 
-	// The fields below are valid only while this node is the leader.
+	// The fields below are used only while this node is the leader.
 	term                uint64
 	electedAt           Micros
 	loaded              bool
@@ -118,7 +118,7 @@
 	groupCount          uint64                   // groups created in this term
 	releasedMachines    map[string]bool
 	teams               map[string]*sched.Team
-	fetchRates          map[string]float64
+	fetchRates          map[string]float64 // GB per second, by machine type
 	committer           committer
 	finalReadWaiters    map[string][]*sched.Job // jobs that wait for the final record of a dependency, by its id
 	attemptCount        uint64
@@ -165,10 +165,10 @@
 
 // arrivalStats is the smoothed demand of a class of jobs; see recordArrival.
 type arrivalStats struct {
-	rate         float64
-	updatedAt    Micros // when rate was last updated
+	rate         float64 // CPUs per second that services request, or CPUs that batch work keeps busy
+	updatedAt    Micros  // when rate was last updated
 	firstArrival Micros
-	batch        bool
+	batch        bool       // the class is batch work, not services
 	lastJob      *sched.Job // the job that arrived last
 }
 
--- a/internal/controller/format_level.go
+++ b/internal/controller/format_level.go
@@ -70,8 +70,8 @@
 	if c.format.level >= LevelTasks {
 		s = s.Lowest()
 	}
-	// A transaction was refused although it was made smaller three times: the value limit
-	// may be lower than the settings say.
+	// A transaction that is still refused after three reductions: reduce the limit of a
+	// value too, so that single records get smaller.
 	if n := c.committer.sizeReductions - 3; n > 0 {
 		s.ValueKB *= math.Pow(0.75, float64(n))
 	}
@@ -217,9 +217,9 @@
 }
 
 // raiseLevelOnSizeRefusal handles changes that the state service rejected as invalid, and
-// reports whether it raised the level. If the changes exceed the lower of the present and
-// the next limits, the rejection shows that the next limits apply, so the leader raises
-// the level to LevelTasks.
+// reports whether it raised the level. If the present limits allow the changes and the next
+// ones do not, the rejection shows that the next limits apply, so the level rises to
+// LevelTasks.
 func (c *Core) raiseLevelOnSizeRefusal(changes []wire.Change) bool {
 	lowestLimits := c.cfg.Params.State.Lowest()
 	exceedsLowest := len(changes) > lowestLimits.TxnOps
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -17,10 +17,11 @@
 	"lilacthread/wire"
 )
 
-// Keys in the state service. A job's record is written once by the node that
-// accepted it, with what its awaits don't fit in beside it; its progress by the
-// leader, under the same prefix so that one list reads all at one instant. From
-// LevelTasks on, the records of a job's tasks have a prefix of their own.
+// Keys in the state service. The node that accepts a job writes its record once, and those
+// of the job's awaits that do not fit in the record under further keys beside it. The
+// leader writes the job's progress under the same prefix, so that one list request reads
+// all of them as of one instant. From LevelTasks on, the records of a job's tasks have a
+// prefix of their own.
 const (
 	jobPrefix      = "j/"
 	finalPrefix    = "f/"
@@ -29,78 +30,84 @@
 	catalogKey     = "catalog"
 	learnedKey     = "learnt"
 	progressSuffix = "/s"
-	awaitsSuffix   = "/w" // and a number; sorts behind the progress
+	awaitsSuffix   = "/w" // followed by a number; sorts after the progress
 )
 
+// jobRecord is an accepted job.
 type jobRecord struct {
 	Job        wire.Job `msgpack:"job"`
 	AcceptedAt int64    `msgpack:"at"`              // time of day of acceptance, microseconds
-	AwaitsKeys int      `msgpack:"parts,omitempty"` // further keys with the rest of the awaits
+	AwaitsKeys int      `msgpack:"parts,omitempty"` // number of further keys that hold the rest of the awaits
 }
 
+// awaitsRecord holds awaits of a job that did not fit in its jobRecord.
 type awaitsRecord struct {
 	Awaits []string `msgpack:"awaits"`
 }
 
+// progressRecord is the progress of a job and, in the end, its final phase.
 type progressRecord struct {
 	Phase            string `msgpack:"phase,omitempty"` // final phases only
-	Done             string `msgpack:"done"`            // bit per task, base64; LevelPlaces only
+	Done             string `msgpack:"done"`            // one bit per task, base64; at LevelPlacements only
 	DoneCount        int    `msgpack:"count"`
-	Estimate         int64  `msgpack:"est"`
+	Estimate         int64  `msgpack:"est"` // microseconds
 	AnyTaskSucceeded bool   `msgpack:"good"`
-	// Times of day in microseconds; version 0.1 knows none of them.
-	ReadyAt       int64 `msgpack:"ready,omitempty"` // of a job that awaits others: when they were done
-	PipelineStart int64 `msgpack:"start,omitempty"` // of its pipeline
-	EndedAt       int64 `msgpack:"over,omitempty"`  // when it ended
+	// Times of day in microseconds, which version 0.1 neither reads nor writes.
+	ReadyAt       int64 `msgpack:"ready,omitempty"` // of a job with dependencies: when the last of them was done
+	PipelineStart int64 `msgpack:"start,omitempty"` // when the pipeline of a job with dependencies started
+	EndedAt       int64 `msgpack:"over,omitempty"`  // when the job ended
 }
 
-// finalRecord is what is kept of a job for ever.
+// finalRecord is the permanent record of an ended job.
 type finalRecord struct {
 	wire.JobStatus `msgpack:",inline"`
-	EndedAt        int64 `msgpack:"over,omitempty"`
+	EndedAt        int64 `msgpack:"over,omitempty"` // time of day, microseconds
 	Service        bool  `msgpack:"service,omitempty"`
 }
 
+// placementRecord is a placement in the record of its machine, at LevelPlacements.
 type placementRecord struct {
 	Task     string  `msgpack:"t"`
 	Attempt  uint64  `msgpack:"a"`
 	Session  uint64  `msgpack:"s"`
 	CPUs     float64 `msgpack:"c"`
 	GPUs     float64 `msgpack:"g,omitempty"`
-	Memory   float64 `msgpack:"m"`
+	Memory   float64 `msgpack:"m"` // GB
 	Team     string  `msgpack:"w"`
 	Priority int     `msgpack:"p"`
 	Image    string  `msgpack:"i"`
 }
 
+// machineRecord is a machine with a record of its own, as below LevelGroups.
 type machineRecord struct {
 	Addr        string            `msgpack:"addr"`
 	Type        string            `msgpack:"type"`
 	Zone        string            `msgpack:"zone"`
 	Spot        bool              `msgpack:"spot"`
-	RequestedAt int64             `msgpack:"at"` // time of day of the rental
+	RequestedAt int64             `msgpack:"at"` // time of day of the rental, microseconds
 	Images      []string          `msgpack:"images"`
 	ImageSizes  []float64         `msgpack:"sizes"`
 	Placements  []placementRecord `msgpack:"places"`
 }
 
+// learnedRecord holds the statistics that a new leader takes over.
 type learnedRecord struct {
-	SavedAt       int64              `msgpack:"at"`
-	TeamUsage     map[string]float64 `msgpack:"use"`
-	FetchRates    map[string]float64 `msgpack:"rates"`
-	ArrivalRates  map[string]float64 `msgpack:"arrivals"`
-	FirstArrivals map[string]int64   `msgpack:"since"` // time of day of a class's first arrival
-	Batch         map[string]bool    `msgpack:"batch"`
-	SpotLosses    float64            `msgpack:"lost,omitempty"` // of spotLosses
-	SpotUpSeconds float64            `msgpack:"held,omitempty"`
-	// Of the accounts in the order that the settings give, which the digest names: jobs
-	// of late and how many of them were served, two numbers each.
+	SavedAt       int64              `msgpack:"at"`             // time of day, microseconds
+	TeamUsage     map[string]float64 `msgpack:"use"`            // CPU-seconds of a team, decayed
+	FetchRates    map[string]float64 `msgpack:"rates"`          // GB per second of a machine type
+	ArrivalRates  map[string]float64 `msgpack:"arrivals"`       // of a class; see arrivalStats
+	FirstArrivals map[string]int64   `msgpack:"since"`          // time of day of the first arrival of a class, microseconds
+	Batch         map[string]bool    `msgpack:"batch"`          // whether a class is batch work
+	SpotLosses    float64            `msgpack:"lost,omitempty"` // spot machines lost, decayed; see spotLosses
+	SpotUpSeconds float64            `msgpack:"held,omitempty"` // seconds that spot machines were up, decayed; see spotLosses
+	// ServedCounts holds two numbers for each account: recent jobs, and how many of them
+	// were served in time. Their order is that of the settings; AccountsDigest identifies it.
 	AccountsDigest uint32    `msgpack:"digest,omitempty"`
 	ServedCounts   []float64 `msgpack:"served,omitempty"`
 }
 
-// saveMachine writes a machine's record: what it is, the images it has, and the
-// placements that their jobs' records don't hold.
+// saveMachine queues a machine's record: its properties, the images in its cache, and the
+// placements that no task record of their jobs holds.
 func (c *Core) saveMachine(m *sched.Machine, done func()) {
 	class := classBackground
 	if done != nil {
@@ -133,13 +140,13 @@
 		slices.SortFunc(rec.Placements, func(a, b placementRecord) int { return strings.Compare(a.Task, b.Task) })
 		value, limit := wire.Encode(&rec), c.stateLimits().ValueBytes()
 		for len(rec.Images) > 0 && wire.JSONSize(value) > limit {
-			// Images are fetched again where they are not known.
+			// Tasks whose images are left out here only fetch them again.
 			n := len(rec.Images) / 2
 			rec.Images, rec.ImageSizes = rec.Images[:n], rec.ImageSizes[:n]
 			value = wire.Encode(&rec)
 		}
 		if c.format.level >= LevelTasks && len(rec.Placements) > 0 && wire.JSONSize(value) > limit {
-			return nil, false // until the jobs' records hold the placements
+			return nil, false // until the task records hold the placements
 		}
 		return []wire.Change{{PutKey: key, Value: value}}, true
 	}, c.whileInTerm(func() {
@@ -150,11 +157,12 @@
 	}))
 }
 
+// saveProgress queues a job's progress record.
 func (c *Core) saveProgress(j *sched.Job, class int, done func()) {
 	key := jobPrefix + j.ID + progressSuffix
 	c.committer.add(key, class, func() ([]wire.Change, bool) {
-		// Of a job archived meanwhile the progress must stay as long as its record:
-		// alone, that would tell the world that the job is queued.
+		// If the job was archived meanwhile, its progress record must exist as long as its
+		// job record: readers that find a job record alone take the job for queued.
 		if c.jobs[j.ID] != j && c.committer.pending[finalPrefix+j.ID] == nil {
 			return []wire.Change{{DeleteKey: key}}, true
 		}
@@ -164,6 +172,7 @@
 	}, done)
 }
 
+// progressRecordOf returns a job's progress record in the format of the level in force.
 func (c *Core) progressRecordOf(j *sched.Job) *progressRecord {
 	if c.format.level < LevelTasks {
 		r := renderProgress(j, c.stateLimits().ValueBytes())
@@ -181,23 +190,29 @@
 	return r
 }
 
-// times adds when a job that awaits others became ready.
+// setReadyTimes sets when a job with dependencies became ready and when its pipeline
+// started.
 func (c *Core) setReadyTimes(j *sched.Job, rec *progressRecord) {
 	if len(j.Spec.DependsOn) > 0 && !j.HasUnmetDependencies() && j.ReadyAt > 0 {
 		rec.ReadyAt, rec.PipelineStart = c.toWallTime(j.ReadyAt), c.toWallTime(j.PipelineStart)
 	}
 }
 
-// wall and steady convert between the steady clock and the time of day.
-func (c *Core) toWallTime(at Micros) int64 { return int64(at - c.env.Now() + c.env.Wall()) }
-func (c *Core) toSteadyTime(at int64) Micros {
-	return min(c.env.Now(), Micros(at)-c.env.Wall()+c.env.Now())
+// toWallTime converts a reading of the steady clock to a time of day in microseconds.
+func (c *Core) toWallTime(steadyTime Micros) int64 {
+	return int64(steadyTime - c.env.Now() + c.env.Wall())
 }
 
-// progressOf renders a job's progress in at most limit bytes. Of a job whose
-// tasks are too many for that, the last ones are not remembered as done: the
-// next leader starts those again, and they exit with their result at once. A
-// record that the state service refuses would hold up all others.
+// toSteadyTime converts a time of day in microseconds to a reading of the steady clock,
+// which is at most the present one.
+func (c *Core) toSteadyTime(wallTime int64) Micros {
+	return min(c.env.Now(), Micros(wallTime)-c.env.Wall()+c.env.Now())
+}
+
+// renderProgress returns a job's progress record, which takes at most limit bytes when
+// encoded. If the job has too many tasks for that, its last ones are not recorded as done:
+// the next leader starts them again, and they exit with their result at once. A larger
+// record would be refused by the state service and block all others.
 func renderProgress(j *sched.Job, limit int) *progressRecord {
 	r := &progressRecord{DoneCount: j.DoneCount, Estimate: int64(j.Estimate), AnyTaskSucceeded: j.AnyTaskSucceeded}
 	switch {
@@ -218,11 +233,13 @@
 	return r
 }
 
-// progressRest is the room that a progress record needs beside its bits.
+// progressOverhead is an upper bound, in bytes, of what a progress record needs besides
+// the bits of its tasks.
 const progressOverhead = 256
 
-// archive moves an ended job out of the records that a takeover reads. A job
-// that others still wait for stays, so that a takeover need not look for it.
+// archive replaces the records of an ended job by a final record, which a new leader need
+// not load. A job on which others still depend is kept, so that a new leader need not read
+// its final record one by one.
 func (c *Core) archive(j *sched.Job) {
 	if j.CommittedPhase == "" || j.PlacedCount > 0 || len(j.DirectDependents) > 0 || c.jobs[j.ID] != j {
 		return
@@ -233,7 +250,7 @@
 	}
 	delete(c.jobs, j.ID)
 	c.cacheFinalRecord(&final)
-	// All at once, so that a reader sees the job or its final record.
+	// One transaction, so that a reader sees either the job or its final record.
 	c.committer.add(finalPrefix+j.ID, classBackground, func() ([]wire.Change, bool) {
 		return []wire.Change{{PutKey: finalPrefix + j.ID, Value: wire.Encode(&final)},
 			{DeleteKey: jobPrefix + j.ID}, {DeleteKey: jobPrefix + j.ID + progressSuffix}}, true
@@ -246,18 +263,19 @@
 	}
 }
 
-func (c *Core) cacheFinalRecord(s *finalRecord) {
-	if _, ok := c.finalRecords[s.ID]; !ok {
-		c.finalRecordOrder = append(c.finalRecordOrder, s.ID)
+// cacheFinalRecord keeps a final record in memory and drops the oldest beyond the limit.
+func (c *Core) cacheFinalRecord(record *finalRecord) {
+	if _, ok := c.finalRecords[record.ID]; !ok {
+		c.finalRecordOrder = append(c.finalRecordOrder, record.ID)
 	}
-	c.finalRecords[s.ID] = *s
+	c.finalRecords[record.ID] = *record
 	if len(c.finalRecordOrder) > c.cfg.MaxFinalStates() {
 		delete(c.finalRecords, c.finalRecordOrder[0])
 		c.finalRecordOrder = c.finalRecordOrder[1:]
 	}
 }
 
-// load reads everything at the beginning of a term.
+// load reads all records from the state service at the beginning of a term.
 func (c *Core) load(term uint64) {
 	stillLeading := func() bool { return c.elector.Leading() && c.term == term }
 	progress := map[string]*progressRecord{}
@@ -271,7 +289,7 @@
 				c.committer.put(jobPrefix+id+progressSuffix, func() []byte { return nil }, nil)
 			}
 		}
-		// Results first: a record that holds a task's place may be older.
+		// Done tasks first: a record that still holds a placement of one may be older.
 		records := c.restoreDoneTasks(tasks)
 		for i := range machines {
 			c.restoreMachine(&machines[i])
@@ -306,19 +324,20 @@
 		c.handleDeferredReports()
 		c.requestSchedulingPass()
 	}
-	read := func(prefix string, then func([]wire.Item, uint64)) { c.listAll(stillLeading, prefix, then) }
+	readAll := func(prefix string, then func([]wire.Item, uint64)) { c.listAll(stillLeading, prefix, then) }
 	c.readLevelsBeforeLoad(stillLeading, func() {
-		read(jobPrefix, func(items []wire.Item, revision uint64) {
+		readAll(jobPrefix, func(items []wire.Item, revision uint64) {
 			jobsRevision = revision
 			c.addJobRecords(items, progress)
-			read(taskPrefix, func(items []wire.Item, _ uint64) {
+			readAll(taskPrefix, func(items []wire.Item, _ uint64) {
 				tasks = items
-				// A machine's own record goes after its group's is written, so own records first.
-				read(machinePrefix, func(items []wire.Item, _ uint64) {
+				// A machine's own record is deleted after its group's record is written, so
+				// reading the own records first misses no machine.
+				readAll(machinePrefix, func(items []wire.Item, _ uint64) {
 					machines = items
-					read(groupPrefix, func(items []wire.Item, _ uint64) {
+					readAll(groupPrefix, func(items []wire.Item, _ uint64) {
 						groups = items
-						read(intentPrefix, func(items []wire.Item, _ uint64) {
+						readAll(intentPrefix, func(items []wire.Item, _ uint64) {
 							intents = items
 							c.env.State().Get(learnedKey, func(o store.Outcome, it *wire.Item) {
 								if !stillLeading() {
@@ -337,7 +356,8 @@
 	})
 }
 
-// levelsAtLoad learns the format level before anything is written.
+// readLevelsBeforeLoad reads the format levels, with retries, before the leader writes
+// anything.
 func (c *Core) readLevelsBeforeLoad(stillLeading func() bool, then func()) {
 	c.readLevels(func(ok bool) {
 		switch {
@@ -350,8 +370,8 @@
 	})
 }
 
-// addRecords enters the jobs among the items; progress, if not nil, takes in
-// what lies beside them.
+// addJobRecords adds the jobs among the items. If progress is not nil, it receives the
+// progress records among the items, by job id.
 func (c *Core) addJobRecords(items []wire.Item, progress map[string]*progressRecord) {
 	awaitsValues := map[string][][]byte{}
 	for i := range items {
@@ -374,8 +394,8 @@
 	}
 }
 
-// withCatalog waits for the machine types, without which no machine can be
-// judged.
+// awaitCatalog calls then once the catalog of machine types is known, without which no
+// machine can be restored.
 func (c *Core) awaitCatalog(stillLeading func() bool, then func()) {
 	if !stillLeading() {
 		return
@@ -387,7 +407,8 @@
 	then()
 }
 
-// listAll reads all keys of a prefix; revision is that of the first page.
+// listAll reads all keys of a prefix, page by page with retries, and passes the items and
+// the revision of the first page to done.
 func (c *Core) listAll(stillLeading func() bool, prefix string, done func([]wire.Item, uint64)) {
 	var all []wire.Item
 	var revision uint64
@@ -414,30 +435,30 @@
 	page("")
 }
 
-// decodeJobRecord reads a job's record and the keys beside it that hold the rest
-// of its awaits.
+// decodeJobRecord decodes a job's record and the values of the further keys that hold the
+// rest of its awaits.
 func decodeJobRecord(value []byte, awaitsValues [][]byte) (*jobRecord, error) {
 	rec := new(jobRecord)
 	if err := msgpack.Unmarshal(value, rec); err != nil {
 		return nil, err
 	}
 	if !wire.ValidID(rec.Job.ID) {
-		return nil, fmt.Errorf("id %q", rec.Job.ID)
+		return nil, fmt.Errorf("invalid job id %q", rec.Job.ID)
 	}
 	if len(awaitsValues) != rec.AwaitsKeys {
-		return nil, fmt.Errorf("%s: %d of %d parts", rec.Job.ID, len(awaitsValues), rec.AwaitsKeys)
+		return nil, fmt.Errorf("job %s has %d of %d further awaits keys", rec.Job.ID, len(awaitsValues), rec.AwaitsKeys)
 	}
 	for _, raw := range awaitsValues {
-		var more awaitsRecord
-		if err := msgpack.Unmarshal(raw, &more); err != nil {
+		var rest awaitsRecord
+		if err := msgpack.Unmarshal(raw, &rest); err != nil {
 			return nil, err
 		}
-		rec.Job.DependsOn = append(rec.Job.DependsOn, more.Awaits...)
+		rec.Job.DependsOn = append(rec.Job.DependsOn, rest.Awaits...)
 	}
 	return rec, nil
 }
 
-// addRecord enters a job from its record, unless it is known.
+// addJobRecord adds a job from its record, unless it is known already.
 func (c *Core) addJobRecord(value []byte, awaitsValues [][]byte) {
 	rec, err := decodeJobRecord(value, awaitsValues)
 	if err != nil {
@@ -447,12 +468,12 @@
 	if c.jobs[rec.Job.ID] != nil {
 		return
 	}
-	if _, over := c.finalRecords[rec.Job.ID]; over {
+	if _, final := c.finalRecords[rec.Job.ID]; final {
 		return
 	}
 	spec := &rec.Job
 	if c.format.maxLevel < LevelTasks {
-		spec.DependsOn = nil // version 0.1 does not know them
+		spec.DependsOn = nil // version 0.1 does not support dependencies
 	}
 	j := &sched.Job{
 		Spec: spec, ID: spec.ID,
@@ -470,25 +491,26 @@
 	if len(spec.DependsOn) == 0 {
 		c.setReady(j, j.Submitted)
 	} else {
-		j.UnmetDependencies = 1 // until it is linked
+		j.UnmetDependencies = 1 // until linkDependencies has run
 	}
 	if c.loaded {
 		c.linkDependencies(j)
 	}
 }
 
-// setReady notes from when the job's aims are counted.
+// setReady marks a job as ready and computes the target times of its objectives, which
+// count from then.
 func (c *Core) setReady(j *sched.Job, at Micros) {
 	j.UnmetDependencies, j.ReadyAt, j.FinishTargets, j.StartTargets, j.LastStartTarget = 0, at, nil, nil, 0
 	for _, o := range c.cfg.Params.Objectives {
 		if o.Class != j.Spec.Class {
 			continue
 		}
-		switch by := j.ReadyAt + clock.FromSeconds(o.Within); o.Kind {
+		switch target := j.ReadyAt + clock.FromSeconds(o.Within); o.Kind {
 		case "finished":
-			j.FinishTargets = append(j.FinishTargets, by)
+			j.FinishTargets = append(j.FinishTargets, target)
 		case "wait":
-			j.StartTargets, j.LastStartTarget = append(j.StartTargets, by), max(j.LastStartTarget, by)
+			j.StartTargets, j.LastStartTarget = append(j.StartTargets, target), max(j.LastStartTarget, target)
 		}
 	}
 	slices.Sort(j.FinishTargets)
@@ -498,7 +520,7 @@
 	}
 }
 
-// requeue fills a job's queue with its pending tasks.
+// queuePendingTasks fills a job's queue with its pending tasks.
 func (c *Core) queuePendingTasks(j *sched.Job) {
 	j.Queue = j.Queue[:0]
 	if !j.Active() || j.HasUnmetDependencies() {
@@ -511,6 +533,7 @@
 	}
 }
 
+// restoreProgress applies a progress record to a job that was just loaded.
 func (c *Core) restoreProgress(j *sched.Job, p *progressRecord) {
 	j.AnyTaskSucceeded = p.AnyTaskSucceeded
 	if p.Estimate > 0 {
@@ -538,6 +561,7 @@
 	}
 }
 
+// restoreMachine adds a machine from a record of its own, with the placements in it.
 func (c *Core) restoreMachine(item *wire.Item) {
 	var rec machineRecord
 	id := strings.TrimPrefix(item.Key, machinePrefix)
@@ -564,9 +588,9 @@
 	}
 }
 
-// restorePlace enters a placement from a record. A record may still hold a task
-// that is done, or one that has since been placed elsewhere after its absence
-// was proven; the highest attempt is the current one.
+// restorePlacement adds a placement from a record. The record may still hold a task that
+// is done, or one that was placed elsewhere after proof that it does not run there; the
+// placement with the highest attempt is the current one.
 func (c *Core) restorePlacement(j *sched.Job, placement *sched.Placement) {
 	if old := placement.Machine.Placements[placement.Task]; old != nil && old.Attempt >= placement.Attempt {
 		old.InJobRecord = old.InJobRecord || placement.InJobRecord && old.Attempt == placement.Attempt
@@ -574,11 +598,11 @@
 	}
 	placement.Committed, placement.Sent, placement.Inherited = true, true, true
 	if j != nil && placement.Index < len(j.Tasks) && j.Tasks[placement.Index].State != sched.Done {
-		if other := j.Tasks[placement.Index].Placement; other == nil {
+		if earlier := j.Tasks[placement.Index].Placement; earlier == nil {
 			placement.Job = j
-		} else if other.Attempt < placement.Attempt {
-			other.Job.PlacedCount--
-			other.Job = nil
+		} else if earlier.Attempt < placement.Attempt {
+			earlier.Job.PlacedCount--
+			earlier.Job = nil
 			j.Tasks[placement.Index].Placement = nil
 			placement.Job = j
 		}
@@ -589,6 +613,7 @@
 	sched.Attach(placement, c.teams)
 }
 
+// restoreLearned applies the statistics of an earlier leader.
 func (c *Core) restoreLearned(value []byte) {
 	var rec learnedRecord
 	if msgpack.Unmarshal(value, &rec) != nil {
@@ -616,7 +641,7 @@
 	}
 }
 
-// saveLearnt writes what was learnt every ten seconds.
+// saveLearned queues the learned statistics now and every ten seconds of the term.
 func (c *Core) saveLearned(term uint64) {
 	if !c.elector.Leading() || c.term != term {
 		return
@@ -625,9 +650,10 @@
 	c.env.After(10*clock.Second, func() { c.saveLearned(term) })
 }
 
-// learnt renders what was learnt in at most limit bytes. Where that is too
-// little, the classes that ask for least are left out first; what is not there
-// is learnt again.
+// renderLearned returns the encoded statistics, at most limit bytes in JSON. If they do not fit,
+// it leaves out first the served counts, then the arrivals of the classes with the lowest
+// rates, then the fetch rates and last the usage of teams; the next leader learns them
+// again.
 func (c *Core) renderLearned(limit int) []byte {
 	rec := learnedRecord{SavedAt: int64(c.env.Wall()), TeamUsage: map[string]float64{},
 		FetchRates: map[string]float64{}, ArrivalRates: map[string]float64{}, FirstArrivals: map[string]int64{}, Batch: map[string]bool{}}
@@ -676,19 +702,20 @@
 	return value
 }
 
-// short rounds to six digits, which is more than is known.
+// roundToSixDigits rounds to six significant digits, more than the accuracy of the
+// statistics. That shortens their JSON form, in which the state service counts sizes.
 func roundToSixDigits(x float64) float64 {
 	if x == 0 || math.IsNaN(x) || math.IsInf(x, 0) {
 		return 0
 	}
-	unit := math.Pow(10, math.Floor(math.Log10(math.Abs(x)))-5)
-	if unit >= 1 {
-		return math.Round(x/unit) * unit
+	lastDigit := math.Pow(10, math.Floor(math.Log10(math.Abs(x)))-5)
+	if lastDigit >= 1 {
+		return math.Round(x/lastDigit) * lastDigit
 	}
-	return math.Round(x/unit) / math.Round(1/unit)
+	return math.Round(x/lastDigit) / math.Round(1/lastDigit)
 }
 
-// watchJobs follows the jobs that other nodes accept.
+// watchJobs adds the jobs that other nodes accept, from the given revision on.
 func (c *Core) watchJobs(term, revision uint64) {
 	if !c.elector.Leading() || c.term != term {
 		return
