--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -20,8 +20,8 @@
 	background     []*pendingWrite // classBackground
 	inFlight       bool            // a transaction is being sent or repeated
 	paused         bool            // pauseFor runs
-	sizeReductions int             // consecutive times that a refused transaction made the next one smaller
-	rateLimitCount int             // consecutive answers with status 429
+	sizeReductions int             // reductions of the transaction size after refusals, since the last success
+	rateLimitCount int             // answers with status 429 since the last success
 }
 
 // renderFunc returns the changes that write a record, or false if the record cannot be
@@ -305,8 +305,8 @@
 	return r
 }
 
-// send commits a batch and repeats the transaction as long as it should be. Before it
-// repeats a transaction whose outcome is unknown, it fences the earlier one off, which
+// send commits a batch. It repeats the transaction if it was not executed, or if its
+// outcome is unknown; in the latter case it first fences off the earlier attempt, which
 // would restore old values if it were applied late.
 func (w *committer) send(term uint64, b *batch) {
 	c := w.core
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -621,7 +621,7 @@
 		MaxTasksPerMachine: c.maxTasksPerMachine(), SpotLossRate: c.spotLosses.rate(), FairShare: c.computeShares(now),
 	})
 	for _, placement := range result.Launch {
-		slog.Debug("placed", "task", placement.Task, "class", placement.Job.Spec.Class, "machine", placement.Machine.ID, "spot", placement.Machine.Spot, "delay", placement.FetchDelay)
+		slog.Debug("task placed", "task", placement.Task, "class", placement.Job.Spec.Class, "machine", placement.Machine.ID, "spot", placement.Machine.Spot, "delay", placement.FetchDelay)
 		if c.format.level >= LevelTasks {
 			c.savePlacement(placement)
 			continue
@@ -641,7 +641,7 @@
 	c.rentMachines(now)
 	c.committer.startTransaction()
 	if len(result.Launch)+len(result.Stop) > 0 {
-		slog.Debug("plan", "launch", len(result.Launch), "stop", len(result.Stop), "unplaced", len(result.Unplaced))
+		slog.Debug("scheduling pass finished", "launch", len(result.Launch), "stop", len(result.Stop), "unplaced", len(result.Unplaced))
 	}
 }
 
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -239,7 +239,7 @@
 
 // archive replaces the records of an ended job by a final record, which a new leader need
 // not load. A job on which others still depend is kept, so that a new leader need not read
-// its final record one by one.
+// its final record separately.
 func (c *Core) archive(j *sched.Job) {
 	if j.CommittedPhase == "" || j.PlacedCount > 0 || len(j.DirectDependents) > 0 || c.jobs[j.ID] != j {
 		return
@@ -306,7 +306,7 @@
 		c.sortMachines()
 		c.resumeIntents(intents)
 		c.loaded = true
-		slog.Info("loaded", "term", term, "jobs", len(c.jobs), "machines", len(c.machines), "level", c.format.level)
+		slog.Info("records loaded", "term", term, "jobs", len(c.jobs), "machines", len(c.machines), "level", c.format.level)
 		if c.format.level >= LevelTasks {
 			c.migrateRecords()
 		}
