--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -122,7 +122,7 @@
 
 // TestProductionRecords checks compatibility with the records of the version in
 // production: they are read completely, and records written at LevelPlacements are equal
-// byte for byte, so that this version can read them. At LevelTasks the new records hold
+// byte for byte, so that the production version can read them. At LevelTasks the new records hold
 // the same state, within the lowest limits.
 func TestProductionRecords(t *testing.T) {
 	records := productionRecords(t)
