--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -184,7 +184,7 @@
 	c := &Core{env: env, cfg: cfg, policy: controllerPolicy, acceptedJobs: map[string]bool{}, levelsReadAt: -clock.Forever,
 		format: formatState{maxLevel: maxLevel, level: LevelPlacements, peerMaxLevels: map[string]int{}},
 		peers:  map[string]*peerInfo{}, reportingWorkers: map[string]*reportingWorker{}, accountIndex: newAccountIndex(cfg)}
-	c.objectiveTracker = c.newServed()
+	c.objectiveTracker = c.newObjectiveTracker()
 	c.allowance = admit.NewAllowance(c.accountIndex, c.submitLimits())
 	c.submissions.queue = admit.NewQueue[*submission](c.accountIndex.Len(),
 		admit.Bounds{Count: cfg.MaxQueuedSubmissions(), Bytes: int(cfg.Params.Resources.MemoryMB * (1 << 20) / submissionMemoryDivisor)})
--- a/internal/controller/records_test.go
+++ b/internal/controller/records_test.go
@@ -76,7 +76,7 @@
 	}
 	j.Tasks[0].State, j.Tasks[0].Placement = sched.Done, nil
 	placements := map[uint64]string{}
-	parts := splitTasks(renderTasks(j, 0), limit)
+	parts := encodeTasks(buildTasksRecord(j, 0), limit)
 	for _, value := range parts {
 		var r tasksRecord
 		if err := wire.Decode(value, &r); err != nil || wire.JSONSize(value) > limit {
