--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -83,8 +83,8 @@
 	c.allocator = admit.NewAllocator(c.accountIndex, c.cfg.Name, c.term, now, c.submitLimits())
 	c.shares = admit.NewTeamShares(c.accountIndex, admitTeams(c.cfg), c.policy.Admission)
 	c.shares.Overloaded = c.allowance.WasOverloaded(now)
-	c.served = c.newObjectiveTracker()
-	c.demands, c.fairShares = make([]admit.Demand, c.accountIndex.Len()), nil
+	c.objectiveTracker = c.newObjectiveTracker()
+	c.accountDemands, c.fairShares = make([]admit.Demand, c.accountIndex.Len()), nil
 	c.waitStats.start, c.waitStats.finished = nil, make([]finishedCounts, c.accountIndex.Len())
 }
 
@@ -104,7 +104,7 @@
 	if c.Serving() && c.allocator != nil {
 		c.allocator.SetLimits(c.submitLimits())
 		c.allocator.RecordNotice(c.cfg.Name, notice, now)
-		c.allocator.BuildTable(now, c.shares.Overloaded, c.demands, c.fairShares)
+		c.allocator.BuildTable(now, c.shares.Overloaded, c.accountDemands, c.fairShares)
 		c.allowance.ApplyTable(c.allocator.TableFor(c.cfg.Name, now), now)
 	}
 	c.updateWriteRate()
@@ -312,7 +312,7 @@
 	if inTime {
 		counts.inTime++
 	}
-	c.served.RecordFinished(account, inTime && (j.LastStartTarget == 0 || j.StartedAt <= j.LastStartTarget), c.env.Now())
+	c.objectiveTracker.RecordFinished(account, inTime && (j.LastStartTarget == 0 || j.StartedAt <= j.LastStartTarget), c.env.Now())
 	if j.StartedAt > 0 {
 		c.waitStats.record(&c.waitStats.start, account, c.accountIndex.Len(), j.StartedAt-j.ReadyAt)
 	}
@@ -362,14 +362,14 @@
 	if !c.policy.Admission.Enabled {
 		return nil
 	}
-	clear(c.demands)
+	clear(c.accountDemands)
 	var jobs []*sched.Job
 	for _, j := range c.jobs {
 		account := c.accountNumber(j.Spec)
 		if account < 0 || j.Service() || j.Priority >= wire.PriorityProduction || j.PlacedCount+len(j.Queue) == 0 {
 			continue
 		}
-		demand := &c.demands[account]
+		demand := &c.accountDemands[account]
 		demand.Held += float64(j.PlacedCount) * j.TaskCPUs()
 		if j.Active() {
 			demand.Waiting += float64(len(j.Queue)) * j.TaskCPUs()
@@ -378,7 +378,7 @@
 		}
 	}
 	wasOverloaded := c.shares.Overloaded
-	shares := c.shares.Evaluate(now, c.batchCapacity(), c.cloudHasCapacity(now), c.demands)
+	shares := c.shares.Evaluate(now, c.batchCapacity(), c.cloudHasCapacity(now), c.accountDemands)
 	if wasOverloaded != c.shares.Overloaded {
 		slog.Info("admission mode", "overload", c.shares.Overloaded, "term", c.term)
 	}
@@ -392,18 +392,18 @@
 	for i, t := range c.cfg.Params.Teams {
 		teamShares[t.Name] = &sched.FairShare{Share: shares[i]}
 	}
-	for i, d := range c.demands {
+	for i, d := range c.accountDemands {
 		teamShares[c.accountIndex.Accounts[i].Team].Allocated += d.Held
 	}
 	unfinished := make([]admit.UnfinishedJob, len(jobs))
 	for i, j := range jobs {
 		unfinished[i] = admit.UnfinishedJob{Account: c.accountNumber(j.Spec), Feasibility: j.Feasibility(now), RemainingWork: j.RemainingWork(), ReadyAt: j.ReadyAt, ID: j.ID}
 	}
-	c.fairShares = make([]admit.Entitlement, len(c.demands))
+	c.fairShares = make([]admit.Entitlement, len(c.accountDemands))
 	for i := range c.fairShares {
 		c.fairShares[i].Share = teamShares[c.accountIndex.Accounts[i].Team].Share
 	}
-	for i, status := range c.served.Evaluate(now, unfinished) {
+	for i, status := range c.objectiveTracker.Evaluate(now, unfinished) {
 		j := jobs[i]
 		j.MinShareStatus = status
 		if status.Needed {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -177,10 +177,10 @@
 func (c *Core) answerUnlessCancelled(record []byte, answer Answer, reply func(Answer)) {
 	var rec jobRecord
 	switch err := msgpack.Unmarshal(record, &rec); {
-	case err == nil && (len(rec.Job.DependsOn) == 0 && rec.Parts == 0 || !c.cancellationMayBeDue(c.toSteadyTime(rec.AcceptedAt))):
+	case err == nil && (len(rec.Job.DependsOn) == 0 && rec.AwaitsKeys == 0 || !c.cancellationMayBeDue(c.toSteadyTime(rec.AcceptedAt))):
 		reply(answer)
 		return
-	case err != nil || rec.Parts > 0 || len(rec.Job.DependsOn) > maxDependencyLookups:
+	case err != nil || rec.AwaitsKeys > 0 || len(rec.Job.DependsOn) > maxDependencyLookups:
 		reply(unavailable)
 		return
 	}
