--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -519,7 +519,7 @@
 		c.maintainMachines(now)
 		c.maintainRelays()
 		c.probePartitions(now)
-		c.probeSilent(now)
+		c.probeOverdueMachines(now)
 		c.sendOrders()
 		c.requestSchedulingPass()
 	}
