--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -10,14 +10,16 @@
 	"lilacthread/wire"
 )
 
-// suspect notes that a machine showed something that contradicts what it was told.
-func (c *Core) recordPartitionSign(m *sched.Machine, symptom oneway.Symptom, now Micros) {
+// recordPartitionSymptom records a symptom of a one-way partition: the machine's behavior
+// contradicts what was sent to it. Once there are enough symptoms, placements whose launch was
+// never sent are withdrawn.
+func (c *Core) recordPartitionSymptom(m *sched.Machine, symptom oneway.Symptom, now Micros) {
 	if !m.Downlink.RecordSymptom(symptom, now, c.cfg.ReportInterval()/2) {
 		return
 	}
-	slog.Info("machine does not hear", "machine", m.ID, "tasks", len(m.Placements))
-	// What was never sent goes elsewhere at once. The rest stays until its absence is
-	// proven, by a report that lacks it or by the end of the session.
+	slog.Info("inbound traffic of machine lost, one-way partition", "machine", m.ID, "tasks", len(m.Placements))
+	// Tasks that were never sent can be placed elsewhere at once. The others remain until their
+	// absence is proven by a report without them or by the end of the session.
 	for _, p := range sortedPlacements(m) {
 		if !p.Sent {
 			c.endPlacement(p)
@@ -26,17 +28,18 @@
 	c.requestSchedulingPass()
 }
 
-// lateRenewal is the least time before the end of a lease at which a renewal surely
-// belongs to the session before.
+// renewalDelayAllowance bounds how much less than a full lease may pass between an answer and the
+// end of the lease that it renewed: the worker counts the lease from the time when it sent the
+// report, and accepts the answer until responseTimeout after that.
 const renewalDelayAllowance = responseTimeout + clock.Second
 
-// renewedInVain reports whether a worker that begins a new session had its reports
-// answered so lately that it can't have heard that.
+// missedRenewals reports whether a worker that begins a new session can't have received the
+// answer to its last report: the lease that the answer renewed would not have expired yet.
 func (c *Core) missedRenewals(m *sched.Machine, now Micros) bool {
 	return m.Acked && now-m.LastAnsweredReportAt < c.cfg.WorkerLease()-renewalDelayAllowance-c.leaseMargin()
 }
 
-// probePartitions asks machines for a proof that they hear.
+// probePartitions probes machines that show symptoms of a one-way partition.
 func (c *Core) probePartitions(now Micros) {
 	for _, m := range c.sortedMachines {
 		if m.Downlink.Suspected() && c.mayOrder(m) && m.Downlink.BeginProbe(now) {
@@ -45,39 +48,40 @@
 	}
 }
 
-// unansweredLimit is how many questions to a machine whose report is overdue stay without an answer
-// before it passes for silent.
+// maxUnansweredProbes is how many probes a machine with an overdue report may leave unanswered
+// before it can be considered silent.
 const maxUnansweredProbes = 2
 
-// overdue is how long a worker that reaches its controller is never silent.
+// reportOverdueAfter returns the time without a report after which a machine's report is overdue.
 func (c *Core) reportOverdueAfter() Micros { return 3 * c.cfg.ReportInterval() / 2 }
 
-// silent reports whether a machine has missed several reports, or passes for silent before
-// that: it does not answer, and would have found another controller by now that hands its
-// reports on.
+// silent reports whether a machine has missed several reports. A machine is silent earlier if it
+// does not answer probes and has had enough time to find another controller that forwards its
+// reports.
 func (c *Core) silent(m *sched.Machine, now Micros) bool {
 	return now-m.LastReportAt > c.silenceTimeout() || m.UnansweredProbes >= maxUnansweredProbes && now-m.LastReportAt > c.reportOverdueAfter()+controllerSearchTime
 }
 
-// foundBy is about what a worker takes to find another controller.
+// controllerSearchTime is about how long a worker takes to find another controller.
 const controllerSearchTime = 3 * responseTimeout / 2
 
-// quiet is how long a machine may be silent before it is returned, asked or not.
+// silenceTimeout returns the time without a report after which a machine is silent, whether or
+// not it was probed.
 func (c *Core) silenceTimeout() Micros {
 	return Micros(c.policy.MaxMissedReports * float64(c.cfg.ReportInterval()))
 }
 
-// probeSilent asks machines whose report is overdue. Where reports come seldom, waiting for
-// several of them would leave the replicas of a dead machine away for half a minute; one
-// that only its reports don't come from answers.
+// probeOverdueMachines probes machines whose report is overdue. With long report intervals,
+// waiting for several missed reports would leave the replicas of a failed machine down for half
+// a minute. A machine that only fails to deliver its reports answers the probe.
 func (c *Core) probeOverdueMachines(now Micros) {
 	overdueAfter := c.reportOverdueAfter()
 	if overdueAfter+controllerSearchTime >= c.silenceTimeout() {
-		return // reports come so often that several missed ones tell sooner
+		return // reports are so frequent that missing several of them is noticed earlier
 	}
 	for _, m := range c.sortedMachines {
 		if c.ordersInFlight >= c.cfg.MaxCommandBatches()/4 {
-			return // a whole zone may be silent, and launches need orders too
+			return // a whole zone may be silent, and launches need command batches too
 		}
 		if !m.Up || now-m.LastReportAt < overdueAfter || m.UnansweredProbes >= maxUnansweredProbes || now-m.LastProbeAt < responseTimeout/2 || !c.mayOrder(m) {
 			continue
@@ -91,23 +95,24 @@
 	}
 }
 
-// probe sends an order without commands: whoever answers hears.
+// probe sends an empty command batch; an answer shows that the machine receives commands.
 func (c *Core) probe(m *sched.Machine, done func(ok bool, report *wire.Report)) {
 	c.sendCommands(m, []wire.Command{}, func(outcome store.Outcome, report *wire.Report) {
 		done((outcome == store.OK || outcome == store.Failed) && report != nil && report.Machine == m.ID, report)
 	})
 }
 
-// older deals with a report that is older than what is known of its machine. Mostly it is
-// a late copy, and changes nothing. But if nothing newer has come for longer than a worker
-// is ever silent, the machine may have been started anew and count from the beginning: it
-// is asked itself, since no report can tell the two apart.
+// handleStaleReport handles a report that is older than the last one from its machine. Such a
+// report is usually a delayed copy and changes nothing. But if reports have been overdue since
+// then, the machine may have restarted with a reset session counter. The report alone can't
+// distinguish the two cases, so the machine is probed.
 func (c *Core) handleStaleReport(m *sched.Machine, report *wire.Report, now Micros) {
 	if now-m.LastReportAt < c.reportOverdueAfter() || now-m.LastRestartCheckAt < c.cfg.ReportInterval() || !c.mayOrder(m) {
 		return
 	}
 	m.LastRestartCheckAt = now
-	// What was known when it was asked: a report that it wrote after its answer may come before.
+	// Compare with the state before the probe: a report that the machine writes after its answer
+	// may arrive first.
 	session, seq := m.Session, m.Seq
 	c.probe(m, func(ok bool, answer *wire.Report) {
 		if ok && answer.Token <= c.term && (answer.Session < session || answer.Session == session && answer.Seq < seq) {
@@ -116,11 +121,11 @@
 	})
 }
 
-// startedAnew has a machine returned that began again under its name. What it counts now
-// can't be told from late copies of what it counted before: one of those, newer by its
-// numbers, would prove tasks absent that run (found by chaos with copies and machines
-// started anew together). Its tasks ended with it; the release proves that.
+// markRestarted marks a restarted machine for release. Its new session and sequence numbers can't
+// be distinguished from those of delayed copies from before the restart: such a copy with higher
+// numbers would prove running tasks absent. This occurs when duplicated messages and restarts
+// coincide. The machine's tasks ended with the restart, and its release proves that.
 func (c *Core) markRestarted(m *sched.Machine, answer *wire.Report) {
-	slog.Info("machine was started anew", "machine", m.ID, "session", answer.Session, "was", m.Session, "tasks", len(m.Placements))
+	slog.Info("machine restarted with a reset session counter", "machine", m.ID, "session", answer.Session, "was", m.Session, "tasks", len(m.Placements))
 	m.Restarted, m.Draining = true, true
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -17,17 +17,17 @@
 	"lilacthread/wire"
 )
 
-// loadCatalog reads the machine types: the leader asks the cloud now and then
-// and keeps them in the state service, where a node that starts finds them: during an
-// outage of the cloud, and without a call in a loop of crashes, which would otherwise
-// take from the calls that rent and return machines.
+// loadCatalog reads the machine types. The leader queries the cloud periodically and stores the
+// types in the state service. A starting node reads them there, so that it does not depend on
+// the cloud, and a crash loop does not use up the request rate needed to rent and release
+// machines.
 func (c *Core) loadCatalog() {
 	interval := 30 * clock.Second
 	if c.catalog == nil {
 		interval = clock.Second
-		c.env.State().List(catalogKey, "", 500, func(o store.Outcome, l *wire.ItemList) {
-			if o == store.OK && c.catalog == nil {
-				if cat := readCatalog(l.Items); cat != nil {
+		c.env.State().List(catalogKey, "", 500, func(outcome store.Outcome, page *wire.ItemList) {
+			if outcome == store.OK && c.catalog == nil {
+				if cat := readCatalog(page.Items); cat != nil {
 					c.setCatalog(cat)
 				}
 			}
@@ -41,36 +41,37 @@
 	c.env.After(interval, c.loadCatalog)
 }
 
-// askCatalog reads the machine types from the cloud.
+// fetchCatalog reads the machine types from the cloud.
 func (c *Core) fetchCatalog() {
 	if !c.cloudLimiter.AllowN(stdTime(c.env.Now()), 1) {
 		return
 	}
-	c.env.Cloud().Catalog(func(o store.Outcome, cat *wire.Catalog) {
-		if o != store.OK {
+	c.env.Cloud().Catalog(func(outcome store.Outcome, catalog *wire.Catalog) {
+		if outcome != store.OK {
 			return
 		}
-		c.setCatalog(cat)
+		c.setCatalog(catalog)
 		if c.elector.Leading() && c.loaded {
 			c.saveCatalog()
 		}
 	})
 }
 
-// catalogRecord is a part of the catalogue as it is kept; it reads as one.
+// catalogRecord is the stored form of the catalog or of a part of it. A catalog that fits into
+// one record is stored without a part count.
 type catalogRecord struct {
 	wire.Catalog `msgpack:",inline"`
-	PartCount    int `msgpack:"parts,omitempty"` // in all, unless it is one
+	PartCount    int `msgpack:"parts,omitempty"` // number of parts; 0 if there is only one
 }
 
-// saveCatalog keeps the machine types in as many values as they need.
+// saveCatalog stores the machine types in as many records as the value size limit requires.
 func (c *Core) saveCatalog() {
 	limit := c.stateLimits().ValueBytes()
 	parts := []catalogRecord{{}}
 	for _, t := range c.catalog {
 		last := &parts[len(parts)-1]
 		last.Types = append(last.Types, t)
-		last.PartCount = math.MaxInt16 // as large as the real number will be
+		last.PartCount = math.MaxInt16 // encodes at least as long as the final part count
 		if len(last.Types) > 1 && wire.JSONSize(wire.Encode(last)) > limit {
 			last.Types = last.Types[:len(last.Types)-1]
 			parts = append(parts, catalogRecord{Catalog: wire.Catalog{Types: []wire.MachineType{t}}})
@@ -89,10 +90,10 @@
 	}
 }
 
-// readCatalog puts the catalogue together again; nil unless it is whole. The first
-// part tells how many there are: without it, the others pass for nothing.
+// readCatalog joins the parts of the stored catalog. It returns nil unless all parts are there.
+// The first part holds the number of parts; without it, the others are ignored.
 func readCatalog(items []wire.Item) *wire.Catalog {
-	cat, wantParts, foundParts := new(wire.Catalog), math.MaxInt, 0
+	catalog, wantParts, foundParts := new(wire.Catalog), math.MaxInt, 0
 	for i := range items {
 		var rec catalogRecord
 		if wire.Decode(items[i].Value, &rec) != nil {
@@ -101,20 +102,20 @@
 		if items[i].Key == catalogKey {
 			wantParts = max(rec.PartCount, 1)
 		}
-		cat.Types = append(cat.Types, rec.Types...)
+		catalog.Types = append(catalog.Types, rec.Types...)
 		foundParts++
 	}
-	if foundParts < wantParts || len(cat.Types) == 0 {
+	if foundParts < wantParts || len(catalog.Types) == 0 {
 		return nil
 	}
-	return cat
+	return catalog
 }
 
-// setCatalog takes valid entries over. Machines keep pointing at their type,
-// so known entries are updated in place.
-func (c *Core) setCatalog(cat *wire.Catalog) {
+// setCatalog replaces the catalog with the valid entries of a new one and points the known
+// machines at the new entries.
+func (c *Core) setCatalog(catalog *wire.Catalog) {
 	var types []wire.MachineType
-	for _, t := range cat.Types {
+	for _, t := range catalog.Types {
 		if t.Name != "" && t.CPUs > 0 && t.MemoryGB > 0 && t.Price > 0 && t.BootTime >= 0 {
 			types = append(types, t)
 		}
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// addMachine enters a machine; nil if its type is unknown.
+// addMachine registers a machine. It returns nil if the machine type is unknown.
 func (c *Core) addMachine(id, addr, typeName, zone string, spot bool, requestedAt Micros) *sched.Machine {
 	t := c.findMachineType(typeName)
 	if t == nil {
@@ -164,12 +165,12 @@
 	slices.SortFunc(c.sortedMachines, func(a, b *sched.Machine) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// tendMachines returns the machines that are of no use: idle, silent, failed,
-// drained, or never up.
+// maintainMachines releases machines that are of no use: idle, silent, failed, drained, or never
+// up.
 func (c *Core) maintainMachines(now Micros) {
 	up, silent, partitioned, spot := 0, 0, 0, 0
-	// After a takeover no machine has reported yet, and none is late for that:
-	// a new leader that judged by silence alone would return the whole fleet.
+	// After a takeover no machine has reported to this leader yet. Without this waiting time, a
+	// new leader would consider the whole fleet silent and release it.
 	settled := now-c.electedAt > 3*c.cfg.WorkerLease()/2
 	for _, m := range c.sortedMachines {
 		if m.Up && !m.Releasing {
@@ -203,26 +204,26 @@
 		case m.Failed:
 			reason = "failed"
 		case m.Restarted:
-			reason = "started anew"
+			reason = "restarted"
 		case m.Unlisted && now-m.LastReportAt > 3*c.cfg.ReportInterval()/2:
-			// Taken by the cloud, or returned by a leader whose own record of that was
-			// lost with it: returning it again proves that all on it is gone.
+			// The cloud has taken the machine, or an earlier leader released it and its record of
+			// the release was lost. Releasing it again proves that its tasks are gone.
 			reason = "not listed"
 		case !m.Up && settled && now-m.RequestedAt > Micros(float64(bootTime)*c.policy.BootTimeoutFactor)+clock.FromSeconds(c.cfg.Params.Cloud.ListLag):
 			reason = "never came up"
 		case m.Up && c.silent(m, now) && settled && (silent*4 <= up || silent == 1):
-			// Returning it proves at once that its tasks are gone; but when many
-			// are silent the fault is more likely ours.
+			// Releasing the machine proves at once that its tasks are gone. If many machines are
+			// silent, however, the fault is more likely on the controllers' side.
 			reason = "silent"
 		case m.Up && now-m.LastReportAt > c.cfg.WorkerLease()+c.leaseMargin() && settled && !m.Busy():
 			reason = "silent and empty"
 		case m.Downlink.Unrecoverable(now, c.cfg.WorkerLease()) && (partitioned*4 <= up || partitioned == 1):
-			// As with silent ones: many at once are more likely a fault of ours.
+			// Many partitioned machines at once likewise point to a fault on the controllers' side.
 			reason = "one-way partition"
 		case !m.Acked && m.Busy() && settled:
 			reason = "does not acknowledge this term"
 		case onlyUnanswered:
-			reason = "holds only a launch that was never answered"
+			reason = "holds only unanswered launches"
 		case m.Busy() || !m.Up:
 		case m.Draining || m.ReclaimAt != 0:
 			reason = "drained"
@@ -230,7 +231,7 @@
 			reason = "idle"
 		}
 		if reason != "" {
-			slog.Debug("returning machine", "machine", m.ID, "why", reason, "age", (now - m.RequestedAt).Seconds())
+			slog.Debug("releasing machine", "machine", m.ID, "why", reason, "age", (now - m.RequestedAt).Seconds())
 			spareCPUs -= input.SpareCPUsOn(m)
 			m.Releasing = true
 			c.releaseQueue = append(c.releaseQueue, m.ID)
@@ -240,11 +241,10 @@
 	c.release()
 }
 
-// consolidate empties machines that the others can do without. Replicas move a
-// few at a time, to places that are free and warm, so that at any moment hardly
-// any is away; batch work finishes where it is. Both paces follow the size of
-// the fleet: a fixed one left hundreds of CPUs idle for minutes where hundreds
-// of machines had to empty.
+// consolidate empties machines whose work fits on the others. Replicas move a few at a time, to
+// machines with free capacity and a cached image, so that hardly any replica is down at any
+// moment; batch tasks finish where they are. Both rates grow with the fleet: with a fixed rate,
+// hundreds of CPUs stayed idle for minutes when hundreds of machines had to be emptied.
 func (c *Core) consolidate(input *fleet.Input, now Micros) {
 	waiting := len(c.unplaced) > 0
 	retiring := 0
@@ -292,11 +292,11 @@
 	}
 }
 
-// settleFor is how long a replica that just started is left alone.
+// replicaSettleTime is how long a replica must have run before consolidation moves it.
 const replicaSettleTime = 40 * clock.Second
 
-// wanted reports whether an idle machine is worth keeping, given what services
-// could take on all machines.
+// worthKeeping reports whether an idle machine should be kept: an unplaced task could use it, or
+// the spare CPUs for services would fall below the headroom without it.
 func (c *Core) worthKeeping(input *fleet.Input, m *sched.Machine, spareCPUs float64) bool {
 	for _, u := range c.unplaced {
 		if u.Job.Active() && u.Job.Allows(m.Type, m.Zone, m.Spot) {
@@ -306,7 +306,7 @@
 	return !m.Spot && spareCPUs-input.SpareCPUsOn(m) < input.Headroom
 }
 
-// release returns machines, one call at a time.
+// release releases the queued machines, one cloud request at a time.
 func (c *Core) release() {
 	now := c.env.Now()
 	if c.releaseInFlight || len(c.pendingReleases)+len(c.releaseQueue) == 0 || now < c.cloudPausedUntil || !c.cloudLimiter.AllowN(stdTime(now), 1) {
@@ -320,7 +320,7 @@
 	c.commitIntent(batch.name, intentRecord{Machines: batch.machineIDs}, func() { c.sendRelease(batch) })
 }
 
-// callRelease returns the machines of an intent.
+// sendRelease releases the machines of a committed intent.
 func (c *Core) sendRelease(batch releaseBatch) {
 	term := c.term
 	c.env.Cloud().Release(batch.machineIDs, func(outcome store.Outcome) {
@@ -339,7 +339,7 @@
 	})
 }
 
-// gone drops a machine that the cloud said is gone, with all on it.
+// removeMachine removes a machine that the cloud has confirmed as released, with its placements.
 func (c *Core) removeMachine(id string) {
 	c.releasedMachines[id] = true
 	m := c.machines[id]
@@ -354,8 +354,8 @@
 	c.saveMachine(m, nil)
 }
 
-// drain stops the work on a machine that should not be used any more. Replicas
-// move at once, batch work may finish.
+// drain empties a machine that should not be used any more. Replicas and tasks with checkpoints
+// are stopped to continue elsewhere; other tasks may finish.
 func (c *Core) drain(m *sched.Machine) {
 	m.Draining = true
 	c.queueOrder(m)
@@ -369,16 +369,16 @@
 	}
 }
 
-// drainForNotice saves what can be saved before the cloud takes a machine;
-// work without checkpoints runs on, it may yet finish.
+// drainForNotice stops the tasks that can save their state before the cloud reclaims a machine.
+// Tasks without checkpoints continue, since they may finish in time.
 func (c *Core) drainForNotice(m *sched.Machine, now Micros) {
-	slog.Debug("spot notice", "machine", m.ID, "in", (m.ReclaimAt - now).Seconds())
+	slog.Debug("spot reclaim notice", "machine", m.ID, "in", (m.ReclaimAt - now).Seconds())
 	c.spotLosses.lost++
 	for _, p := range sortedPlacements(m) {
 		j := p.Job
 		switch {
 		case j == nil || p.Exited:
-		case j.Gang(): // the whole gang must be told within gang_peer_s
+		case j.Gang(): // all members of the gang must receive the stop within gang_peer_s
 			for i := range j.Tasks {
 				if q := j.Tasks[i].Placement; q != nil && !q.Stopping {
 					q.Stopping, q.Grace = true, j.Spec.SaveDuration+1
@@ -392,20 +392,21 @@
 	c.requestSchedulingPass()
 }
 
-// spotLosses smooths how often the cloud takes spot machines back. Only notices
-// count: silence has other causes too.
+// spotLosses estimates how often the cloud reclaims spot machines. Only reclaim notices count,
+// because a machine may be silent for other reasons.
 type spotLosses struct {
-	lost, upSeconds float64 // machines taken, and seconds that machines were up, of late
+	lost, upSeconds float64 // machines reclaimed and machine-seconds up, both with exponential decay
 	updatedAt       Micros
 }
 
-// spotWindow is the memory of the losses; so long a time without any is taken
-// for granted at first.
+// spotLossWindow is the time constant of the decay. The estimate starts as if that much
+// machine time had passed without a loss.
 const spotLossWindow = 600 * clock.Second
 
+// rate returns the losses per machine and second.
 func (s *spotLosses) rate() float64 { return s.lost / (s.upSeconds + spotLossWindow.Seconds()) }
 
-// observe adds that n spot machines were up since the last call.
+// observe records that count spot machines were up since the last call.
 func (s *spotLosses) observe(count int, now Micros) {
 	decay := math.Exp(-float64(now-s.updatedAt) / float64(spotLossWindow))
 	s.lost *= decay
@@ -413,10 +414,12 @@
 	s.updatedAt = now
 }
 
+// rateAt returns the arrival rate at a time after the last update, decayed until then.
 func (a *arrivalStats) rateAt(at Micros) float64 {
 	return a.rate * math.Exp(-float64(at-a.updatedAt)/float64(arrivalWindow))
 }
 
+// fleetInput collects the state from which the fleet package plans.
 func (c *Core) fleetInput(now Micros) *fleet.Input {
 	input := &fleet.Input{Now: now, Catalog: c.catalog, RefusedUntil: c.refusedUntil, Machines: c.sortedMachines,
 		Unplaced: c.unplaced, SpotWait: c.policy.SpotWaitThreshold, FetchRates: c.fetchRates, MaxReportAge: c.maxReportAge()}
@@ -428,19 +431,19 @@
 		maxBootSeconds = max(maxBootSeconds, t.BootTime)
 	}
 	for _, class := range slices.Sorted(maps.Keys(c.arrivals)) {
-		a := c.arrivals[class]
-		if a.batch {
-			// A young rate has not seen its whole window yet.
-			observed := max(now-a.firstArrival, arrivalWindow*2/3)
-			input.BatchLoad += a.rateAt(now) / -math.Expm1(-float64(observed)/float64(arrivalWindow))
+		arrivals := c.arrivals[class]
+		if arrivals.batch {
+			// A rate that is younger than its window is scaled up accordingly.
+			observed := max(now-arrivals.firstArrival, arrivalWindow*2/3)
+			input.BatchLoad += arrivals.rateAt(now) / -math.Expm1(-float64(observed)/float64(arrivalWindow))
 			continue
 		}
-		input.Headroom += a.rateAt(now) * maxBootSeconds * c.policy.Headroom
-		if a.lastJob != nil {
-			input.Service = a.lastJob
+		input.Headroom += arrivals.rateAt(now) * maxBootSeconds * c.policy.Headroom
+		if arrivals.lastJob != nil {
+			input.Service = arrivals.lastJob
 		}
 	}
-	if input.Service == nil { // after a takeover: any service stands for its class
+	if input.Service == nil { // after a takeover, take any service for the class
 		for _, j := range c.jobs {
 			if j.Service() && (input.Service == nil || j.ID < input.Service.ID) {
 				input.Service = j
@@ -448,12 +451,12 @@
 		}
 	}
 	if input.Service != nil && input.Headroom < input.Service.TaskCPUs()/2 {
-		input.Headroom = 0 // services have all but stopped coming
+		input.Headroom = 0 // hardly any new services arrive
 	}
 	return input
 }
 
-// buy rents what the fleet package asks for, as far as the cloud's rate allows.
+// rentMachines rents the machines that the fleet package plans, within the cloud's request rate.
 func (c *Core) rentMachines(now Micros) {
 	if now < c.cloudPausedUntil || now-c.electedAt < clock.Second {
 		return
@@ -472,13 +475,14 @@
 	}
 }
 
-// rent sends a rental. Without an answer the same name is sent again: it rents
-// nothing twice. sent tells that it may have been carried out before.
+// sendRental sends a rental request and repeats it under the same request ID until it is
+// answered; the cloud carries out a request ID only once. resent means that an earlier copy of
+// the request may have been carried out.
 func (c *Core) sendRental(request *wire.RentRequest, requestedAt Micros, resent bool) {
 	term, kind := c.term, kindOf(request)
 	retry := func() {
 		c.env.After(clock.Second, func() {
-			if c.elector.Leading() && c.term == term { // perhaps the level has risen since
+			if c.elector.Leading() && c.term == term { // the format level may have risen since
 				c.commitIntent(request.RequestID, intentRecord{Rent: request}, func() { c.sendRental(request, requestedAt, true) })
 			}
 		})
@@ -494,7 +498,7 @@
 		now := c.env.Now()
 		switch outcome {
 		case store.OK:
-			slog.Debug("rented", "kind", kind, "asked", request.Count, "got", len(ids))
+			slog.Debug("rented machines", "kind", kind, "asked", request.Count, "got", len(ids))
 			var rented []*sched.Machine
 			for _, id := range ids {
 				if c.machines[id] == nil && !c.releasedMachines[id] {
@@ -532,9 +536,10 @@
 	})
 }
 
-// list compares the cloud's list with what is known: unexpected machines are
-// adopted, failed ones returned, and those noted that are missing though the list
-// is new enough. named holds what the pages before this one list.
+// reconcileMachineList compares the cloud's machine list with the known machines, page by page.
+// Unknown machines are adopted, failed ones are marked for release, and known machines missing
+// from a sufficiently recent list are marked as unlisted. listed holds the machines of the
+// previous pages.
 func (c *Core) reconcileMachineList(term uint64, pageStart string, listed map[string]bool, startedAt Micros) {
 	if !c.elector.Leading() || c.term != term {
 		return
@@ -566,7 +571,7 @@
 			if m == nil && !c.releasedMachines[entry.ID] {
 				if m = c.addMachine(entry.ID, entry.Addr, entry.Type, entry.Zone, entry.Spot, now-clock.FromSeconds(entry.AgeSeconds)); m != nil {
 					found = append(found, m)
-					slog.Info("machine found in the list", "machine", entry.ID)
+					slog.Info("adopting unknown machine from the cloud's list", "machine", entry.ID)
 				}
 			}
 			if m != nil && entry.State == wire.MachineFailed {
@@ -589,12 +594,12 @@
 	})
 }
 
-// listLag is how old the cloud's list may be, and a little more.
+// listLag is the maximum age of the cloud's machine list, with a safety margin.
 func (c *Core) listLag() Micros {
 	return 2*clock.FromSeconds(c.cfg.Params.Cloud.ListLag) + 2*clock.Second
 }
 
-// logFleet says at debug level how well the fleet is used, in CPUs.
+// logFleet logs the use of the fleet, in CPUs, at debug level.
 func (c *Core) logFleet() {
 	if !slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		return
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -9,20 +9,20 @@
 	"lilacthread/wire"
 )
 
-// Direct orders spare a launch or a stop the wait for the worker's next report.
-// They differ from answers to reports in one thing: an order may be executed
-// whenever it arrives, as long as token and session match. So a launch whose
-// order is not answered holds its place until a report shows it, the session
-// moves on, or the machine is returned. One that was lost on the way through another
-// controller is sent again with the answers to reports that lack it, since a launch of
-// an attempt that the worker knows has no effect; as the first may come later, the
-// worker is not told to forget that attempt.
+// A direct command batch saves a launch or a stop the wait for the worker's next report. It
+// differs from the answer to a report in one respect: the worker may execute it whenever it
+// arrives, as long as token and session match. The placement of a launch whose batch was not
+// answered is therefore kept until a report shows the task, the session ends, or the machine is
+// released. If the batch was lost on the way through a relaying controller, the launch is sent
+// again with the answers to reports that lack the task; launching an attempt that the worker
+// already knows has no effect. Since the first copy may still arrive later, the worker is not
+// told to forget that attempt.
 
-// orderSoon notes that a machine has something to be told.
+// queueOrder marks a machine for a direct command batch in the next round.
 func (c *Core) queueOrder(m *sched.Machine) { c.orderQueue = append(c.orderQueue, m) }
 
-// sendOrders tells the noted machines. What can't be sent now rides on the
-// answer to the machine's next report.
+// sendOrders sends a direct command batch to each queued machine. Commands that can't be sent
+// now are part of the answer to the machine's next report.
 func (c *Core) sendOrders() {
 	for _, m := range c.orderQueue {
 		c.sendOrder(m)
@@ -30,7 +30,7 @@
 	c.orderQueue = c.orderQueue[:0]
 }
 
-// mayOrder reports whether an order may be sent to the machine now.
+// mayOrder reports whether a command batch may be sent to the machine now.
 func (c *Core) mayOrder(m *sched.Machine) bool {
 	if m.CommandInFlight || !c.Serving() || c.machines[m.ID] != m || m.Releasing || m.Addr == "" {
 		return false
@@ -41,10 +41,12 @@
 	return c.ordersInFlight < c.cfg.MaxCommandBatches()
 }
 
-// sendTo sends an order, perhaps without commands, to a machine that may have one; done runs
-// if the machine and this term are still there then.
+// sendCommands sends a command batch, which may be empty, to a machine for which mayOrder holds.
+// It calls done with the outcome, unless the machine was removed or this leader's term ended in
+// the meantime.
 //
-// It goes through the controller that carries the machine's connection, if one does.
+// The batch goes through the relaying controller that holds the machine's connection, if there
+// is one.
 func (c *Core) sendCommands(m *sched.Machine, commands []wire.Command, done func(store.Outcome, *wire.Report)) {
 	m.CommandInFlight = true
 	term := c.term
@@ -73,6 +75,8 @@
 	c.env.SendOrders(m.Addr, orders, complete)
 }
 
+// sendOrder sends a machine its pending stops and launches in a direct command batch, if it can
+// receive one now.
 func (c *Core) sendOrder(m *sched.Machine) {
 	now := c.env.Now()
 	if !c.mayOrder(m) || !m.Acked || m.Downlink.Partitioned || now-m.LastReportAt > c.maxReportAge() {
@@ -86,19 +90,19 @@
 	if len(starts) > 0 {
 		m.LastCommandAt = now
 		if relayNode != "" {
-			m.LastCommandAt += carrier.OrderTimeout // another controller may send it so much later
+			m.LastCommandAt += carrier.OrderTimeout // the relaying controller may send the batch that much later
 		}
 	}
 	c.sendCommands(m, append(stops, starts...), func(outcome store.Outcome, report *wire.Report) {
 		if m.Session != session {
-			return // all that was on it has left
+			return // the placements of the previous session have ended
 		}
 		if outcome == store.Unknown {
 			m.LastCommandUnanswered = true
-			if relayNode != "" { // most likely the carrier is gone, not the way to the worker
+			if relayNode != "" { // the relaying controller has probably failed, not the path to the worker
 				markOutcomeUnknown(m, starts)
 			}
-			slog.Info("order without an answer", "machine", m.ID, "launches", len(starts))
+			slog.Info("command batch was not answered", "machine", m.ID, "launches", len(starts))
 			return
 		}
 		if outcome != store.Refused {
@@ -121,8 +125,8 @@
 			return
 		}
 		m.LastCommandSeq = max(m.LastCommandSeq, report.Seq)
-		// What the answer shows is so; what it lacks may still come with the
-		// answer to a report that is on its way.
+		// A task in the answer is up to date. A task missing from it may still be launched by
+		// the answer to a report in transit.
 		for i := range report.Tasks {
 			t := &report.Tasks[i]
 			if p := m.Placements[t.Task]; p != nil && p.Attempt == t.Attempt {
@@ -133,7 +137,7 @@
 	})
 }
 
-// loseOrder notes that it will not be known what became of an order's launches.
+// markOutcomeUnknown records that the outcome of a batch's launches will never be known.
 func markOutcomeUnknown(m *sched.Machine, starts []wire.Command) {
 	for _, cmd := range starts {
 		if p := m.Placements[cmd.Task]; p != nil && p.Attempt == cmd.Attempt && p.DirectUnanswered {
@@ -142,9 +146,9 @@
 	}
 }
 
-// unanswered reports whether a machine holds a launch whose order was not
-// answered for so long that its session ought to have ended, and whether it
-// holds nothing else.
+// unansweredLaunches reports whether a machine holds a launch whose command batch has been
+// unanswered for so long that the worker's session should have ended, and whether it holds
+// nothing else.
 func (c *Core) unansweredLaunches(m *sched.Machine, now Micros) (unanswered, onlyUnanswered bool) {
 	onlyUnanswered = m.Busy()
 	for _, p := range m.Placements {
@@ -157,11 +161,12 @@
 	return unanswered, onlyUnanswered
 }
 
-// holdsCancelled reports whether a launch that was never answered may yet start what a user
-// was told is cancelled, and would be given the time for it by another lease. No stop helps,
-// as an order may be executed as long as the session lasts: so that has to end. Found by the
-// scenario order_held_past_cancel, where a cut between leader and machine lasts longer
-// than cancel_s, the machine's reports are forwarded, and it is not empty.
+// mayStartCancelled reports whether an unanswered launch could still start a task after its user
+// was notified of the cancellation, if the machine's lease were renewed again. A stop command
+// does not prevent that, because the worker may execute the batch as long as its session lasts,
+// so the session has to end. This happens when a partition between the leader and a machine with
+// tasks lasts longer than cancel_s while the machine's reports are forwarded (scenario
+// order_held_past_cancel).
 func (c *Core) mayStartCancelled(m *sched.Machine, now Micros) bool {
 	renewalBound := c.renewalBound()
 	for _, p := range m.Placements {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -12,17 +12,18 @@
 	"lilacthread/wire"
 )
 
-// responseLife is how long a worker waits for the answer to a report; later,
-// commands in it are not executed any more.
+// responseTimeout is how long a worker waits for the answer to a report. The worker
+// ignores commands in an answer that arrives later.
 const responseTimeout = 4 * clock.Second
 
-// earlyFor is how long a report that comes before the records are read waits for that: the
-// worker drops answers later than responseLife.
+// deferredReportTimeout is how long a report that arrives before the records are loaded waits
+// for them. It is shorter than responseTimeout, so that the answer still arrives in time.
 const deferredReportTimeout = responseTimeout / 2
 
-// awaitLoad keeps reports until the records are read. Nothing may be renewed before: a
-// leader that knows of no cancellation would keep alive what an earlier one has told a user
-// is cancelled (scenario successor_lost_while_loading).
+// deferUntilLoaded postpones the handling of a report until the records are loaded. No lease
+// may be renewed before: a leader that does not know the committed cancellations yet would keep
+// a task running after its user was notified of the cancellation (scenario
+// successor_lost_while_loading).
 func (c *Core) deferUntilLoaded(handle func()) {
 	pending := true
 	handleOnce := func() {
@@ -35,7 +36,8 @@
 	c.env.After(deferredReportTimeout, handleOnce)
 }
 
-// takeEarly answers the reports that were kept: the records are read, or the lead is lost.
+// handleDeferredReports handles the deferred reports once the records are loaded or leadership
+// is lost.
 func (c *Core) handleDeferredReports() {
 	deferred := c.deferredReports
 	c.deferredReports = nil
@@ -44,8 +46,9 @@
 	}
 }
 
-// OnReport handles a worker's report. Reports are ordered by session and seq:
-// a late one changes nothing.
+// ProcessReport handles a worker's report on the leader and returns the answer. Reports are
+// ordered by session and sequence number; a report that is not newer than the last one changes
+// nothing.
 func (c *Core) ProcessReport(report *wire.Report) ReportAnswer {
 	now := c.env.Now()
 	if !c.elector.Leading() {
@@ -62,8 +65,8 @@
 	if m == nil {
 		return ReportAnswer{Code: 503}
 	}
-	// A worker's token never falls: what is under an older one than it has acknowledged was
-	// written before, whatever its numbers say.
+	// The token of a worker never decreases. A report under an older token than the worker has
+	// acknowledged was therefore written earlier, whatever its session and sequence number are.
 	if report.Session < m.Session || report.Session == m.Session && report.Seq <= m.Seq || m.Acked && report.Token < c.term {
 		c.handleStaleReport(m, report, now)
 		return ReportAnswer{Code: 503}
@@ -74,12 +77,13 @@
 	if !c.elector.HoldsValidLease() {
 		c.lateRenewals++
 	}
-	// Only what is new shows that workers reach this node; late copies don't.
+	// Only a new report shows that workers reach this node; a delayed copy does not.
 	c.lastReport, m.UnansweredProbes = now, 0
 	answer := ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: c.term}}
 	if report.Session == m.Session && report.Seq < m.LastCommandSeq {
-		// Written before the worker executed an order whose answer is known: what
-		// it lacks may have started since. It only shows that the worker lives.
+		// The worker wrote this report before it executed a command batch whose answer is already
+		// known. A task missing from the report may have started since, so the report only shows
+		// that the worker is alive.
 		m.Seq, m.LastReportAt, m.LastAnsweredReportAt = report.Seq, now, now
 		answer.Body.Commands = c.stopsForCancelled(m, report)
 		return answer
@@ -90,7 +94,7 @@
 		answer.Body.Commands = c.reconcileTasks(m, report, now)
 	} else {
 		if m.StaleTokenAnswered {
-			c.recordPartitionSign(m, oneway.TokenLost, now)
+			c.recordPartitionSymptom(m, oneway.TokenLost, now)
 		}
 		m.StaleTokenAnswered = true
 		answer.Body.Commands = c.stopsForCancelled(m, report)
@@ -99,7 +103,7 @@
 	return answer
 }
 
-// notLeading sends a worker to the leader, if one is known.
+// redirectToLeader redirects a worker to the leader, or answers 503 if no leader is known.
 func (c *Core) redirectToLeader(report *wire.Report, now Micros) ReportAnswer {
 	c.reportingWorkerOf(report.Machine).lastReportAt = now
 	if c.elector.Leader() == "" {
@@ -108,8 +112,8 @@
 	return ReportAnswer{Code: 421, Leader: c.elector.Leader()}
 }
 
-// reporting is the machine that reports, entered if it was not known; nil if its type is
-// unknown too.
+// machineForReport returns the machine that sent the report and registers it if it is unknown.
+// It returns nil if the machine type is unknown too.
 func (c *Core) machineForReport(report *wire.Report, now Micros) *sched.Machine {
 	if m := c.machines[report.Machine]; m != nil {
 		return m
@@ -120,17 +124,18 @@
 	}
 	c.sortMachines()
 	c.saveMachine(m, nil)
-	slog.Info("machine appeared", "machine", m.ID)
+	slog.Info("unknown machine reported, adding it", "machine", m.ID)
 	return m
 }
 
-// sendAway reports whether a worker is to look for a successor of this leader, which is cut
-// off from the state service and its peers.
+// redirectIfIsolated reports whether a worker should look for another leader, because this one
+// has lost the state service and all its peers.
 //
-// While it is answered here the worker stays, and its successor can't use it. It looks for
-// one; if there is none, it is back and kept. Whoever was not kept since is not sent away
-// again: where the others can't be reached either, the search takes seconds for each of
-// them, and the lease would end over it.
+// As long as this leader answers, the worker stays with it and a successor can't use the
+// machine. A worker that is refused once searches for a successor and returns if it finds none.
+// It is not refused again before one of its reports has been answered: if it can't reach the
+// other controllers either, the search takes seconds for each of them, and its lease would expire
+// in the meantime.
 func (c *Core) redirectIfIsolated(m *sched.Machine, now Micros) bool {
 	if !c.lostStateAndPeers(now) || now-m.LastRedirectAt <= c.cfg.WorkerLease()/2 || m.LastAnsweredReportAt <= m.LastRedirectAt {
 		return false
@@ -139,7 +144,7 @@
 	return true
 }
 
-// takeNews takes in what a newer report says of its machine itself.
+// applyMachineReport updates the state of a machine, apart from its tasks, from a newer report.
 func (c *Core) applyMachineReport(m *sched.Machine, report *wire.Report, now Micros) {
 	if !m.Up {
 		m.Up, m.IdleSince = true, now
@@ -151,37 +156,39 @@
 		c.beginSession(m, report, previousSession, previousReportAt, now)
 	}
 	if report.ReclaimNoticeSeconds == nil {
-		m.ReclaimAt = 0 // what brought it was a late copy, or the cloud thought better of it
+		m.ReclaimAt = 0 // the notice came from a delayed copy of a report, or the cloud withdrew it
 	} else if m.ReclaimAt == 0 {
 		m.ReclaimAt = now + clock.FromSeconds(*report.ReclaimNoticeSeconds)
 		c.drainForNotice(m, now)
 	}
 	if m.LastCommandUnanswered {
 		m.LastCommandUnanswered = false
-		c.recordPartitionSign(m, oneway.CommandBatchLost, now)
+		c.recordPartitionSymptom(m, oneway.CommandBatchLost, now)
 	}
 }
 
-// beginSession takes in that a worker's lease has ended, with all that it ran.
+// beginSession handles a worker's new session: its previous lease has expired, and all tasks
+// that it ran under that lease have ended.
 func (c *Core) beginSession(m *sched.Machine, report *wire.Report, previousSession uint64, previousReportAt, now Micros) {
 	if previousSession > 0 && len(m.Placements) > 0 {
 		slog.Info("worker began a new session", "machine", m.ID, "session", report.Session, "tasks", len(m.Placements),
 			"heard", (now - previousReportAt).Seconds(), "answered", (now - m.LastAnsweredReportAt).Seconds())
 	}
 	if c.missedRenewals(m, now) {
-		c.recordPartitionSign(m, oneway.SessionLost, now)
+		c.recordPartitionSymptom(m, oneway.SessionLost, now)
 	}
 	m.LastCommandSeq, m.Unreaped = 0, nil
 	for _, p := range sortedPlacements(m) {
-		// Written before the worker had heard the term that placed it, the report may
-		// be a late copy of a machine that was since started anew.
+		// If the worker had not received the term in which the task was placed when it wrote the
+		// report, the report may be a delayed copy from before the machine restarted, and proves
+		// nothing about this placement.
 		if p.Session < report.Session && report.Token >= p.Attempt>>32 {
 			c.endPlacement(p)
 		}
 	}
 }
 
-// acknowledged notes that a worker has taken in this leader's token.
+// recordAcknowledgement records that a worker has acknowledged this leader's token.
 func (c *Core) recordAcknowledgement(m *sched.Machine) {
 	if m.Acked {
 		return
@@ -191,23 +198,24 @@
 	c.requestSchedulingPass()
 }
 
-// stopNow ends a task without time to save.
+// immediateStop returns a command that stops a task without time to save a checkpoint.
 func immediateStop(task string, attempt uint64) wire.Command {
 	grace := 0.0
 	return wire.Command{Op: wire.OpStop, Task: task, Attempt: attempt, GraceSeconds: &grace}
 }
 
-// cancelledOn lists the stops that every answer carries which renews a lease and decides
-// nothing else: to a report under an older token, which proves nothing, or of a leader past its deadline,
-// which starts and forgets nothing. What is cancelled must go all the same: a chain of
-// leaders, each of which ended before the worker had acknowledged it, renewed a lease beyond
-// cancel_s and never stopped the task, found at four seconds between reports.
+// stopsForCancelled returns the stop commands for cancelled tasks. An answer that renews a lease
+// but decides nothing else contains only these: an answer to a report under an older token,
+// which proves nothing about absent tasks, or an answer from a leader past its deadline, which
+// neither starts nor forgets tasks. Without these stops, a chain of leaders that each ended
+// before the worker had acknowledged them could renew a lease beyond cancel_s and never stop
+// the task; that happened at a report interval of four seconds.
 //
-// A cancellation counts from the user's wish on, committed or not: where the answer of the
-// commit is lost, another node may read the final state and tell the user of it, which this
-// leader never learns (scenario cancellation_unknown_to_leader). What is reported stands for what
-// it holds no place of any more; a job that is not in memory is over, and what was sent and
-// is not reported may be on its way.
+// A cancellation takes effect with the user's request, before it is committed. If the answer to
+// the commit is lost, another node may read the final state and notify the user, and this
+// leader never learns of it (scenario cancellation_unknown_to_leader). Reported tasks are
+// included even if they have no placement any more; a job that is not in memory has ended. A
+// launch that was sent but is not reported yet may still reach the worker, so it is stopped too.
 func (c *Core) stopsForCancelled(m *sched.Machine, report *wire.Report) []wire.Command {
 	stops := []wire.Command{}
 	for i := range report.Tasks {
@@ -226,7 +234,7 @@
 	return stops
 }
 
-// places lists a machine's placements in a fixed order.
+// sortedPlacements returns a machine's placements sorted by task.
 func sortedPlacements(m *sched.Machine) []*sched.Placement {
 	list := make([]*sched.Placement, 0, len(m.Placements))
 	for _, p := range m.Placements {
@@ -236,10 +244,10 @@
 	return list
 }
 
-// digest takes in an acknowledged report's tasks and gives the commands that
-// answer it. Such a report is complete: no older token can start anything on
-// this machine any more, and our own launches ride only on answers to earlier
-// reports, which the worker has since taken or dropped.
+// reconcileTasks compares the tasks of an acknowledged report with the machine's placements and
+// returns the commands for the answer. Such a report is complete: no older token can start
+// anything on this machine any more, and this leader's launches are sent only in answers to
+// earlier reports, which the worker has processed or dropped by now.
 func (c *Core) reconcileTasks(m *sched.Machine, report *wire.Report, now Micros) []wire.Command {
 	var forgets []wire.Command
 	reported := make(map[string]*wire.TaskReport, len(report.Tasks))
@@ -253,7 +261,7 @@
 		if cmd, ok := c.handleUnplacedTask(m, t, now); ok {
 			forgets = append(forgets, cmd)
 		} else if m.Placements[t.Task] != nil && m.Placements[t.Task].Attempt == t.Attempt {
-			reported[t.Task] = t // adopted
+			reported[t.Task] = t // handleUnplacedTask has adopted the task
 		}
 	}
 	placements := sortedPlacements(m)
@@ -266,8 +274,9 @@
 			continue
 		}
 		if p.Sent && !p.DirectUnanswered && !p.Reported && !p.Inherited {
-			// It rode on the answer to an earlier report, which was taken or dropped by now.
-			c.recordPartitionSign(m, oneway.LaunchLost, now)
+			// The launch was sent in the answer to an earlier report, which the worker has
+			// processed or dropped by now.
+			c.recordPartitionSymptom(m, oneway.LaunchLost, now)
 			if m.Downlink.Partitioned {
 				c.endPlacement(p)
 				continue
@@ -286,16 +295,17 @@
 	return append(append(stops, forgets...), starts...)
 }
 
-// commands lists what a machine is to stop and to start, in an answer to its
-// report or in a direct order. An order starts only what was never sent; what an
-// unanswered order may yet start is not sent again, lest it start a second time
-// after it was forgotten, unless the order was lost with the controller that carried
-// it: then the worker is not told to forget that attempt.
+// buildCommands returns the stops and starts for a machine, either for the answer to its report
+// or for a direct command batch. A direct batch starts only tasks whose launch was never sent.
+// A launch in an unanswered batch is not sent again, because it could start the task a second
+// time after the worker has forgotten the attempt. The exception is a batch that was lost
+// together with the relaying controller: its launches are sent again, and the worker is not
+// told to forget those attempts.
 func (c *Core) buildCommands(m *sched.Machine, placements []*sched.Placement, now Micros, direct bool) (stops, starts []wire.Command) {
 	stops = []wire.Command{}
 	for _, p := range placements {
 		if m.Placements[p.Task] != p {
-			continue // has just left
+			continue // endPlacement has removed it since the list was made
 		}
 		ended := p.Job == nil || p.Job.Cancelled || p.Job.Ended && !p.Exited
 		switch {
@@ -326,24 +336,25 @@
 	return stops, starts
 }
 
-// unplacedTask deals with a reported task that holds no place here: an exited one is
-// forgotten, unless it might be started again then; a live one is adopted if its
-// job wants it, or stopped. It reports false when there is no command.
+// handleUnplacedTask handles a reported task without a placement. A live or completed task is
+// adopted if its job still needs it. Any other live task is stopped. Any other exited task is
+// forgotten, unless a launch in transit could then start it again. The result is false if no
+// command is needed.
 func (c *Core) handleUnplacedTask(m *sched.Machine, report *wire.TaskReport, now Micros) (wire.Command, bool) {
 	jobID, index, _ := wire.SplitTask(report.Task)
 	j := c.jobs[jobID]
-	taskPending := j != nil && j.Active() && !j.HasUnmetDependencies() && index < len(j.Tasks) && j.Tasks[index].State == sched.Pending && !j.Gang()
+	adoptable := j != nil && j.Active() && !j.HasUnmetDependencies() && index < len(j.Tasks) && j.Tasks[index].State == sched.Pending && !j.Gang()
 	if report.State == wire.TaskExited {
 		if m.Unreaped[sched.Attempt{Task: report.Task, Number: report.Attempt}] {
 			return wire.Command{}, false
 		}
-		if !taskPending || report.Cause != wire.CauseDone {
+		if !adoptable || report.Cause != wire.CauseDone {
 			return wire.Command{Op: wire.OpForget, Task: report.Task, Attempt: report.Attempt}, true
 		}
-	} else if !taskPending || m.Placements[report.Task] != nil {
+	} else if !adoptable || m.Placements[report.Task] != nil {
 		return immediateStop(report.Task, report.Attempt), true
 	}
-	slog.Info("adopting a task", "task", report.Task, "machine", m.ID)
+	slog.Info("adopting task without placement", "task", report.Task, "machine", m.ID)
 	p := &sched.Placement{Job: j, Index: index, Task: report.Task, Attempt: report.Attempt, Machine: m,
 		Session: m.Session, Need: j.Need(), Team: j.Spec.Team, Priority: j.Priority, Image: j.Spec.Image,
 		Committed: true, Sent: true, Inherited: true}
@@ -357,7 +368,7 @@
 	return wire.Command{}, false
 }
 
-// observe takes in what a report says of a placed task.
+// applyTaskReport updates a placement from the worker's report of its task.
 func (c *Core) applyTaskReport(m *sched.Machine, p *sched.Placement, report *wire.TaskReport, now Micros) {
 	p.Reported, p.DirectUnanswered, p.State = true, false, report.State
 	j := p.Job
@@ -372,8 +383,8 @@
 		if j != nil {
 			c.updateFetchRate(m, p, now)
 			if m.TouchImage(p.Image, j.Spec.ImageGB, now) && c.format.level >= LevelTasks {
-				// No placement writes the machine's record any more, but a successor
-				// that did not know the images would have them all fetched again.
+				// From LevelTasks on, placements don't write the machine's record. Without the
+				// image list, a successor would have all images fetched again.
 				c.saveMachine(m, nil)
 			}
 		}
@@ -399,7 +410,7 @@
 	case wire.CauseError:
 		c.handleTaskFailure(m, p, now)
 	case wire.CauseNoCapacity, wire.CauseBusy:
-		slog.Info("start refused", "task", p.Task, "machine", m.ID, "cause", report.Cause)
+		slog.Info("worker refused to start task", "task", p.Task, "machine", m.ID, "cause", report.Cause)
 		m.AvoidUntil = now + c.cfg.ReportInterval()
 	case wire.CauseUnknown:
 		j.HoldUntil = now + 5*clock.Second
@@ -411,7 +422,7 @@
 	c.endPlacement(p)
 }
 
-// ranFor is how long a task has been seen running, in seconds.
+// runSeconds returns for how many seconds a task has been seen running.
 func runSeconds(p *sched.Placement, now Micros) float64 {
 	if p.RunningSince == 0 {
 		return 0
@@ -419,8 +430,8 @@
 	return (now - p.RunningSince).Seconds()
 }
 
-// learnFetch smooths a type's fetch rate from the time between launch and
-// running, when only this image was on its way.
+// updateFetchRate updates the smoothed image fetch rate of a machine type, in GB per second,
+// from the time between launch and first run of a task whose image was not cached.
 func (c *Core) updateFetchRate(m *sched.Machine, p *sched.Placement, now Micros) {
 	if _, cached := m.Images[p.Image]; cached || p.SentAt == 0 || p.Job.Spec.ImageGB <= 0 {
 		return
@@ -432,8 +443,8 @@
 	}
 }
 
-// finished records a completed task; nobody hears of it, and the worker is not
-// told to forget it, before that is committed.
+// completeTask records a completed task. Before the record is committed, no user is notified
+// and the worker is not told to forget the task.
 func (c *Core) completeTask(p *sched.Placement, now Micros) {
 	j := p.Job
 	if p.RunningSince > 0 && p.SentAt > 0 {
@@ -442,7 +453,7 @@
 	}
 	j.AnyTaskSucceeded, j.Backoff = true, 0
 	completed := []int{p.Index}
-	if j.Gang() { // a gang completes together
+	if j.Gang() { // all tasks of a gang complete together
 		completed = completed[:0]
 		for i := range j.Tasks {
 			completed = append(completed, i)
@@ -464,11 +475,12 @@
 		c.saveProgress(j, classUrgent, c.whileInTerm(onCommitted))
 		return
 	}
-	// The task's room is free already: its end may wait a little for others.
+	// The task's resources are free already, so the write may wait for others to join it.
 	c.saveTasks(j, p.Index, classDelayed, c.whileInTerm(onCommitted))
 }
 
-// failed blames the machine, or the job when it fails everywhere.
+// handleTaskFailure attributes a task's failure to the machine, or to the job if the job fails
+// on several machines and has no healthy task.
 func (c *Core) handleTaskFailure(m *sched.Machine, p *sched.Placement, now Micros) {
 	j := p.Job
 	j.FailedOn[m.ID] = true
@@ -476,7 +488,7 @@
 	if !jobHealthy && len(j.FailedOn) >= 3 {
 		j.Backoff = min(max(2*j.Backoff, 4*clock.Second), 60*clock.Second)
 		j.HoldUntil = now + j.Backoff
-		for id := range j.FailedOn { // its failures told nothing about the machines
+		for id := range j.FailedOn { // the job is at fault, so its failures don't count against machines
 			if other := c.machines[id]; other != nil {
 				delete(other.ErrorJobs, j.ID)
 				if len(other.ErrorJobs) == 0 {
@@ -501,18 +513,19 @@
 	}
 }
 
-// drainSick empties a machine that fails its tasks.
+// drainUnhealthyMachine drains a machine on which tasks keep failing.
 func (c *Core) drainUnhealthyMachine(m *sched.Machine) {
-	slog.Info("machine fails its tasks, draining", "machine", m.ID)
+	slog.Info("tasks keep failing on machine, draining it", "machine", m.ID)
 	c.drain(m)
 }
 
-// blameAfter is how long a machine on which several jobs failed, none of which is known to
-// be sound, is kept before it is blamed: by then jobs that fail everywhere have failed
-// elsewhere too, and no longer count against it.
+// failureSuspicionTime is how long a machine is kept after several jobs failed on it, if none of
+// them is known to be healthy, before it is drained. By then a job that fails everywhere has
+// failed on other machines too, and its failures no longer count against this one.
 const failureSuspicionTime = 10 * clock.Second
 
-// judgeSick empties the machines that are to blame for their failures.
+// drainUnhealthyMachines drains machines that have been under suspicion for longer than
+// failureSuspicionTime, and clears the suspicion if the failures come from a single job.
 func (c *Core) drainUnhealthyMachines(now Micros) {
 	for _, m := range c.sortedMachines {
 		switch {
@@ -525,8 +538,8 @@
 	}
 }
 
-// leave ends a placement whose task has provably left its machine, or was
-// never sent there.
+// endPlacement removes the placement of a task that is proven absent from its machine, or whose
+// launch was never sent.
 func (c *Core) endPlacement(p *sched.Placement) {
 	if p.Machine.Placements[p.Task] != p {
 		return
@@ -561,7 +574,7 @@
 		if j.PlacedCount == 0 {
 			c.queuePendingTasks(j)
 		} else {
-			for i := range j.Tasks { // what is left of the attempt is of no use
+			for i := range j.Tasks { // the remaining tasks of this gang attempt are useless
 				if q := j.Tasks[i].Placement; q != nil && !q.Stopping {
 					q.Stopping, q.Grace = true, 0
 				}
@@ -571,7 +584,7 @@
 	c.archive(j)
 }
 
-// keepAttempt has the worker of a placement not be told to forget it.
+// markUnreaped excludes a placement's attempt from the forget commands of its worker.
 func markUnreaped(p *sched.Placement) {
 	m := p.Machine
 	if m.Unreaped == nil {
@@ -580,15 +593,16 @@
 	m.Unreaped[sched.Attempt{Task: p.Task, Number: p.Attempt}] = true
 }
 
-// proveByLease frees the places of machines whose lease has surely ended: the
-// worker had acknowledged our token, so only our answers renewed it.
+// expireLeases ends the placements of machines whose lease has certainly expired. It covers
+// machines that have acknowledged this leader's token, since only this leader's answers renew
+// their leases.
 func (c *Core) expireLeases(now Micros) {
 	leaseBound := c.cfg.WorkerLease() + c.cfg.WorkerLease()/500 + c.leaseMargin()
 	for _, m := range c.sortedMachines {
-		// A machine that was started anew has a whole lease from then on, though no report of
-		// it was answered. What it can hold came by an order since.
+		// A restarted machine begins a full lease although none of its reports was answered. It can
+		// hold tasks only from a command batch sent since, hence LastCommandAt.
 		if m.Acked && m.Busy() && now-max(m.LastAnsweredReportAt, m.LastCommandAt) > leaseBound {
-			slog.Info("worker's lease has ended", "machine", m.ID)
+			slog.Info("worker lease expired", "machine", m.ID)
 			for _, p := range sortedPlacements(m) {
 				c.endPlacement(p)
 			}
