--- a/internal/controller/forward_reports.go
+++ b/internal/controller/forward_reports.go
@@ -7,28 +7,30 @@
 	"lilacthread/wire/fb"
 )
 
-// A worker may reach this node and not the leader, while this node reaches the leader: two
-// zones apart with a third between them. Sent to the leader it tries, fails and is back,
-// until its lease ends. From then on this node hands its reports on and the answers back.
-// The leader decides and answers as ever, by the same order of reports; a worker takes an
-// answer with its token from any node, and none later than 4 s.
+// In a partial partition, a worker may reach this node but not the leader, while this node reaches
+// the leader: for example, the link between two zones fails, and a third zone reaches both. If
+// redirected to the leader, the worker fails to reach it and comes back, until its lease expires.
+// Once that is recognized, this node forwards the worker's reports to the leader and the answers
+// to the worker. The leader orders and answers forwarded reports like direct ones. A worker
+// accepts an answer with the leader's token from any node, within responseTimeout.
 
-// visitor is a worker that reported here while this node did not lead.
+// reportingWorker is the state of a worker that reported here while this node was not the leader.
 type reportingWorker struct {
-	lastReportAt    Micros // last
-	redirectedAt    Micros // when it was last sent to the leader; 0: never
-	redirectedTo    string // which
-	forwardingSince Micros // since when its reports are handed on; 0: they are not
+	lastReportAt    Micros // time of the last report
+	redirectedAt    Micros // time of the last redirect to the leader; 0: never
+	redirectedTo    string // leader of the last redirect
+	forwardingSince Micros // since when reports are forwarded; 0: not forwarded
 }
 
 const (
-	// forwardTime is how long the leader's answer to a report that was handed on is awaited.
+	// forwardTimeout is how long this node waits for the leader's answer to a forwarded report.
 	forwardTimeout = 2 * clock.Second
-	// forwardFor is how long reports are handed on before the worker tries the leader again.
+	// forwardDuration is how long reports are forwarded before the worker is redirected again.
 	forwardDuration = 30 * clock.Second
 )
 
-// visitorOf is what is known of a worker that reports here while this node does not lead.
+// reportingWorkerOf returns the state of a worker that reports here while this node is not the
+// leader, and creates it if needed.
 func (c *Core) reportingWorkerOf(machine string) *reportingWorker {
 	worker := c.reportingWorkers[machine]
 	if worker == nil {
@@ -38,7 +40,7 @@
 	return worker
 }
 
-// TakeReport handles a worker's report at whichever node it comes to.
+// HandleReport handles a worker's report on any controller.
 func (c *Core) HandleReport(report *wire.Report, reply func(ReportAnswer)) {
 	if c.relaying() {
 		c.handleReportWithRelays(report, reply)
@@ -47,7 +49,8 @@
 	}
 }
 
-// takeStraight handles a report while workers report to the leader.
+// handleReportWithoutRelays handles a report while relaying is off and workers report to the
+// leader directly.
 func (c *Core) handleReportWithoutRelays(report *wire.Report, reply func(ReportAnswer)) {
 	if c.elector.Leading() && !c.loaded {
 		c.deferUntilLoaded(func() { reply(c.ProcessReport(report)) })
@@ -55,31 +58,32 @@
 	}
 	leader := c.elector.Leader()
 	if c.elector.Leading() || leader == "" || !c.shouldForward(report, leader) {
-		a := c.ProcessReport(report)
-		if s := c.reportingWorkers[report.Machine]; s != nil && a.Code == 421 {
-			s.redirectedAt, s.redirectedTo, s.forwardingSince = c.env.Now(), a.Leader, 0
+		answer := c.ProcessReport(report)
+		if worker := c.reportingWorkers[report.Machine]; worker != nil && answer.Code == 421 {
+			worker.redirectedAt, worker.redirectedTo, worker.forwardingSince = c.env.Now(), answer.Leader, 0
 		}
-		reply(a)
+		reply(answer)
 		return
 	}
 	c.reportingWorkers[report.Machine].lastReportAt = c.env.Now()
 	request := c.newMessage(fb.KindReport)
 	request.Body = wire.Encode(report)
-	c.env.Call(leader, request, forwardTimeout, func(a *peer.Msg) {
+	c.env.Call(leader, request, forwardTimeout, func(response *peer.Msg) {
 		answer := ReportAnswer{Code: 503}
-		if a != nil && a.Code == 200 && wire.Decode(a.Body, &answer.Body) == nil {
+		if response != nil && response.Code == 200 && wire.Decode(response.Body, &answer.Body) == nil {
 			answer.Code = 200
 		}
-		if s := c.reportingWorkers[report.Machine]; s != nil && answer.Code != 200 {
-			s.forwardingSince = 0
+		if worker := c.reportingWorkers[report.Machine]; worker != nil && answer.Code != 200 {
+			worker.forwardingSince = 0
 		}
 		reply(answer)
 	})
 }
 
-// forwards reports whether a worker's report should be handed on to the leader, which this
-// node does reach: the worker has spoken to it in this term, or was sent to it less than a
-// lease ago, and is here all the same.
+// shouldForward reports whether a worker's report should be forwarded to the leader. That
+// requires that this node reaches the leader, and that the worker either was redirected to the
+// leader less than a lease ago and came back, or has the token of the leader's term and was not
+// redirected within forwardDuration.
 func (c *Core) shouldForward(report *wire.Report, leader string) bool {
 	now, leaderPeer := c.env.Now(), c.peers[leader]
 	if leaderPeer == nil || !leaderPeer.seenRecently(now) || c.format.peerMaxLevels[leader] < LevelGroups {
@@ -96,18 +100,18 @@
 	return now-worker.forwardingSince < forwardDuration
 }
 
-// onForwarded answers a report that a peer hands on.
+// handleForwardedReport answers a report that a peer has forwarded.
 func (c *Core) handleForwardedReport(m *peer.Msg, reply func(*peer.Msg)) {
-	a := ReportAnswer{Code: 400}
-	if r, err := wire.DecodeReport(m.Body); err == nil {
-		a = ReportAnswer{Code: 503}
+	answer := ReportAnswer{Code: 400}
+	if report, err := wire.DecodeReport(m.Body); err == nil {
+		answer = ReportAnswer{Code: 503}
 		if c.elector.Leading() {
-			a = c.ProcessReport(r)
+			answer = c.ProcessReport(report)
 		}
 	}
 	out := c.newMessage(fb.KindAnswer)
-	if out.Code = a.Code; a.Code == 200 {
-		out.Body = wire.Encode(&a.Body)
+	if out.Code = answer.Code; answer.Code == 200 {
+		out.Body = wire.Encode(&answer.Body)
 	}
 	reply(out)
 }
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -12,33 +12,35 @@
 	"lilacthread/wire"
 )
 
-// From LevelIntents on, what is rented and returned is written ahead of the call, as launches
-// are: an intent, i/NAME, is committed by the leader before the cloud hears of it, and is
-// deleted behind the record of what came of it. A new leader finds the open ones.
+// From LevelIntents on, rentals and releases are written ahead of the cloud request, as launches
+// are. The leader commits an intent, i/NAME, before it calls the cloud, and deletes it after the
+// record of the outcome. A new leader finds the open intents and resumes them:
 //
-//   - A rental of its predecessor is sent again under its old name, which rents nothing twice
-//     and tells what was rented: no machine is known to nobody until the list names it.
-//   - A return is sent again, and until then nothing is placed on its machines: a call that is
-//     carried out late takes no work along.
+//   - A rental is sent again under its old request ID. The cloud does not rent twice for one
+//     request ID and answers with the machines that were rented, so the leader need not wait for
+//     the machine list to learn of them.
+//   - A release is sent again. Nothing is placed on its machines in the meantime, so a release
+//     that the cloud carries out late ends no tasks.
 //
 // See docs/duties.md.
 const intentPrefix = "i/"
 
-// intentRecord is a rental or a return that may be on its way.
+// intentRecord is the stored form of a rental or release that may be in progress.
 type intentRecord struct {
 	Rent      *wire.RentRequest `msgpack:"rent,omitempty"`
-	Machines  []string          `msgpack:"m,omitempty"`    // to return
-	Done      bool              `msgpack:"done,omitempty"` // gone, but perhaps listed yet; refused, but perhaps rented yet
-	WrittenAt int64             `msgpack:"at"`             // time of day, microseconds
+	Machines  []string          `msgpack:"m,omitempty"`    // machines to release
+	Done      bool              `msgpack:"done,omitempty"` // released, but perhaps still listed; or refused, but perhaps rented later
+	WrittenAt int64             `msgpack:"at"`             // wall-clock time in microseconds
 }
 
-// returning is machines that are returned by one call.
+// releaseBatch is a set of machines that one cloud request releases.
 type releaseBatch struct {
 	name       string
 	machineIDs []string
 }
 
-// intend acts once the intent is committed, at once where it is.
+// commitIntent commits an intent and then runs the action. It runs the action immediately if the
+// intent is already committed or the format level has no intents.
 func (c *Core) commitIntent(name string, rec intentRecord, action func()) {
 	if c.format.level < LevelIntents || c.openIntents[name] {
 		action()
@@ -51,7 +53,8 @@
 	}))
 }
 
-// settled deletes an intent whose outcome is known; what came of it is queued before.
+// closeIntent deletes an intent whose outcome is known. The caller must have queued the record of
+// the outcome before.
 func (c *Core) closeIntent(name string) {
 	delete(c.openIntents, name)
 	if c.format.level >= LevelIntents {
@@ -59,8 +62,8 @@
 	}
 }
 
-// returned notes that the machines of an intent are gone. The intent stays as long as the
-// cloud's list may name them: a new leader would take them for machines of its own.
+// completeRelease removes the machines of a completed release. The intent is retained as long as
+// the cloud's list may still name the machines, since a new leader would otherwise adopt them.
 func (c *Core) completeRelease(batch releaseBatch) {
 	for _, id := range batch.machineIDs {
 		c.removeMachine(id)
@@ -68,7 +71,7 @@
 	c.retainIntent(batch.name, intentRecord{Machines: batch.machineIDs}, c.listLag())
 }
 
-// linger keeps an intent that is done for a while.
+// retainIntent marks an intent as done and deletes it after the given duration.
 func (c *Core) retainIntent(name string, rec intentRecord, duration Micros) {
 	if c.format.level < LevelIntents {
 		return
@@ -78,21 +81,21 @@
 	c.closeIntentAfter(name, duration)
 }
 
-// settleAfter deletes an intent later.
+// closeIntentAfter deletes an intent after a delay.
 func (c *Core) closeIntentAfter(name string, delay Micros) {
 	c.env.After(delay, c.whileInTerm(func() { c.closeIntent(name) }))
 }
 
-// lateFor is how long a request to the cloud may be on its way. A rental for which the cloud
-// has no room, but that was sent before without an answer, may yet be carried out once there
-// is room: it is not sent again, and stays known for as long as that.
+// maxCloudRequestDelay is how long a cloud request may be in transit. If the cloud refuses a
+// repeated rental for lack of capacity, the earlier copy may still be carried out once there is
+// capacity. The rental is then not sent again, and its intent is retained for this time.
 const maxCloudRequestDelay = 600 * clock.Second
 
-// mostReturned is how many machines one call returns.
+// maxReleaseBatch is the maximum number of machines that one cloud request releases.
 const maxReleaseBatch = 100
 
-// nextReturn takes the next machines to return off the queue, as many as a call and an
-// intent's record take.
+// nextReleaseBatch takes the next machines off the release queue, as many as fit into one request
+// and one intent record.
 func (c *Core) nextReleaseBatch() releaseBatch {
 	count := min(len(c.releaseQueue), maxReleaseBatch)
 	limit := c.stateLimits().ValueBytes() - 64
@@ -105,13 +108,13 @@
 	return batch
 }
 
-// resumeIntents takes up what earlier leaders had begun.
+// resumeIntents resumes the rentals and releases that earlier leaders began.
 func (c *Core) resumeIntents(items []wire.Item) {
 	for i := range items {
 		var rec intentRecord
 		name := strings.TrimPrefix(items[i].Key, intentPrefix)
 		if err := msgpack.Unmarshal(items[i].Value, &rec); err != nil {
-			slog.Error("intent cannot be read", "intent", name, "err", err)
+			slog.Error("cannot decode intent", "intent", name, "err", err)
 			continue
 		}
 		c.openIntents[name] = true
@@ -124,7 +127,7 @@
 			}
 			c.closeIntentAfter(name, c.listLag())
 		case len(rec.Machines) > 0:
-			slog.Info("return taken up", "intent", name, "machines", len(rec.Machines))
+			slog.Info("resuming release", "intent", name, "machines", len(rec.Machines))
 			for _, id := range rec.Machines {
 				if m := c.machines[id]; m != nil {
 					m.Releasing = true
@@ -134,7 +137,7 @@
 			}
 			c.pendingReleases = append(c.pendingReleases, releaseBatch{name, rec.Machines})
 		case rec.Rent != nil:
-			slog.Info("rental taken up", "intent", name, "machines", rec.Rent.Count)
+			slog.Info("resuming rental", "intent", name, "machines", rec.Rent.Count)
 			c.pendingRentals[name] = fleet.Rental{Kind: kindOf(rec.Rent), Count: rec.Rent.Count}
 			c.sendRental(rec.Rent, c.toSteadyTime(rec.WrittenAt), true)
 		default:
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -16,44 +16,45 @@
 	"lilacthread/wire"
 )
 
-// From LevelGroups on, machines that came together share a record, g/TERM-NUMBER: what
-// they are is the same, and which images each has takes a few
-// bytes. A fleet of 1,800 machines then costs some forty changes as it is rented, not as
-// many as it has machines, which at 50 changes a second kept launches and submissions
-// waiting for half a minute. A machine that has left is left out when its group is next
-// written; a group without machines is deleted.
+// From LevelGroups on, machines that were rented together share a record, g/TERM-NUMBER. They
+// have the type and zone in common, and the images of each take only a few bytes. Renting 1,800
+// machines then takes about forty writes. With a record for each machine, at 50 writes a second,
+// it delayed launches and submissions by half a minute. A removed machine is dropped from its
+// group when the group is next written, and a group without machines is deleted.
 const groupPrefix = "g/"
 
+// groupRecord is the stored form of a machineGroup.
 type groupRecord struct {
 	Type             string    `msgpack:"type"`
 	Zone             string    `msgpack:"zone"`
 	Spot             bool      `msgpack:"spot"`
-	FirstRequestedAt int64     `msgpack:"at"` // time of day of the first rental
+	FirstRequestedAt int64     `msgpack:"at"` // wall-clock time of the first rental request, in microseconds
 	Machines         []string  `msgpack:"m"`
-	DelaySeconds     []int64   `msgpack:"a,omitempty"` // how much later each was rented, in seconds
+	DelaySeconds     []int64   `msgpack:"a,omitempty"` // time from the first rental request to that of each machine, in seconds
 	Images           []string  `msgpack:"i,omitempty"`
 	ImageGB          []float64 `msgpack:"z,omitempty"`
-	ImagesByMachine  [][]int   `msgpack:"h,omitempty"` // of Images, by machine
+	ImagesByMachine  [][]int   `msgpack:"h,omitempty"` // for each machine, its images as indexes into Images
 }
 
-// group is the machines of one record.
+// machineGroup holds the machines that share one record.
 type machineGroup struct {
 	key     string
 	members []*sched.Machine
 }
 
-// groupSize is how many machines surely fit in one value of so many bytes.
+// maxGroupSize returns how many machines are certain to fit into a record of limitBytes.
 func maxGroupSize(limitBytes int) int { return max((limitBytes-256)/machineRecordBytes, 1) }
 
-// machineSize is more than a machine takes in its group's record without its images.
+// machineRecordBytes is an upper bound on the size of a machine in its group's record, without
+// its images.
 const machineRecordBytes = 32
 
-// form puts machines of one kind that have no group into groups of their own, and queues
-// those to be written.
+// formGroups assigns machines of one kind that have no group to new groups and queues the groups
+// to be written.
 func (c *Core) formGroups(machines []*sched.Machine) {
 	for chunk := range slices.Chunk(machines, maxGroupSize(c.stateLimits().ValueBytes())) {
-		// A name of its own: a machine that was returned may appear once more, and the group
-		// that was named after it would be written over. Found by chaos with late copies.
+		// The key must not derive from a machine ID: a released machine may appear again through a
+		// delayed report, and a second group with the same key would overwrite the first.
 		c.groupCount++
 		group := &machineGroup{key: groupPrefix + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.groupCount, 10), members: slices.Clone(chunk)}
 		for _, m := range chunk {
@@ -63,7 +64,7 @@
 	}
 }
 
-// saveNew queues the records of machines of one kind that have just been entered.
+// saveNewMachines queues the records of newly registered machines of one kind.
 func (c *Core) saveNewMachines(machines []*sched.Machine) {
 	if c.format.level >= LevelGroups {
 		c.formGroups(machines)
@@ -74,8 +75,9 @@
 	}
 }
 
-// saveInGroup queues the record that holds a machine. Its own record of a lower level, if
-// there is one, goes when its group is written and its jobs' records hold its places.
+// saveMachineInGroup queues the record of the group that contains a machine. A record of the
+// machine's own, written at a lower format level, is deleted once the group is written and the
+// job records hold its placements.
 func (c *Core) saveMachineInGroup(m *sched.Machine, class int, done func()) {
 	if c.machineGroups[m.ID] == nil && c.machines[m.ID] == m {
 		c.formGroups([]*sched.Machine{m})
@@ -96,7 +98,7 @@
 	}, c.whileInTerm(func() { m.MayHaveOwnRecord = false }))
 }
 
-// saveGroup queues a group's record.
+// saveGroup queues the record of a group, or its deletion if the group is empty.
 func (c *Core) saveGroup(group *machineGroup, class int, done func()) {
 	var writtenMachines []*sched.Machine
 	c.committer.add(group.key, class, func() ([]wire.Change, bool) {
@@ -116,8 +118,9 @@
 	}))
 }
 
-// renderGroup renders a record in at most limit bytes. Where the images don't fit, those
-// that the fewest machines have are left out: they are fetched again where not known.
+// renderGroup encodes a group's record in at most limitBytes. If the images don't fit, those
+// cached on the fewest machines are left out; images that a new leader does not know of are
+// fetched again.
 func (c *Core) renderGroup(members []*sched.Machine, limitBytes int) []byte {
 	first := members[0]
 	for _, m := range members {
@@ -167,11 +170,11 @@
 	}
 }
 
-// restoreGroup enters the machines of a record.
+// restoreGroup registers the machines of a stored group.
 func (c *Core) restoreGroup(item *wire.Item) {
 	var rec groupRecord
 	if err := msgpack.Unmarshal(item.Value, &rec); err != nil {
-		slog.Error("record of machines cannot be read", "key", item.Key, "err", err)
+		slog.Error("cannot decode machine group", "key", item.Key, "err", err)
 		return
 	}
 	group := &machineGroup{key: item.Key}
@@ -201,7 +204,7 @@
 	}
 }
 
-// groupAll brings machines that are in no group together, by kind.
+// groupMachines assigns machines without a group to new groups, by kind.
 func (c *Core) groupMachines(machines []*sched.Machine) {
 	kinds := map[fleet.MachineKind][]*sched.Machine{}
 	var kindOrder []fleet.MachineKind
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -10,9 +10,10 @@
 	"lilacthread/wire"
 )
 
-// TestGroups: at level 3 the machines of records of any level share one, within the value's
-// limit; a machine's own record goes only when its group is written and the jobs hold its
-// places, and the next leader finds the same machines, places and images.
+// TestGroups checks the migration of machine records to groups: the groups stay within the value
+// size limit, a machine's own record is deleted only after its group is written and the job
+// records hold its placements, and the next leader restores the same machines, placements and
+// images.
 func TestGroups(t *testing.T) {
 	records := productionRecords(t)
 	c := newLoadingCore(LevelPlacements, config.StateLimits{ValueKB: 4, TxnOps: 32, WriteRPS: 100})
@@ -33,13 +34,13 @@
 		return n
 	}
 	if n := deletions(); n != 0 {
-		t.Errorf("%d machines' own records go before their groups are written", n)
+		t.Errorf("%d machine records are deleted before their groups are written", n)
 	}
 	for _, m := range c.machines {
 		m.InGroupRecord = true
 	}
 	if n := deletions(); n != 0 {
-		t.Errorf("%d machines' own records go before the jobs hold their places", n)
+		t.Errorf("%d machine records are deleted before the job records hold the placements", n)
 	}
 	for _, m := range c.machines {
 		for _, p := range m.Placements {
@@ -47,7 +48,7 @@
 		}
 	}
 	if n := deletions(); n != 2 {
-		t.Errorf("%d machines' own records go when all is written, want 2", n)
+		t.Errorf("%d machine records are deleted once groups and job records are written, want 2", n)
 	}
 	for key, value := range renderPending(c, t) {
 		records[key] = value
@@ -65,12 +66,12 @@
 	loadRecords(t, restored, records)
 	checkRestored(t, restored)
 	if got, want := restored.machines["m-000001"], c.machines["m-000001"]; got.RequestedAt/1e6 != want.RequestedAt/1e6 || got.Spot != want.Spot || got.Zone != want.Zone {
-		t.Errorf("%+v, was %+v", got, want)
+		t.Errorf("restored machine m-000001 is %+v, want %+v", got, want)
 	}
 }
 
-// TestGroupFits: a group of any size is written within the limit; images that find no room
-// are left out, those of the fewest machines first.
+// TestGroupFits checks that groups are written within the value size limit, and that images are
+// left out of a full record starting with those cached on the fewest machines.
 func TestGroupFits(t *testing.T) {
 	c := newLoadingCore(LevelGroups, config.StateLimits{ValueKB: 2, TxnOps: 8, WriteRPS: 42})
 	c.catalog = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, CacheGB: 1000}}
@@ -85,7 +86,7 @@
 	groups := renderPending(c, t)
 	for key, value := range groups {
 		if n := wire.JSONSize(value); n > 2048 {
-			t.Errorf("%s takes %d bytes", key, n)
+			t.Errorf("record %s takes %d bytes, limit 2048", key, n)
 		}
 	}
 	restored := newLoadingCore(LevelGroups, c.cfg.Params.State)
@@ -94,11 +95,11 @@
 		restored.restoreGroup(&wire.Item{Key: key, Value: value})
 	}
 	if len(restored.machines) != 130 || len(groups) > 4 {
-		t.Fatalf("%d machines of %d groups", len(restored.machines), len(groups))
+		t.Fatalf("restored %d machines from %d groups, want 130 machines from at most 4 groups", len(restored.machines), len(groups))
 	}
 	for id, m := range restored.machines {
 		if _, ok := m.Images["everywhere"]; !ok || !m.Recorded {
-			t.Errorf("%s: %v", id, m.Images)
+			t.Errorf("machine %s: not recorded, or the image \"everywhere\" is missing from %v", id, m.Images)
 		}
 	}
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -13,12 +13,13 @@
 	"lilacthread/wire/fb"
 )
 
-// Where many workers report, the leader's connections and the processor time that they take
-// are what ends first, while the other controllers idle. So those carry the connections:
-// the leader names them, each worker reports to the one that its name falls to, and its
-// report goes on to the leader in a batch. The leader decides and answers every report.
+// With many workers, the leader's connections and CPU time are exhausted first, while the other
+// controllers are idle. The other controllers therefore hold the workers' connections. The leader
+// chooses the relaying controllers, each worker reports to the one that its name hashes to, and
+// that controller forwards the reports to the leader in batches. The leader decides and answers
+// every report.
 
-// relayHost is the controller as package carrier sees it.
+// relayHost gives package carrier access to the controller.
 type relayHost struct{ c *Core }
 
 func (h relayHost) Now() Micros                       { return h.c.env.Now() }
@@ -29,12 +30,13 @@
 	h.c.env.Call(node, m, timeout, done)
 }
 
-func (h relayHost) SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
-	h.c.env.SendOrders(addr, o, done)
+func (h relayHost) SendOrders(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
+	h.c.env.SendOrders(addr, orders, done)
 }
 
-// Leader is the peer that says it leads, in the highest term; without one, whom the state
-// service named last. A node that the state service refuses goes on relaying so.
+// Leader returns the peer that claims to lead in the highest term, or, if there is none, the last
+// leader that the state service named. This way, a node that can't reach the state service keeps
+// relaying.
 func (h relayHost) Leader() string {
 	best, term := "", uint64(0)
 	for name, p := range h.c.peers {
@@ -48,7 +50,7 @@
 	return best
 }
 
-// Reaches reports whether another controller was heard of late and relays.
+// Reachable reports whether a controller sent a message recently and supports relaying.
 func (h relayHost) Reachable(node string) bool {
 	if node == h.c.cfg.Name {
 		return true
@@ -57,10 +59,10 @@
 	return p != nil && p.seenRecently(h.c.env.Now()) && h.c.format.peerMaxLevels[node] >= LevelRelay
 }
 
-// relays reports whether workers' reports are relayed now.
+// relaying reports whether workers' reports are relayed at present.
 func (c *Core) relaying() bool { return c.format.level >= LevelRelay && c.relay.Active() }
 
-// takeCarried handles a report while controllers relay.
+// handleReportWithRelays handles a worker's report while relaying is on.
 func (c *Core) handleReportWithRelays(report *wire.Report, reply func(ReportAnswer)) {
 	if target := c.relay.RedirectTarget(report); target != "" {
 		reply(ReportAnswer{Code: 421, Leader: target})
@@ -76,7 +78,7 @@
 	}
 }
 
-// decideDirect answers a worker that reports to the leader itself.
+// processDirectReport answers a worker that reports directly to the leader.
 func (c *Core) processDirectReport(report *wire.Report) ReportAnswer {
 	answer := c.ProcessReport(report)
 	if answer.Code == 200 && c.router != nil {
@@ -85,7 +87,7 @@
 	return answer
 }
 
-// onRelayed answers a batch of reports that a peer relays.
+// handleRelayedReports answers a batch of reports from a relaying peer.
 func (c *Core) handleRelayedReports(m *peer.Msg, reply func(*peer.Msg)) {
 	answer := func() {
 		out := c.newMessage(fb.KindAnswer)
@@ -104,16 +106,17 @@
 	answer()
 }
 
-// onResults takes in what became of orders that a peer sent for this leader.
+// handleOrderResults processes the results of command batches that a peer sent for this leader.
 func (c *Core) handleOrderResults(m *peer.Msg) {
 	if c.elector.Leading() && c.router != nil {
 		c.router.HandleResults(m.OrderResults)
 	}
 }
 
-// relaysNow is what a leader tells of who relays; nil from any other node. One past its
-// deadline tells it as well, as it goes on renewing leases: in an outage of the state service
-// all workers would otherwise come to it at once. A newer leader's table replaces it.
+// currentRelays returns the leader's table of relaying controllers, and nil on any other node. A
+// leader past its deadline announces the table as well, because it still renews leases; during
+// an outage of the state service, all workers would otherwise connect to it at once. The table
+// of a newer leader replaces it.
 func (c *Core) currentRelays() *relay.Table {
 	if !c.elector.Leading() || !c.loaded || c.router == nil {
 		return nil
@@ -121,14 +124,14 @@
 	return c.router.Table()
 }
 
-// putRelays takes over who relays.
+// applyRelays applies the leader's table of relaying controllers on a node that does not lead.
 func (c *Core) applyRelays(table *relay.Table) {
 	if table != nil && !c.elector.Leading() && c.relay.ApplyTable(*table) {
 		slog.Info("relays changed", "members", table.Members, "term", table.Term, "number", table.Number)
 	}
 }
 
-// tendRelays has the leader decide who relays.
+// maintainRelays lets the leader choose the relaying controllers.
 func (c *Core) maintainRelays() {
 	var candidates []relay.Candidate
 	workers := len(c.machines)
@@ -147,7 +150,7 @@
 	c.relay.ApplyTable(*c.router.Table())
 }
 
-// Relays tells who carries how many workers, as this node sees it.
+// Relays returns this node's view of the relaying controllers and the number of workers on each.
 func (c *Core) Relays() *wire.RelayStatus {
 	table, counters := c.relay.Table(), c.relay.Counters
 	status := &wire.RelayStatus{Node: c.cfg.Name, IsLeader: c.Serving(), Active: c.relaying(), Term: table.Term, Number: table.Number, Members: table.Members,
