--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -246,7 +246,7 @@
 // moment; batch tasks finish where they are. Both rates grow with the fleet: with a fixed rate,
 // hundreds of CPUs stayed idle for minutes when hundreds of machines had to be emptied.
 func (c *Core) consolidate(input *fleet.Input, now Micros) {
-	waiting := len(c.unplaced) > 0
+	waiting := len(c.unplacedTasks) > 0
 	retiring := 0
 	for _, m := range c.sortedMachines {
 		if m.Retiring && waiting {
@@ -298,7 +298,7 @@
 // worthKeeping reports whether an idle machine should be kept: an unplaced task could use it, or
 // the spare CPUs for services would fall below the headroom without it.
 func (c *Core) worthKeeping(input *fleet.Input, m *sched.Machine, spareCPUs float64) bool {
-	for _, u := range c.unplaced {
+	for _, u := range c.unplacedTasks {
 		if u.Job.Active() && u.Job.Allows(m.Type, m.Zone, m.Spot) {
 			return true
 		}
@@ -422,7 +422,7 @@
 // fleetInput collects the state from which the fleet package plans.
 func (c *Core) fleetInput(now Micros) *fleet.Input {
 	input := &fleet.Input{Now: now, Catalog: c.catalog, RefusedUntil: c.refusedUntil, Machines: c.sortedMachines,
-		Unplaced: c.unplaced, SpotWait: c.policy.SpotWaitThreshold, FetchRates: c.fetchRates, MaxReportAge: c.maxReportAge()}
+		Unplaced: c.unplacedTasks, SpotWait: c.policy.SpotWaitThreshold, FetchRates: c.fetchRates, MaxReportAge: c.maxReportAge()}
 	for _, requestID := range slices.Sorted(maps.Keys(c.pendingRentals)) {
 		input.PendingRentals = append(input.PendingRentals, c.pendingRentals[requestID])
 	}
@@ -626,7 +626,7 @@
 		}
 	}
 	waiting := 0
-	for _, u := range c.unplaced {
+	for _, u := range c.unplacedTasks {
 		waiting += u.Count
 	}
 	input := c.fleetInput(c.env.Now())
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -140,7 +140,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.peers)) {
 		if p := c.peers[name]; c.format.peerMaxLevels[name] >= LevelRelay {
-			candidates = append(candidates, relay.Candidate{Name: name, LastSeen: p.lastMessageAt, ConnectionUsage: p.sockets})
+			candidates = append(candidates, relay.Candidate{Name: name, LastSeen: p.lastMessageAt, ConnectionUsage: p.connectionUsage})
 		}
 	}
 	if c.router.UpdateMembership(c.cfg.Name, workers, c.policy.Relay.MinWorkers, candidates) {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -78,7 +78,7 @@
 		c.lateRenewals++
 	}
 	// Only a new report shows that workers reach this node; a delayed copy does not.
-	c.lastReport, m.UnansweredProbes = now, 0
+	c.lastReportAt, m.UnansweredProbes = now, 0
 	answer := ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: c.term}}
 	if report.Session == m.Session && report.Seq < m.LastCommandSeq {
 		// The worker wrote this report before it executed a command batch whose answer is already
