--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -16,57 +16,58 @@
 	"lilacthread/wire"
 )
 
-// From LevelGroups on, machines that came together share a record, g/TERM-NUMBER: what
-// they are is the same, and which images each has takes a few
-// bytes. A fleet of 1,800 machines then costs some forty changes as it is rented, not as
-// many as it has machines, which at 50 changes a second kept launches and submissions
-// waiting for half a minute. A machine that has left is left out when its group is next
-// written; a group without machines is deleted.
+// From LevelGroups on, machines that were rented together share a record, g/TERM-NUMBER. They
+// have the type and zone in common, and the images of each take only a few bytes. Renting 1,800
+// machines then takes about forty writes. With a record for each machine, at 50 writes a second,
+// it delayed launches and submissions by half a minute. A removed machine is dropped from its
+// group when the group is next written, and a group without machines is deleted.
 const groupPrefix = "g/"
 
+// groupRecord is the stored form of a machineGroup.
 type groupRecord struct {
-	Type     string    `msgpack:"type"`
-	Zone     string    `msgpack:"zone"`
-	Spot     bool      `msgpack:"spot"`
-	At       int64     `msgpack:"at"` // time of day of the first rental
-	Machines []string  `msgpack:"m"`
-	After    []int64   `msgpack:"a,omitempty"` // how much later each was rented, in seconds
-	Images   []string  `msgpack:"i,omitempty"`
-	Sizes    []float64 `msgpack:"z,omitempty"`
-	Has      [][]int   `msgpack:"h,omitempty"` // of Images, by machine
+	Type             string    `msgpack:"type"`
+	Zone             string    `msgpack:"zone"`
+	Spot             bool      `msgpack:"spot"`
+	FirstRequestedAt int64     `msgpack:"at"` // wall-clock time of the first rental request, in microseconds
+	Machines         []string  `msgpack:"m"`
+	DelaySeconds     []int64   `msgpack:"a,omitempty"` // time from the first rental request to that of each machine, in seconds
+	Images           []string  `msgpack:"i,omitempty"`
+	ImageGB          []float64 `msgpack:"z,omitempty"`
+	ImagesByMachine  [][]int   `msgpack:"h,omitempty"` // for each machine, its images as indexes into Images
 }
 
-// group is the machines of one record.
+// machineGroup holds the machines that share one record.
 type machineGroup struct {
 	key     string
 	members []*sched.Machine
 }
 
-// groupSize is how many machines surely fit in one value of so many bytes.
-func groupSize(limit int) int { return max((limit-256)/machineSize, 1) }
+// maxGroupSize returns how many machines are certain to fit into a record of limitBytes.
+func maxGroupSize(limitBytes int) int { return max((limitBytes-256)/machineRecordBytes, 1) }
 
-// machineSize is more than a machine takes in its group's record without its images.
-const machineSize = 32
+// machineRecordBytes is an upper bound on the size of a machine in its group's record, without
+// its images.
+const machineRecordBytes = 32
 
-// form puts machines of one kind that have no group into groups of their own, and queues
-// those to be written.
-func (c *Core) form(machines []*sched.Machine) {
-	for part := range slices.Chunk(machines, groupSize(c.stateLimits().ValueBytes())) {
-		// A name of its own: a machine that was returned may appear once more, and the group
-		// that was named after it would be written over. Found by chaos with late copies.
+// formGroups assigns machines of one kind that have no group to new groups and queues the groups
+// to be written.
+func (c *Core) formGroups(machines []*sched.Machine) {
+	for chunk := range slices.Chunk(machines, maxGroupSize(c.stateLimits().ValueBytes())) {
+		// The key must not derive from a machine ID: a released machine may appear again through a
+		// delayed report, and a second group with the same key would overwrite the first.
 		c.groupCount++
-		g := &machineGroup{key: groupPrefix + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.groupCount, 10), members: slices.Clone(part)}
-		for _, m := range part {
-			c.machineGroups[m.ID] = g
+		group := &machineGroup{key: groupPrefix + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.groupCount, 10), members: slices.Clone(chunk)}
+		for _, m := range chunk {
+			c.machineGroups[m.ID] = group
 		}
-		c.saveGroup(g, classBackground, nil)
+		c.saveGroup(group, classBackground, nil)
 	}
 }
 
-// saveNew queues the records of machines of one kind that have just been entered.
+// saveNewMachines queues the records of newly registered machines of one kind.
 func (c *Core) saveNewMachines(machines []*sched.Machine) {
 	if c.format.level >= LevelGroups {
-		c.form(machines)
+		c.formGroups(machines)
 		return
 	}
 	for _, m := range machines {
@@ -74,11 +75,12 @@
 	}
 }
 
-// saveInGroup queues the record that holds a machine. Its own record of a lower level, if
-// there is one, goes when its group is written and its jobs' records hold its places.
+// saveMachineInGroup queues the record of the group that contains a machine. A record of the
+// machine's own, written at a lower format level, is deleted once the group is written and the
+// job records hold its placements.
 func (c *Core) saveMachineInGroup(m *sched.Machine, class int, done func()) {
 	if c.machineGroups[m.ID] == nil && c.machines[m.ID] == m {
-		c.form([]*sched.Machine{m})
+		c.formGroups([]*sched.Machine{m})
 	}
 	if g := c.machineGroups[m.ID]; g != nil {
 		c.saveGroup(g, class, done)
@@ -88,26 +90,26 @@
 	}
 	key := machinePrefix + m.ID
 	c.committer.add(key, classBackground, func() ([]wire.Change, bool) {
-		here := c.machines[m.ID] == m
-		if here && (!m.InGroupRecord || slices.ContainsFunc(sortedPlacements(m), func(p *sched.Placement) bool { return !p.InJobRecord })) {
+		present := c.machines[m.ID] == m
+		if present && (!m.InGroupRecord || slices.ContainsFunc(sortedPlacements(m), func(p *sched.Placement) bool { return !p.InJobRecord })) {
 			return nil, false
 		}
 		return []wire.Change{{DeleteKey: key}}, true
 	}, c.whileInTerm(func() { m.MayHaveOwnRecord = false }))
 }
 
-// saveGroup queues a group's record.
-func (c *Core) saveGroup(g *machineGroup, class int, done func()) {
-	var written []*sched.Machine
-	c.committer.add(g.key, class, func() ([]wire.Change, bool) {
-		g.members = slices.DeleteFunc(g.members, func(m *sched.Machine) bool { return c.machines[m.ID] != m })
-		written = slices.Clone(g.members)
-		if len(g.members) == 0 {
-			return []wire.Change{{DeleteKey: g.key}}, true
-		}
-		return []wire.Change{{PutKey: g.key, Value: c.renderGroup(g.members, c.stateLimits().ValueBytes())}}, true
+// saveGroup queues the record of a group, or its deletion if the group is empty.
+func (c *Core) saveGroup(group *machineGroup, class int, done func()) {
+	var writtenMachines []*sched.Machine
+	c.committer.add(group.key, class, func() ([]wire.Change, bool) {
+		group.members = slices.DeleteFunc(group.members, func(m *sched.Machine) bool { return c.machines[m.ID] != m })
+		writtenMachines = slices.Clone(group.members)
+		if len(group.members) == 0 {
+			return []wire.Change{{DeleteKey: group.key}}, true
+		}
+		return []wire.Change{{PutKey: group.key, Value: c.renderGroup(group.members, c.stateLimits().ValueBytes())}}, true
 	}, c.whileInTerm(func() {
-		for _, m := range written {
+		for _, m := range writtenMachines {
 			m.Recorded, m.InGroupRecord = true, true
 		}
 		if done != nil {
@@ -116,104 +118,107 @@
 	}))
 }
 
-// renderGroup renders a record in at most limit bytes. Where the images don't fit, those
-// that the fewest machines have are left out: they are fetched again where not known.
-func (c *Core) renderGroup(members []*sched.Machine, limit int) []byte {
+// renderGroup encodes a group's record in at most limitBytes. If the images don't fit, those
+// cached on the fewest machines are left out; images that a new leader does not know of are
+// fetched again.
+func (c *Core) renderGroup(members []*sched.Machine, limitBytes int) []byte {
 	first := members[0]
 	for _, m := range members {
 		if m.RequestedAt < first.RequestedAt {
 			first = m
 		}
 	}
-	rec := groupRecord{Type: first.Type.Name, Zone: first.Zone, Spot: first.Spot, At: c.toWallTime(first.RequestedAt)}
-	count, size := map[string]int{}, map[string]float64{}
+	rec := groupRecord{Type: first.Type.Name, Zone: first.Zone, Spot: first.Spot, FirstRequestedAt: c.toWallTime(first.RequestedAt)}
+	machineCount, sizeGB := map[string]int{}, map[string]float64{}
 	for _, m := range members {
 		rec.Machines = append(rec.Machines, m.ID)
 		for image := range m.Images {
-			count[image]++
-			size[image] = m.ImageSizes[image]
+			machineCount[image]++
+			sizeGB[image] = m.ImageSizes[image]
 		}
 		if m.RequestedAt != first.RequestedAt {
-			rec.After = make([]int64, len(members))
+			rec.DelaySeconds = make([]int64, len(members))
 		}
 	}
-	for i := range rec.After {
-		rec.After[i] = int64((members[i].RequestedAt - first.RequestedAt).Seconds())
+	for i := range rec.DelaySeconds {
+		rec.DelaySeconds[i] = int64((members[i].RequestedAt - first.RequestedAt).Seconds())
 	}
-	images := slices.SortedFunc(maps.Keys(count), func(a, b string) int { return cmp.Or(cmp.Compare(count[b], count[a]), strings.Compare(a, b)) })
+	images := slices.SortedFunc(maps.Keys(machineCount), func(a, b string) int {
+		return cmp.Or(cmp.Compare(machineCount[b], machineCount[a]), strings.Compare(a, b))
+	})
 	for {
-		rec.Images, rec.Sizes, rec.Has = images, nil, nil
+		rec.Images, rec.ImageGB, rec.ImagesByMachine = images, nil, nil
 		for _, image := range images {
-			rec.Sizes = append(rec.Sizes, size[image])
+			rec.ImageGB = append(rec.ImageGB, sizeGB[image])
 		}
 		for _, m := range members {
-			has := []int{}
+			held := []int{}
 			for i, image := range images {
 				if _, ok := m.Images[image]; ok {
-					has = append(has, i)
+					held = append(held, i)
 				}
 			}
 			if len(images) > 0 {
-				rec.Has = append(rec.Has, has)
+				rec.ImagesByMachine = append(rec.ImagesByMachine, held)
 			}
 		}
 		value := wire.Encode(&rec)
-		if len(images) == 0 || wire.JSONSize(value) <= limit {
+		if len(images) == 0 || wire.JSONSize(value) <= limitBytes {
 			return value
 		}
 		images = images[:len(images)/2]
 	}
 }
 
-// restoreGroup enters the machines of a record.
-func (c *Core) restoreGroup(it *wire.Item) {
+// restoreGroup registers the machines of a stored group.
+func (c *Core) restoreGroup(item *wire.Item) {
 	var rec groupRecord
-	if err := msgpack.Unmarshal(it.Value, &rec); err != nil {
-		slog.Error("record of machines cannot be read", "key", it.Key, "err", err)
+	if err := msgpack.Unmarshal(item.Value, &rec); err != nil {
+		slog.Error("cannot decode machine group", "key", item.Key, "err", err)
 		return
 	}
-	g := &machineGroup{key: it.Key}
-	first := Micros(rec.At) - c.env.Wall() + c.env.Now()
+	group := &machineGroup{key: item.Key}
+	firstRequestedAt := Micros(rec.FirstRequestedAt) - c.env.Wall() + c.env.Now()
 	for i, id := range rec.Machines {
-		since := first
-		if i < len(rec.After) {
-			since += Micros(rec.After[i]) * clock.Second
+		requestedAt := firstRequestedAt
+		if i < len(rec.DelaySeconds) {
+			requestedAt += Micros(rec.DelaySeconds[i]) * clock.Second
 		}
 		m := c.machines[id]
 		if m == nil {
-			m = c.addMachine(id, "", rec.Type, rec.Zone, rec.Spot, since)
+			m = c.addMachine(id, "", rec.Type, rec.Zone, rec.Spot, requestedAt)
 		}
 		if m == nil {
 			continue
 		}
-		if i < len(rec.Has) {
-			for _, k := range rec.Has[i] {
-				if k >= 0 && k < len(rec.Images) && k < len(rec.Sizes) {
-					m.TouchImage(rec.Images[k], rec.Sizes[k], c.env.Now())
+		if i < len(rec.ImagesByMachine) {
+			for _, imageIndex := range rec.ImagesByMachine[i] {
+				if imageIndex >= 0 && imageIndex < len(rec.Images) && imageIndex < len(rec.ImageGB) {
+					m.TouchImage(rec.Images[imageIndex], rec.ImageGB[imageIndex], c.env.Now())
 				}
 			}
 		}
 		m.Recorded, m.InGroupRecord = true, true
-		g.members = append(g.members, m)
-		c.machineGroups[id] = g
+		group.members = append(group.members, m)
+		c.machineGroups[id] = group
 	}
 }
 
-// groupAll brings machines that are in no group together, by kind.
+// groupMachines assigns machines without a group to new groups, by kind.
 func (c *Core) groupMachines(machines []*sched.Machine) {
 	kinds := map[fleet.MachineKind][]*sched.Machine{}
-	var order []fleet.MachineKind
+	var kindOrder []fleet.MachineKind
 	for _, m := range machines {
 		if c.machineGroups[m.ID] != nil {
 			continue
 		}
-		k := fleet.MachineKind{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}
-		if kinds[k] == nil {
-			order = append(order, k)
+		kind := fleet.MachineKind{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}
+		if kinds[kind] == nil {
+			kindOrder = append(kindOrder, kind)
 		}
-		kinds[k] = append(kinds[k], m)
+		kinds[kind] = append(kinds[kind], m)
 	}
-	for _, k := range order {
-		c.saveNewMachines(kinds[k])
+	for _, kind := range kindOrder {
+		c.saveNewMachines(kinds[kind])
 	}
 }
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -10,22 +10,23 @@
 	"lilacthread/wire"
 )
 
-// TestGroups: at level 3 the machines of records of any level share one, within the value's
-// limit; a machine's own record goes only when its group is written and the jobs hold its
-// places, and the next leader finds the same machines, places and images.
+// TestGroups checks the migration of machine records to groups: the groups stay within the value
+// size limit, a machine's own record is deleted only after its group is written and the job
+// records hold its placements, and the next leader restores the same machines, placements and
+// images.
 func TestGroups(t *testing.T) {
 	records := productionRecords(t)
 	c := newLoadingCore(LevelPlacements, config.StateLimits{ValueKB: 4, TxnOps: 32, WriteRPS: 100})
 	loadRecords(t, c, records)
 	c.format.level = LevelGroups
 	c.migrateRecords()
-	own := func(key string) bool { return strings.HasPrefix(key, machinePrefix) }
+	isMachineKey := func(key string) bool { return strings.HasPrefix(key, machinePrefix) }
 	deletions := func() int {
 		n := 0
 		for _, r := range c.committer.pending {
 			changes, ok := r.render()
 			for _, ch := range changes {
-				if ok && own(ch.DeleteKey) {
+				if ok && isMachineKey(ch.DeleteKey) {
 					n++
 				}
 			}
@@ -33,13 +34,13 @@
 		return n
 	}
 	if n := deletions(); n != 0 {
-		t.Errorf("%d machines' own records go before their groups are written", n)
+		t.Errorf("%d machine records are deleted before their groups are written", n)
 	}
 	for _, m := range c.machines {
 		m.InGroupRecord = true
 	}
 	if n := deletions(); n != 0 {
-		t.Errorf("%d machines' own records go before the jobs hold their places", n)
+		t.Errorf("%d machine records are deleted before the job records hold the placements", n)
 	}
 	for _, m := range c.machines {
 		for _, p := range m.Placements {
@@ -47,30 +48,30 @@
 		}
 	}
 	if n := deletions(); n != 2 {
-		t.Errorf("%d machines' own records go when all is written, want 2", n)
+		t.Errorf("%d machine records are deleted once groups and job records are written, want 2", n)
 	}
 	for key, value := range renderPending(c, t) {
 		records[key] = value
 	}
-	again := newLoadingCore(LevelGroups, c.cfg.Params.State)
+	restored := newLoadingCore(LevelGroups, c.cfg.Params.State)
 	for key, value := range records {
-		if own(key) {
+		if isMachineKey(key) {
 			delete(records, key)
 		}
 		if strings.HasPrefix(key, groupPrefix) {
-			again.setCatalog(readCatalog([]wire.Item{{Key: catalogKey, Value: records[catalogKey]}}))
-			again.restoreGroup(&wire.Item{Key: key, Value: value})
+			restored.setCatalog(readCatalog([]wire.Item{{Key: catalogKey, Value: records[catalogKey]}}))
+			restored.restoreGroup(&wire.Item{Key: key, Value: value})
 		}
 	}
-	loadRecords(t, again, records)
-	checkRestored(t, again)
-	if a, b := again.machines["m-000001"], c.machines["m-000001"]; a.RequestedAt/1e6 != b.RequestedAt/1e6 || a.Spot != b.Spot || a.Zone != b.Zone {
-		t.Errorf("%+v, was %+v", a, b)
+	loadRecords(t, restored, records)
+	checkRestored(t, restored)
+	if got, want := restored.machines["m-000001"], c.machines["m-000001"]; got.RequestedAt/1e6 != want.RequestedAt/1e6 || got.Spot != want.Spot || got.Zone != want.Zone {
+		t.Errorf("restored machine m-000001 is %+v, want %+v", got, want)
 	}
 }
 
-// TestGroupFits: a group of any size is written within the limit; images that find no room
-// are left out, those of the fewest machines first.
+// TestGroupFits checks that groups are written within the value size limit, and that images are
+// left out of a full record starting with those cached on the fewest machines.
 func TestGroupFits(t *testing.T) {
 	c := newLoadingCore(LevelGroups, config.StateLimits{ValueKB: 2, TxnOps: 8, WriteRPS: 42})
 	c.catalog = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, CacheGB: 1000}}
@@ -85,20 +86,20 @@
 	groups := renderPending(c, t)
 	for key, value := range groups {
 		if n := wire.JSONSize(value); n > 2048 {
-			t.Errorf("%s takes %d bytes", key, n)
+			t.Errorf("record %s takes %d bytes, limit 2048", key, n)
 		}
 	}
-	again := newLoadingCore(LevelGroups, c.cfg.Params.State)
-	again.catalog = c.catalog
+	restored := newLoadingCore(LevelGroups, c.cfg.Params.State)
+	restored.catalog = c.catalog
 	for key, value := range groups {
-		again.restoreGroup(&wire.Item{Key: key, Value: value})
+		restored.restoreGroup(&wire.Item{Key: key, Value: value})
 	}
-	if len(again.machines) != 130 || len(groups) > 4 {
-		t.Fatalf("%d machines of %d groups", len(again.machines), len(groups))
+	if len(restored.machines) != 130 || len(groups) > 4 {
+		t.Fatalf("restored %d machines from %d groups, want 130 machines from at most 4 groups", len(restored.machines), len(groups))
 	}
-	for id, m := range again.machines {
+	for id, m := range restored.machines {
 		if _, ok := m.Images["everywhere"]; !ok || !m.Recorded {
-			t.Errorf("%s: %v", id, m.Images)
+			t.Errorf("machine %s: not recorded, or the image \"everywhere\" is missing from %v", id, m.Images)
 		}
 	}
 }
