--- a/internal/admit/account.go
+++ b/internal/admit/account.go
@@ -1,7 +1,8 @@
-// Package admit judges, under overload, whose work is taken in and placed first:
-// what each account may take of the machines and of the state service, the table on
-// which all controllers agree, the queue of submissions and what a refused user is
-// told. It is pure: no I/O and no clock; the caller hands it the time.
+// Package admit decides, under overload, which submissions are accepted and which jobs
+// are placed first. It computes each account's share of the machines and of the state
+// service's write rate, the admission table that all controllers share, the submission
+// queue, and the retry time of a refused submission. It does no I/O and reads no clock:
+// the caller passes the time. It neither places tasks nor writes records.
 package admit
 
 import (
@@ -13,34 +14,35 @@
 	"lilacthread/internal/clock"
 )
 
-// Micros is the project's unit of time.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Account is whose work is counted together: a class of jobs of a team. Classes that
-// no objective names share one account a team, with an empty class, so that users
-// can't make accounts.
+// Account is the unit of accounting: one class of jobs of one team. All classes of a team
+// that no objective names share one account, whose Class is empty, so that users cannot
+// create accounts by inventing class names.
 type Account struct {
 	Team, Class string
 }
 
-// Aim is what the settings say of a class that matters to admission.
+// Objective is the part of a class's service-level objective that admission uses.
 type Objective struct {
 	Class  string
-	Within Micros // of an objective: a start or an end is wanted within this time
+	Within Micros // target time for the start or the end of a job
 }
 
-// AccountIndex numbers the accounts of a deployment. All nodes have the same settings, so
-// all have the same numbers; Digest tells an index made from others apart.
+// AccountIndex numbers the accounts of a deployment. All controllers have the same settings
+// and therefore the same numbers; Digest differs between indexes made from different
+// settings.
 type AccountIndex struct {
 	Accounts        []Account
-	LongestTargets  []Micros // by account: the widest aim of its class, or 0
+	LongestTargets  []Micros // by account: the longest target time of its class, or 0 if it has none
 	Digest          uint32
 	byAccount       map[Account]int
-	defaultAccounts map[string]int // the account of a team's other classes
+	defaultAccounts map[string]int // by team: the account of all classes that no objective names
 }
 
-// NewAccountIndex makes the accounts of the teams, which are not empty, and of the classes
-// that the aims name.
+// NewAccountIndex numbers the accounts of the given teams, whose names must not be empty,
+// and of the classes that the objectives name.
 func NewAccountIndex(teams []string, objectives []Objective) *AccountIndex {
 	b := &AccountIndex{byAccount: map[Account]int{}, defaultAccounts: map[string]int{}}
 	longest := map[string]Micros{}
@@ -68,7 +70,7 @@
 	return b
 }
 
-// Of numbers the account of a job; -1 if the team is unknown.
+// IndexOf returns the account number of a job, or -1 if the team is unknown.
 func (b *AccountIndex) IndexOf(team, class string) int {
 	if i, ok := b.byAccount[Account{team, class}]; ok {
 		return i
@@ -79,5 +81,5 @@
 	return -1
 }
 
-// Len is how many accounts there are.
+// Len returns the number of accounts.
 func (b *AccountIndex) Len() int { return len(b.Accounts) }
--- a/internal/admit/allowance.go
+++ b/internal/admit/allowance.go
@@ -7,45 +7,46 @@
 	"lilacthread/internal/clock"
 )
 
-// Allowance is what a node that takes submissions may spend of the state service's
-// changes, and what it saw of them. Its base is always its own; its part of the pool
-// is its own while its table is valid. Bases and pool together stay within the state
-// service's limit, so a node that is cut off from the leader needs nobody's leave to
-// fall back to its base.
+// Allowance is the rate at which a controller may spend the state service's writes on
+// submissions, together with the arrivals that the controller has seen. The base rate
+// always belongs to the controller; its part of the pool belongs to it while its table is
+// valid. All bases and the pool together stay within the state service's limit, so a
+// controller that is cut off from the leader falls back to its base without asking anyone.
 type Allowance struct {
 	accounts       *AccountIndex
 	limits         Limits
 	table          *Table
-	validUntil     Micros // the table's end on this node's clock
-	arrivals       []arrivalStats
-	refusals       refusalMemory // jobs that were refused, here or at a peer
-	unsentRefusals []Refusal     // refused here since the last notice
-	counts         []Counts
+	validUntil     Micros         // when the table expires, on this controller's clock
+	arrivals       []arrivalStats // by account
+	refusals       refusalMemory  // recently refused jobs, here or at a peer
+	unsentRefusals []Refusal      // refused here since the last notice
+	counts         []Counts       // by account
 }
 
-// arrival smooths what an account's submissions ask for.
+// arrivalStats holds exponentially decayed sums of an account's submissions.
 type arrivalStats struct {
-	rate      float64 // changes a second
-	refused   float64 // changes that will come back
+	rate      float64 // writes per second that submissions ask for
+	refused   float64 // writes of refused submissions that are expected to be retried
 	updatedAt Micros
 }
 
-// Counts is what became of an account's submissions at this node.
+// Counts holds the outcomes of an account's submissions at this controller.
 type Counts struct {
 	Accepted, Refused, Duplicates uint64
 }
 
-// NewAllowance makes the allowance of a node.
+// NewAllowance returns the allowance of a controller that has no table yet.
 func NewAllowance(accounts *AccountIndex, limits Limits) *Allowance {
 	return &Allowance{accounts: accounts, limits: limits, arrivals: make([]arrivalStats, accounts.Len()), counts: make([]Counts, accounts.Len()),
 		refusals: refusalMemory{byHash: map[uint32]*refusalRecord{}}}
 }
 
-// SetLimits follows the state service's limits.
+// SetLimits replaces the limits when those of the state service change.
 func (p *Allowance) SetLimits(l Limits) { p.limits = l }
 
-// Put takes a table over that was asked for at the given time. A table of an older
-// term or number, or made from other settings, changes nothing.
+// ApplyTable adopts a table that was requested at the given time and reports whether it
+// did so. It ignores a table that is not newer than the present one or was made from other
+// settings.
 func (p *Allowance) ApplyTable(t *Table, requestedAt Micros) bool {
 	if t == nil || t.Digest != p.accounts.Digest || len(t.Accounts) != p.accounts.Len() || t.ValidFor <= 0 || t.ValidFor > tableLifetime {
 		return false
@@ -57,7 +58,7 @@
 	return true
 }
 
-// Table is the valid table, or nil.
+// Table returns the current table, or nil if there is none or it has expired.
 func (p *Allowance) Table(now Micros) *Table {
 	if p.table == nil || now >= p.validUntil {
 		return nil
@@ -65,16 +66,17 @@
 	return p.table
 }
 
-// WasOver reports whether the machines were overloaded when this node last heard of
-// it, not long ago: an election takes longer than a table is valid.
+// WasOverloaded reports whether the last table said that the machines are overloaded and
+// expired less than overloadLifetime ago. A new leader starts from it, since an election
+// takes longer than a table is valid.
 func (p *Allowance) WasOverloaded(now Micros) bool {
 	return p.table != nil && p.table.Overloaded && now < p.validUntil+overloadLifetime
 }
 
-// overLife is how long an overload that one leader saw is likely to go on for the next.
+// overloadLifetime is how long after its table expired an overload is assumed to continue.
 const overloadLifetime = 15 * clock.Second
 
-// Rate is the changes a second that this node may spend on submissions.
+// Rate returns the writes per second that this controller may spend on submissions.
 func (p *Allowance) Rate(now Micros) float64 {
 	rate := p.limits.Base
 	if t := p.Table(now); t != nil {
@@ -87,7 +89,7 @@
 	return float64(rate) / milli
 }
 
-// window is the memory of arrivals.
+// arrivalTimeConstant is the time constant of the exponential decay of arrivalStats.
 const arrivalTimeConstant = 2 * clock.Second
 
 func (a *arrivalStats) decay(now Micros) {
@@ -97,17 +99,18 @@
 	}
 }
 
-// Saw notes a submission that asks for so many changes.
-func (p *Allowance) RecordSubmission(account, changes int, now Micros) {
+// RecordSubmission records a submission that asks for the given number of writes.
+func (p *Allowance) RecordSubmission(account, writes int, now Micros) {
 	if account < 0 {
 		return
 	}
 	a := &p.arrivals[account]
 	a.decay(now)
-	a.rate += float64(changes) / arrivalTimeConstant.Seconds()
+	a.rate += float64(writes) / arrivalTimeConstant.Seconds()
 }
 
-// Took counts a submission that was accepted, or was known.
+// CountAccepted counts a submission that was accepted, or one of a job that is already
+// known.
 func (p *Allowance) CountAccepted(account int, duplicate bool) {
 	switch {
 	case account < 0:
@@ -118,14 +121,14 @@
 	}
 }
 
-// Refused notes a submission that was told to come back.
-func (p *Allowance) RecordRefusal(account, changes int, job string, cpus float64, now Micros) {
+// RecordRefusal records a submission that was refused with a retry time.
+func (p *Allowance) RecordRefusal(account, writes int, job string, cpus float64, now Micros) {
 	if account < 0 {
 		return
 	}
 	a := &p.arrivals[account]
 	a.decay(now)
-	a.refused += float64(changes)
+	a.refused += float64(writes)
 	p.counts[account].Refused++
 	refusal := Refusal{Hash(job), uint32(account), clampUint32(int64(math.Ceil(min(cpus, math.MaxInt32))))}
 	if p.refusals.add(refusal, now) && len(p.unsentRefusals) < maxNoticeRefusals {
@@ -133,23 +136,24 @@
 	}
 }
 
-// Returns reports whether a job was refused before, here or at a peer: it goes before
-// a newcomer of its account.
+// WasRefused reports whether a job was refused recently, here or at a peer. Its retry goes
+// before new jobs of its account.
 func (p *Allowance) WasRefused(job string, now Micros) bool {
 	r, ok := p.refusals.byHash[Hash(job)]
 	return ok && now-r.refusedAt < refusalLifetime
 }
 
-// Accepted notes that a job, refused before or not, is accepted.
+// MarkAccepted records that a job is accepted, so that its retry is no longer expected.
 func (p *Allowance) MarkAccepted(job string) {
 	if r := p.refusals.byHash[Hash(job)]; r != nil {
 		r.expected = false
 	}
 }
 
-// Expected is what the jobs of each account that were refused of late, here or at a peer,
-// will ask for when they come back, in CPUs. Machines take longer to come than the state
-// service to accept a burst: they may be rented for it meanwhile.
+// ExpectedCPUs returns, by account, the CPUs that recently refused jobs, here or at a peer,
+// will ask for when they are retried. Machines take longer to boot than the state service
+// takes to accept a burst, so machines may be rented for these jobs before the retries
+// arrive.
 func (p *Allowance) ExpectedCPUs(now Micros) []float64 {
 	sums := make([]float64, p.accounts.Len())
 	for _, h := range p.refusals.order {
@@ -160,11 +164,11 @@
 	return sums
 }
 
-// expectedLife is how long a refused job is waited for: nobody is told to come back later
-// than MaxSlots seconds on.
+// expectedRetryWindow is how long the retry of a refused job is expected. No refused user
+// is given a retry time of more than MaxSlots seconds; the rest is a margin.
 const expectedRetryWindow = (MaxSlots + 4) * clock.Second
 
-// HearRefusals takes in whom a peer refused.
+// MergeRefusals records the jobs that a peer refused.
 func (p *Allowance) MergeRefusals(n *Notice, now Micros) {
 	if n == nil || n.Digest != p.accounts.Digest {
 		return
@@ -174,10 +178,11 @@
 	}
 }
 
-// maxTold bounds the refused jobs that a notice names.
+// maxNoticeRefusals bounds the refused jobs that one notice lists.
 const maxNoticeRefusals = 512
 
-// Notice is what this node tells its peers, with what waits in its queue.
+// Notice returns this controller's notice for its peers, with the writes queued per account,
+// and clears the list of refusals not yet sent.
 func (p *Allowance) Notice(queued func(account int) int, now Micros) *Notice {
 	n := &Notice{Digest: p.accounts.Digest, Accounts: make([]Arrivals, p.accounts.Len()), Refusals: p.unsentRefusals}
 	p.unsentRefusals = nil
@@ -189,28 +194,30 @@
 	return n
 }
 
-// Counts gives an account's counters.
+// Counts returns the counters of an account.
 func (p *Allowance) Counts(account int) Counts { return p.counts[account] }
 
-// memory holds hashes of jobs for a while, a bounded number of them.
+// refusalMemory holds the hashes of recently refused jobs, at most maxRememberedRefusals
+// of them.
 type refusalMemory struct {
 	byHash map[uint32]*refusalRecord
-	order  []uint32
+	order  []uint32 // hashes, oldest refusal first
 }
 
+// refusalRecord describes one refused job.
 type refusalRecord struct {
 	refusedAt Micros
 	account   uint32
 	cpus      uint32
-	expected  bool // not accepted yet, as far as this node knows
+	expected  bool // not accepted yet, as far as this controller knows
 }
 
 const (
 	maxRememberedRefusals = 8192
-	refusalLifetime       = 60 * clock.Second // no user tries for longer
+	refusalLifetime       = 60 * clock.Second // longer than any user keeps retrying
 )
 
-// add reports whether the hash is new.
+// add records a refusal and reports whether its job was not recorded yet.
 func (m *refusalMemory) add(refusal Refusal, now Micros) bool {
 	if _, ok := m.byHash[refusal.Hash]; ok {
 		return false
@@ -227,8 +234,9 @@
 	return true
 }
 
-// Spread is when a user who is refused should come back, in seconds: after the wait
-// that stands before him, and not together with all others.
+// RetryAfterSeconds returns the retry time of a refused submission in seconds: at least the
+// wait ahead of it, at most MaxSlots, and spread by job id so that users who are refused
+// together do not retry together.
 func RetryAfterSeconds(wait Micros, job string) int {
 	maxSeconds := int64(MaxSlots)
 	seconds := min(max((int64(wait)+int64(clock.Second)-1)/int64(clock.Second), 1), maxSeconds)
--- a/internal/admit/budget.go
+++ b/internal/admit/budget.go
@@ -6,46 +6,46 @@
 	"golang.org/x/time/rate"
 )
 
-// Use is what requests of the state service are spent on.
+// RequestClass classifies requests to the state service by purpose.
 type RequestClass int
 
-// Uses of changes, in no order: each has a floor.
+// Classes of writes, in no order of priority; each has a minimum share.
 const (
-	UrgentWrites     RequestClass = iota // launches, ends of jobs, cancellations
+	UrgentWrites     RequestClass = iota // task launches, job ends, cancellations
 	SubmissionWrites                     // new jobs
-	TaskEndWrites                        // of single tasks
-	BackgroundWrites                     // images, archiving, what was learnt
+	TaskEndWrites                        // ends of single tasks
+	BackgroundWrites                     // images, archiving, learned values
 )
 
-// Uses of reads.
+// Classes of reads.
 const (
-	UserReads       RequestClass = iota // of a job for a user
-	DependencyReads                     // of a job that another awaits
+	UserReads       RequestClass = iota // records of jobs that users query
+	DependencyReads                     // records of jobs that other jobs depend on
 )
 
-// Floors are the parts of a budget that its uses get whatever the others want. What a
-// use does not want now is lent.
+// MinShares holds, by request class, the share of a budget that the class gets whatever
+// the other classes demand. A share that its class does not use is lent to the others.
 type MinShares []float64
 
-// Floors of changes and of reads.
+// Minimum shares of writes and of reads.
 var (
 	WriteMinShares = MinShares{UrgentWrites: 0.45, SubmissionWrites: 0.2, TaskEndWrites: 0.15, BackgroundWrites: 0.05}
 	ReadMinShares  = MinShares{UserReads: 0.5, DependencyReads: 0.4}
 )
 
-// Budget shares a node's changes, or reads, among its uses. A floor is a bucket of its own that
-// fills at its part of the rate: while a use wants something, the others leave it what
-// its bucket holds. So no burst of one use keeps another waiting for longer than its
-// floor takes.
+// Budget divides a controller's rate of writes, or of reads, among request classes. Each
+// class has a token bucket of its own that fills at its minimum share of the rate. While a
+// class has demand, the others leave it the tokens in its bucket, so a burst of one class
+// delays another by no more than the time that the other's minimum share takes.
 type Budget struct {
 	minShares MinShares
 	total     *rate.Limiter
-	perClass  []*rate.Limiter
-	waiting   []bool
-	lastAllow []time.Time // when Take was last asked
+	perClass  []*rate.Limiter // each filled at its class's minimum rate
+	waiting   []bool          // set by SetWaiting
+	lastAllow []time.Time     // when Allow was last called
 }
 
-// NewBudget makes a budget of so many a second.
+// NewBudget returns a budget of perSecond requests per second.
 func NewBudget(perSecond float64, minShares MinShares) *Budget {
 	b := &Budget{minShares: minShares, total: rate.NewLimiter(rate.Limit(perSecond), burst(perSecond)),
 		waiting: make([]bool, len(minShares)), lastAllow: make([]time.Time, len(minShares))}
@@ -55,7 +55,8 @@
 	return b
 }
 
-// Take spends one if there is room. A use that asks so wants something for a second.
+// Allow spends one token if one is available. The call counts as demand of its class for
+// one second.
 func (b *Budget) Allow(now time.Time, class RequestClass) bool {
 	b.lastAllow[class] = now
 	if b.Available(now, class) < 1 {
@@ -65,11 +66,11 @@
 	return true
 }
 
-// burst is a second's worth, as the state service allows; a transaction of a few
-// changes must fit.
+// burst returns the bucket size: one second of tokens, as the state service allows, and at
+// least 4, so that a transaction of a few writes fits.
 func burst(perSecond float64) int { return max(int(perSecond), 4) }
 
-// Set changes the rate.
+// SetRate changes the total rate.
 func (b *Budget) SetRate(now time.Time, perSecond float64) {
 	if b.total.Limit() == rate.Limit(perSecond) {
 		return
@@ -84,13 +85,13 @@
 	}
 }
 
-// Floor is the rate that a use gets whatever the others want.
+// MinRate returns the rate that a class gets whatever the others demand.
 func (b *Budget) MinRate(class RequestClass) float64 { return b.Rate() * b.minShares[class] }
 
-// Want notes whether a use has something waiting.
+// SetWaiting sets whether a class has requests waiting.
 func (b *Budget) SetWaiting(class RequestClass, waiting bool) { b.waiting[class] = waiting }
 
-// Room is how many changes a use may spend now.
+// Available returns how many tokens a class may spend now.
 func (b *Budget) Available(now time.Time, class RequestClass) float64 {
 	available := b.total.TokensAt(now)
 	for other := range b.perClass {
@@ -101,19 +102,21 @@
 	return max(available, b.Reserved(now, class))
 }
 
-// Left is what is left for all uses; Own is what of it is one use's own floor.
+// Remaining returns the tokens left for all classes together.
 func (b *Budget) Remaining(now time.Time) float64 { return b.total.TokensAt(now) }
+
+// Reserved returns how many of the remaining tokens belong to one class's minimum share.
 func (b *Budget) Reserved(now time.Time, class RequestClass) float64 {
 	return max(min(b.perClass[class].TokensAt(now), b.total.TokensAt(now)), 0)
 }
 
-// Burst is the most that may be spent at once.
+// Burst returns the most tokens that may be spent at once.
 func (b *Budget) Burst() int { return b.total.Burst() }
 
-// Rate is the changes a second.
+// Rate returns the total rate in requests per second.
 func (b *Budget) Rate() float64 { return float64(b.total.Limit()) }
 
-// Spend takes n changes for a use.
+// Spend takes n tokens for a class; a bucket that holds fewer is emptied.
 func (b *Budget) Spend(now time.Time, class RequestClass, n int) {
 	b.total.AllowN(now, min(n, max(int(b.total.TokensAt(now)), 0)))
 	b.perClass[class].AllowN(now, min(n, max(int(b.perClass[class].TokensAt(now)), 0)))
--- a/internal/admit/objective_tracker.go
+++ b/internal/admit/objective_tracker.go
@@ -8,44 +8,45 @@
 	"lilacthread/internal/clock"
 )
 
-// Prospect is what can be said of an unfinished job's aims.
+// Feasibility says whether the objectives of an unfinished job can still be met.
 type Feasibility uint8
 
-// Prospects.
+// Values of Feasibility, from the best to the worst.
 const (
-	OnTime     Feasibility = iota // has its places in time
-	Feasible                      // can be served as its users want it, if it gets its places soon
-	AtRisk                        // the same, if all goes well
-	Infeasible                    // cannot be served in time any more
+	OnTime     Feasibility = iota // placed in time
+	Feasible                      // can be met if the job is placed soon
+	AtRisk                        // can be met only if nothing delays the job
+	Infeasible                    // can no longer be met
 )
 
-// Case is one unfinished job as the floor of the served share sees it.
+// UnfinishedJob is an unfinished job as ObjectiveTracker evaluates it.
 type UnfinishedJob struct {
 	Account       int
 	Feasibility   Feasibility
-	RemainingWork float64 // CPU-seconds that it yet needs
-	ReadyAt       Micros  // when it became ready
+	RemainingWork float64 // CPU-seconds
+	ReadyAt       Micros  // when the job became ready to run
 	ID            string
 }
 
-// Served keeps, for each account, how many of its jobs were served of late, and tells
-// which of those that wait must be, so that of every account at least a given part is.
-// Whatever machines are left beyond that go by the users' own order.
+// ObjectiveTracker keeps the share of each account's recently finished jobs that met their
+// objectives. It selects the waiting jobs that must be served next so that every account
+// reaches its minimum served share. Machines beyond that need follow the users' own
+// priorities.
 type ObjectiveTracker struct {
-	minShares []float64 // the part of its jobs that each account is to be served
-	finished  []finishedCounts
+	minShares []float64        // by account: the share of its jobs that must meet their objectives
+	finished  []finishedCounts // by account
 }
 
-// past counts jobs that are over; both fade.
+// finishedCounts holds exponentially decayed counts of finished jobs.
 type finishedCounts struct {
-	jobs, met float64
+	jobs, met float64 // all jobs, and those that met their objectives
 	updatedAt Micros
 }
 
-// servedMemory is how long a job that is over weighs in the served share.
+// finishedTimeConstant is the time constant of the exponential decay of finishedCounts.
 const finishedTimeConstant = 300 * clock.Second
 
-// NewServed makes the counts of a deployment's accounts, each with its floor.
+// NewObjectiveTracker returns a tracker without history; minShares is indexed by account.
 func NewObjectiveTracker(minShares []float64) *ObjectiveTracker {
 	return &ObjectiveTracker{minShares: minShares, finished: make([]finishedCounts, len(minShares))}
 }
@@ -57,7 +58,7 @@
 	}
 }
 
-// Over counts a job that is over; good if it was served as its users wanted it.
+// RecordFinished counts a finished job; met says whether it met its objectives.
 func (s *ObjectiveTracker) RecordFinished(account int, met bool, now Micros) {
 	if account < 0 || account >= len(s.finished) {
 		return
@@ -70,8 +71,8 @@
 	}
 }
 
-// Counts gives the jobs of late and those of them that were served, of each account in
-// turn: what Restore takes over in the next term.
+// Counts returns two numbers for each account: the recently finished jobs and those of them
+// that met their objectives. Restore reads them in the next leader's term.
 func (s *ObjectiveTracker) Counts(now Micros) []float64 {
 	out := make([]float64, 0, 2*len(s.finished))
 	for a := range s.finished {
@@ -81,7 +82,8 @@
 	return out
 }
 
-// Restore takes over the counts that were given at the time.
+// Restore replaces the history with the result of Counts at the given time. It ignores
+// counts that are invalid.
 func (s *ObjectiveTracker) Restore(counts []float64, at Micros) {
 	if len(counts) != 2*len(s.finished) {
 		return
@@ -94,18 +96,19 @@
 	}
 }
 
-// Turn is what the floor of the served share makes of a job.
+// MinShareStatus says how a job relates to its account's minimum served share.
 type MinShareStatus struct {
-	Needed      bool    // its account lacks it for its floor
-	ServedShare float64 // then: what of its account's jobs is served before it; the least goes first
-	Surplus     bool    // its account has its floor without it
+	Needed      bool    // the job must be served for its account to reach the minimum
+	ServedShare float64 // if Needed: the share of its account's jobs served before it; the lowest goes first
+	Surplus     bool    // the account reaches its minimum without the job, or the job is infeasible
 }
 
-// Turns tells which cases have to be served next, and in what order: of each account the
-// open ones that take least, as many as it lacks of its floor, a part of all its jobs.
-// Least first, since a job counts as one whatever it takes: half of the jobs of a class
-// are a fifth of its work or so, and the rest of the machines can go to whom the users
-// put first.
+// Evaluate returns the status of each job. In each account as many jobs are needed as the
+// account lacks for its minimum share of all its jobs: those that can still meet their
+// objectives, by feasibility and then by least remaining work. Jobs with the least work go
+// first because every job counts as one whatever its size: half of the jobs of a class are
+// about a fifth of its work, and the rest of the machines stays available for the jobs that
+// users put first.
 func (s *ObjectiveTracker) Evaluate(now Micros, jobs []UnfinishedJob) []MinShareStatus {
 	statuses := make([]MinShareStatus, len(jobs))
 	total, served := make([]float64, len(s.finished)), make([]float64, len(s.finished))
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -2,56 +2,59 @@
 
 import "slices"
 
-// Queue holds submissions that wait for the state service, a lane for each account.
-// Lanes are served by deficit round robin: each gets as many changes as any other
-// that has something waiting, whatever the sizes of its submissions and however many
-// of them there are.
+// Queue holds submissions that wait to be written to the state service, in one lane per
+// account. Lanes are served by deficit round robin: every lane that has submissions gets
+// the same number of writes, whatever the size and number of its submissions.
 type Queue[T any] struct {
 	bounds Bounds
 	lanes  []lane[T]
-	ring   []int // lanes with something waiting, the next to be served first
-	count  int
-	bytes  int
-	cost   int
+	ring   []int // lanes that are not empty, the next to be served first
+	count  int   // submissions in all lanes
+	bytes  int   // size of their records
+	cost   int   // writes that they ask for
 }
 
-// Bounds of a queue.
+// Bounds limits the size of a queue.
 type Bounds struct {
 	Count int // submissions
-	Bytes int // of their records
+	Bytes int // total size of their records
 }
 
-// Rank is a place within a lane.
+// Rank is the priority of a submission within its lane.
 type Rank int
 
-// Ranks, the first goes first.
+// Ranks, the highest priority first.
 const (
-	RankRetry     Rank = iota // was refused before
+	RankRetry     Rank = iota // refused before
 	RankDependent             // a later stage of a pipeline that was accepted
 	RankNew
 	numRanks
 )
 
+// queued is a submission in a lane.
 type queued[T any] struct {
 	item        T
-	cost, bytes int
+	cost, bytes int // writes that it asks for, size of its record
 	arrivedAt   Micros
 }
 
+// lane holds the submissions of one account by rank.
 type lane[T any] struct {
 	entries [numRanks][]queued[T]
-	costs   [numRanks]int
+	costs   [numRanks]int // writes by rank
 	count   int
 	cost    int
 	bytes   int
-	deficit int
-	newTurn bool // its turn has not begun
+	deficit int  // writes that the lane may still take
+	newTurn bool // the quantum of the next turn is not added yet
 }
 
-// quantum is the changes that a lane may take in a turn: most submissions ask for one.
+// quantum is the number of writes added to a lane's deficit per turn. Most submissions ask
+// for one write.
 const quantum = 4
 
-// NewQueue makes a queue for so many accounts, and one lane for what has none.
+// NewQueue returns a queue with a lane for each account and one for submissions without an
+// account.
 func NewQueue[T any](accounts int, bounds Bounds) *Queue[T] {
 	return &Queue[T]{bounds: bounds, lanes: make([]lane[T], accounts+1)}
 }
@@ -63,16 +66,16 @@
 	return account
 }
 
-// Fits reports whether a lane has room: no lane may hold more than what is free, in
-// number and in bytes, so that one account's burst leaves the others half of the
-// queue, whoever comes first.
+// Fits reports whether a lane may take another submission with a record of the given size.
+// A lane may hold no more than what is free in the queue, in number and in bytes, so a burst
+// of one account leaves half of the queue to the others, even if the burst comes first.
 func (q *Queue[T]) Fits(account, bytes int) bool {
 	l := &q.lanes[q.laneIndex(account)]
 	return l.count < q.bounds.Count-q.count && l.bytes+bytes <= q.bounds.Bytes-q.bytes
 }
 
-// Push lets a submission wait. The caller has asked Fits, or hands back what he took:
-// that keeps its place by the time at which it came.
+// Push adds a submission. The caller has checked Fits, or returns a submission that Pop
+// gave it; a returned submission regains its position by its arrival time.
 func (q *Queue[T]) Push(account int, rank Rank, cost, bytes int, arrivedAt Micros, item T) {
 	i := q.laneIndex(account)
 	l := &q.lanes[i]
@@ -91,6 +94,7 @@
 	q.count, q.cost, q.bytes = q.count+1, q.cost+cost, q.bytes+bytes
 }
 
+// head returns the next submission of a lane, or nil if the lane is empty.
 func (l *lane[T]) head() *queued[T] {
 	for r := range l.entries {
 		if len(l.entries[r]) > 0 {
@@ -100,9 +104,10 @@
 	return nil
 }
 
-// Pop gives the next submission if it asks for at most room changes and suits; what
-// does not suit, or finds no room, ends the batch: ok is false. The first of a batch
-// may ask for more than there is room, or it would wait for ever.
+// Pop removes and returns the next submission if it asks for at most maxCost writes and
+// accept allows it. Otherwise it removes nothing and ok is false, which ends the batch. The
+// first submission of a batch may ask for more than maxCost; otherwise it would wait for
+// ever.
 func (q *Queue[T]) Pop(maxCost int, firstOfBatch bool, accept func(T) bool) (item T, ok bool) {
 	for len(q.ring) > 0 {
 		i := q.ring[0]
@@ -113,7 +118,7 @@
 		}
 		head := l.head()
 		if head.cost > l.deficit {
-			// Its turn is over; the rest of its due stays with it.
+			// The lane's turn is over; it keeps the rest of its deficit.
 			l.newTurn = true
 			q.ring = append(q.ring[1:], i)
 			continue
@@ -129,7 +134,7 @@
 	return item, false
 }
 
-// drop removes a lane's head.
+// removeHead removes the head of a lane.
 func (q *Queue[T]) removeHead(i int, head *queued[T]) {
 	l := &q.lanes[i]
 	cost, bytes := head.cost, head.bytes
@@ -150,7 +155,7 @@
 	}
 }
 
-// Head is the changes that the next submission asks for; 0 if none waits.
+// HeadCost returns the writes that the next submission asks for, or 0 if the queue is empty.
 func (q *Queue[T]) HeadCost() int {
 	if len(q.ring) == 0 {
 		return 0
@@ -158,14 +163,16 @@
 	return q.lanes[q.ring[0]].head().cost
 }
 
-// Len is how many submissions wait; Cost is the changes that they ask for.
-func (q *Queue[T]) Len() int  { return q.count }
+// Len returns the number of submissions in the queue.
+func (q *Queue[T]) Len() int { return q.count }
+
+// Cost returns the writes that all submissions in the queue ask for.
 func (q *Queue[T]) Cost() int { return q.cost }
 
-// Queued is the changes that one account waits for.
+// QueuedCost returns the writes that the queued submissions of one account ask for.
 func (q *Queue[T]) QueuedCost(account int) int { return q.lanes[q.laneIndex(account)].cost }
 
-// Oldest is since when the submission waits that came first; now if none does.
+// Oldest returns the arrival time of the oldest submission, or now if the queue is empty.
 func (q *Queue[T]) Oldest(now Micros) Micros {
 	for _, i := range q.ring {
 		for _, entries := range q.lanes[i].entries {
@@ -177,8 +184,9 @@
 	return now
 }
 
-// Ahead is how many changes are served before a new submission of an account, which
-// asks for cost itself: what its lane holds, and as much of each other lane.
+// CostAhead returns how many writes are served before a new submission of the account that
+// asks for cost writes: those ahead of it in its own lane and at most as many, plus one
+// quantum, of each other lane.
 func (q *Queue[T]) CostAhead(account int, rank Rank, cost int) int {
 	i := q.laneIndex(account)
 	ownCost := cost
--- a/internal/admit/share.go
+++ b/internal/admit/share.go
@@ -7,33 +7,34 @@
 	"lilacthread/internal/quota"
 )
 
-// Shares settles when there is more to do than the machines can take, and how much of
-// them each team is due then, by its guarantee. Within a team Served says who goes first.
+// TeamShares detects overload, which is more work than the machines can do in time, and
+// divides the machines among teams by their guarantees while it lasts. Within a team,
+// ObjectiveTracker sets the order.
 type TeamShares struct {
 	accounts        *AccountIndex
 	teams           []Team
 	settings        Settings
-	Overloaded      bool   // overloaded now
-	modeChangeSince Micros // since when the other mode is called for; clock.Forever while it is not
+	Overloaded      bool   // whether overload mode is on
+	modeChangeSince Micros // since when the other mode has been indicated; clock.Forever while it is not
 }
 
-// Team is what the settings say of one.
+// Team is a team's entry in the settings.
 type Team struct {
 	Name      string
 	Guarantee float64 // CPUs
-	Limit     float64 // CPUs; 0: none
+	Limit     float64 // CPUs; 0 means no limit
 }
 
-// Rules are the operators' settings of admission.
+// Settings are the operators' settings of admission.
 type Settings struct {
 	Enabled              bool
-	MinServedShare       float64            // part of each account's jobs that is served before all else
-	ClassMinServedShares map[string]float64 // of classes: their parts instead
-	MaxQueueWait         Micros             // a submission that would wait longer is refused at once
-	OverloadBacklog      Micros             // overload begins when the work waiting takes this long; 0: from the aims
+	MinServedShare       float64            // share of each account's jobs that is served before all other jobs
+	ClassMinServedShares map[string]float64 // by class: overrides MinServedShare
+	MaxQueueWait         Micros             // a submission that would wait longer in the queue is refused at once
+	OverloadBacklog      Micros             // backlog, as time of all machines, at which overload begins; 0 derives it from the objectives
 }
 
-// Floors are the parts of their jobs that the accounts are to be served, in turn.
+// AccountMinServedShares returns the minimum served share of each account, by number.
 func (r Settings) AccountMinServedShares(accounts *AccountIndex) []float64 {
 	shares := make([]float64, accounts.Len())
 	for i, a := range accounts.Accounts {
@@ -45,9 +46,10 @@
 	return shares
 }
 
-// begins is when work waiting means overload: a quarter of the narrowest of the widest
-// aims of those who ask. What waits less than that is reached in time in the usual
-// order. Services are not among the demands: their aims are a few seconds.
+// overloadThreshold returns the backlog at which overload begins: a quarter of the shortest
+// of the longest target times of the accounts that have demand. The usual order serves a
+// smaller backlog in time. The demands do not include services, whose target times are only
+// a few seconds.
 func (s *TeamShares) overloadThreshold(demands []Demand) Micros {
 	if s.settings.OverloadBacklog > 0 {
 		return s.settings.OverloadBacklog
@@ -66,33 +68,35 @@
 
 const (
 	defaultOverloadBacklog = 75 * clock.Second
-	minOverloadBacklog     = 60 * clock.Second // while a fleet starts, more than that can wait for its boots
-	modeChangeDelay        = 3 * clock.Second  // how long a change of mode must be called for
+	minOverloadBacklog     = 60 * clock.Second // while a fleet starts, even more work can wait only for machines to boot
+	modeChangeDelay        = 3 * clock.Second  // how long a mode change must be indicated before it is made
 )
 
-// NewShares makes the shares of a deployment.
+// NewTeamShares returns the shares of a deployment, not overloaded.
 func NewTeamShares(accounts *AccountIndex, teams []Team, settings Settings) *TeamShares {
 	return &TeamShares{accounts: accounts, teams: teams, settings: settings, modeChangeSince: clock.Forever}
 }
 
-// Demand is what an account's unfinished work, services aside, asks of the machines.
+// Demand is what an account's unfinished jobs, services excluded, ask of the machines.
 type Demand struct {
-	Held          float64 // CPUs that its tasks hold
+	Held          float64 // CPUs held by its running tasks
 	Waiting       float64 // CPUs that its waiting tasks ask for
-	RemainingWork float64 // CPU-seconds of both that are yet to do
+	RemainingWork float64 // CPU-seconds of both that remain
 }
 
-// Due is what an account is due, in CPUs: by its floor, and by its team's share.
+// Entitlement is what an account is entitled to, in CPUs: MinShare by its minimum served
+// share, and Share by its team's share of the machines.
 type Entitlement struct {
 	MinShare, Share float64
 }
 
+// milli is the number of thousandths in a unit.
 const milli = 1000
 
-// Judge works out what the teams are due of capacity CPUs, which is what machines have
-// for work that is not production, up or on their way. room tells whether machines can
-// still be rented. It reports nil, and leaves Over false, while the usual order serves
-// everybody.
+// Evaluate updates Overloaded and returns each team's share of capacity, both in CPUs.
+// capacity covers machines for work that is not production, running or booting; canRent
+// says whether more machines can be rented. Outside overload, Evaluate returns nil and the
+// usual order serves all teams.
 func (s *TeamShares) Evaluate(now Micros, capacity float64, canRent bool, demands []Demand) []float64 {
 	if !s.settings.Enabled || len(demands) != s.accounts.Len() {
 		s.Overloaded = false
@@ -102,7 +106,7 @@
 	for _, d := range demands {
 		held, waiting, work = held+d.Held, waiting+d.Waiting, work+d.RemainingWork
 	}
-	// The work that waits, measured by how long all machines would take for it.
+	// The backlog is the waiting work, as the time that all machines would take for it.
 	backlog := Micros(0)
 	if total := held + waiting; total > 0 && capacity > 0 {
 		backlog = clock.FromSeconds(math.Min(work*waiting/total/capacity, 1e9))
@@ -123,7 +127,7 @@
 	return s.divide(capacity, demands)
 }
 
-// divide shares out among the teams, by guarantee and up to their limits.
+// divide splits capacity among the teams by guarantee, up to their limits and demands.
 func (s *TeamShares) divide(capacity float64, demands []Demand) []float64 {
 	requests := make([]quota.Request, len(s.teams))
 	for t, team := range s.teams {
@@ -144,7 +148,7 @@
 	return shares
 }
 
-// units is thousandths of a CPU.
+// milliCPUs converts CPUs to thousandths of a CPU.
 func milliCPUs(cpus float64) int64 {
 	return int64(math.Min(math.Max(cpus, 0)*milli, float64(quota.MaxAmount)))
 }
--- a/internal/admit/table.go
+++ b/internal/admit/table.go
@@ -12,36 +12,37 @@
 	"lilacthread/internal/quota"
 )
 
-// Table is what all controllers agree on: made by the leader once a second, handed
-// to each node with the answer to its greeting. Two tables of the same term and
-// number are alike but for the part of the node that they were given to.
+// Table is the admission table on which all controllers agree. The leader makes one per
+// second and sends it to each controller in the reply to its hello message. Two tables of
+// the same term and number differ only in NodeRate, which is the receiving controller's.
 type Table struct {
 	Term, Number uint64
 	Digest       uint32 // of the account index
-	ValidFor     Micros // from when the node asked for it
+	ValidFor     Micros // counted from when the controller requested the table
 	Overloaded   bool   // the machines are overloaded
 	Accounts     []Entry
 }
 
-// Entry is one account in a table. Rates are thousandths of a change a second.
+// Entry is the row of one account in a table. Rates are in thousandths of a write per second.
 type Entry struct {
-	Rate     uint32 // of submissions, over all nodes
-	NodeRate uint32 // of it, for the node that holds the table
-	Slots    uint32 // submissions are spread over this many tables; 1: taken as they come
+	Rate     uint32 // rate of submissions over all controllers
+	NodeRate uint32 // part of Rate that the table's receiver may use from the pool
+	Slots    uint32 // number of tables over which submissions are spread; 1 means no spreading
 
 	Held, Waiting, MinShare, Share uint32 // CPUs
 }
 
-// Newer reports whether the table replaces an older one.
+// Newer reports whether the table replaces another one, which may be nil.
 func (t *Table) Newer(other *Table) bool {
 	return other == nil || cmp.Or(cmp.Compare(t.Term, other.Term), cmp.Compare(t.Number, other.Number)) > 0
 }
 
-// Turn says how many tables on a job's submission is taken: 0 means now. The answer
-// follows from the table and the job's id alone, so all nodes give the same, and no
-// two users who were refused together need come back together. A number of slots is
-// a power of two: if it grows while somebody waits, what he was told is a step on the
-// way to his turn, which is never more than MaxSlots tables from his first attempt.
+// SlotsUntil returns after how many tables a job's submission is accepted; 0 means now. The
+// result depends only on the table and the job id, so all controllers give the same answer,
+// and users who are refused together need not retry together. The number of slots is a
+// power of two: if it grows while a user waits, the retry time that the user was given
+// still leads to the job's slot, which is never more than MaxSlots tables after the first
+// attempt.
 func (t *Table) SlotsUntil(account int, job string) int {
 	if account < 0 || account >= len(t.Accounts) {
 		return 0
@@ -53,90 +54,94 @@
 	return int((Hash(job) - uint32(t.Number)) & (slots - 1))
 }
 
-// MaxSlots bounds what a user is told: the submissions of 16 s.
+// MaxSlots bounds the slots, and so the retry time that a user is given: 16 tables are 16 s.
 const MaxSlots = 16
 
-// Hash is the place of a job's id among all ids.
+// Hash returns the hash of a job id, which determines its slot.
 func Hash(job string) uint32 { return uint32(xxhash.Sum64String(job)) }
 
-// Arrivals is what a node saw of an account's submissions.
+// Arrivals describes the submissions of an account that a controller received.
 type Arrivals struct {
-	Rate    uint32 // changes a second that they ask for, in thousandths, smoothed
-	Queued  uint32 // changes that wait at the node
-	Refused uint32 // changes refused of late, which will come back
+	Rate    uint32 // thousandths of a write per second that submissions ask for, smoothed
+	Queued  uint32 // writes that wait in the controller's queue
+	Refused uint32 // writes of recently refused submissions that are expected to be retried
 }
 
-// Notice is what a node tells its peers once a second.
+// Notice is a controller's message to its peers about its arrivals, sent once a second.
 type Notice struct {
 	Digest   uint32
 	Accounts []Arrivals
-	Refusals []Refusal // the jobs that it refused since the last notice
+	Refusals []Refusal // jobs refused since the last notice
 }
 
-// Refusal is a job that was refused: its users were told when to come back.
+// Refusal describes a job that was refused and whose user was given a retry time.
 type Refusal struct {
 	Hash    uint32
 	Account uint32
-	CPUs    uint32 // that it will ask for, by the dominant resource
+	CPUs    uint32 // CPUs that the job will ask for, by its dominant resource
 }
 
-// Limits are the nodes' claims on the state service's changes for submissions.
+// Limits are the shares of the state service's write rate that are set aside for submissions,
+// in thousandths of a write per second.
 type Limits struct {
-	Base int64 // of each node, always; thousandths of a change a second
-	Pool int64 // that the leader hands out as parts
+	Base int64 // rate that each controller always has
+	Pool int64 // rate that the leader grants in parts to controllers
 }
 
-// Shares of the state service's changes a second. What the leader does not hand out,
-// and what the bases of the others leave, is its own: at least half.
+// Shares of the state service's write rate. The leader keeps what it does not grant and
+// what the bases of the other controllers leave: at least 40%, and more than half with up
+// to four controllers.
 const (
-	maxNodeBaseShare  = 0.12 // of one node
-	maxTotalBaseShare = 0.45 // of all
-	poolShare         = 0.15
+	maxNodeBaseShare  = 0.12 // base of one controller
+	maxTotalBaseShare = 0.45 // bases of all controllers
+	poolShare         = 0.15 // granted by the leader
 )
 
-// LimitsOf divides the changes a second that the state service takes among nodes.
-func LimitsOf(changes float64, nodes int) Limits {
-	base := min(maxNodeBaseShare, maxTotalBaseShare/float64(max(nodes, 1)))
-	return Limits{Base: int64(changes * base * milli), Pool: int64(changes * poolShare * milli)}
+// LimitsOf divides the write rate of the state service, in writes per second, among the
+// given number of controllers.
+func LimitsOf(writesPerSecond float64, controllers int) Limits {
+	base := min(maxNodeBaseShare, maxTotalBaseShare/float64(max(controllers, 1)))
+	return Limits{Base: int64(writesPerSecond * base * milli), Pool: int64(writesPerSecond * poolShare * milli)}
 }
 
-// valid is the life of a table, counted by its holder from when he asked and by the
-// leader from when it answered, with drift between the clocks.
+// A table expires at its receiver tableLifetime after the request. The leader counts a
+// grant from its reply and for 0.2% longer, to allow for drift between the two clocks.
 const (
 	tableLifetime    = 3 * clock.Second
 	maxGrantLifetime = tableLifetime + tableLifetime/500
 	noticeLifetime   = 5 * clock.Second
 )
 
-// Allocator makes a leader's tables and keeps account of the parts that are out.
+// Allocator makes a leader's tables and tracks the grants that controllers may be using.
 type Allocator struct {
 	accounts   *AccountIndex
 	self       string
 	term       uint64
 	limits     Limits
-	grantsFrom Micros // before, parts of an earlier leader may be in use
+	grantsFrom Micros // until then, grants of an earlier leader may be in use and none are made
 	number     uint64
-	entries    []Entry // of the current number, without parts
+	entries    []Entry // of the current number, without NodeRate
 	nodes      map[string]*nodeState
 	overloaded bool
 }
 
-// holder is a node that parts are given to.
+// nodeState is what the leader keeps about a controller.
 type nodeState struct {
 	notice      *Notice
-	noticeAt    Micros
-	rates       []uint32 // under the current number
-	ratesNumber uint64   // the number under which it was worked out
-	grants      []grant  // that may be in use
+	noticeAt    Micros   // when the last notice was received
+	rates       []uint32 // NodeRate by account, computed for table ratesNumber
+	ratesNumber uint64   // number of the table that rates belongs to
+	grants      []grant  // grants that may still be in use
 }
 
+// grant is a set of rates that a controller may use until expiresAt on the leader's clock.
 type grant struct {
 	rates     []uint32
 	expiresAt Micros
 }
 
-// NewAllocator begins a term: parts of earlier terms are waited for. Before the first there
-// were none, as terms begin with 1 and are never forgotten.
+// NewAllocator begins a term and makes no grants until those of earlier terms have expired.
+// Terms start at 1 and never repeat, so the first term has none to wait for.
 func NewAllocator(accounts *AccountIndex, self string, term uint64, now Micros, limits Limits) *Allocator {
 	g := &Allocator{accounts: accounts, self: self, term: term, limits: limits, grantsFrom: now + maxGrantLifetime, nodes: map[string]*nodeState{}}
 	if term <= 1 {
@@ -145,10 +150,12 @@
 	return g
 }
 
-// SetLimits follows the state service's limits. A lower one holds as parts end.
+// SetLimits replaces the limits when those of the state service change. A lower pool takes
+// effect as grants expire.
 func (g *Allocator) SetLimits(l Limits) { g.limits = l }
 
-// Hear takes in what a node saw. What was made from other settings is ignored.
+// RecordNotice stores the last notice of a controller. It ignores a notice made from other
+// settings.
 func (g *Allocator) RecordNotice(node string, n *Notice, now Micros) {
 	if n == nil || n.Digest != g.accounts.Digest || len(n.Accounts) != g.accounts.Len() {
 		return
@@ -161,8 +168,8 @@
 	h.notice, h.noticeAt = n, now
 }
 
-// Next makes the table of the next second. demands and dues, of the machines, are
-// for those who look at it; dues may be nil.
+// BuildTable makes the table of the next second. demands and entitlements describe the use
+// of the machines and are in the table for display only; entitlements may be nil.
 func (g *Allocator) BuildTable(now Micros, overloaded bool, demands []Demand, entitlements []Entitlement) {
 	g.number++
 	g.overloaded = overloaded
@@ -185,7 +192,7 @@
 			active++
 		}
 	}
-	// Together the nodes take their bases too; the leader's own rate is for it to see.
+	// The total includes the bases, which controllers use too; the leader limits its own rate.
 	total := g.limits.Pool + g.limits.Base*int64(max(len(g.nodes), 1))
 	for a := range requests {
 		requests[a].Minimum, requests[a].Weight = total/(2*max(active, 1)), 1
@@ -202,12 +209,12 @@
 	}
 }
 
-// want is what a node could use for an account: what arrives and, within a second,
-// what waits.
+// demandOf returns the rate that a controller could use for an account: the arrivals and,
+// within one second, the queue.
 func demandOf(arrivals Arrivals) int64 { return int64(arrivals.Rate) + int64(arrivals.Queued)*milli }
 
-// slots is over how many seconds submissions are to be spread: those that a backlog
-// takes, as a power of two.
+// slotsFor returns the number of seconds over which submissions are spread: the time that
+// the backlog takes at the rate, rounded up to a power of two and at most MaxSlots.
 func slotsFor(backlog, rate int64) uint32 {
 	seconds := uint64(backlog * milli / max(rate, 1))
 	if seconds <= 1 {
@@ -218,10 +225,11 @@
 
 func clampUint32(x int64) uint32 { return uint32(min(max(x, 0), math.MaxUint32)) }
 
-// Give answers a node that asks. Asked again under the same number it gets the same.
-// The parts in use never add up to more than an account's rate, nor in all to more
-// than the pool: a part that was given counts until it has surely ended, also where a
-// smaller one was given since, which may be lost on the way.
+// TableFor returns the table for a controller that requests it, or nil before the first
+// BuildTable. Repeated requests under the same number get the same rates. The grants in use
+// never exceed an account's rate or, in total, the pool: a grant counts until it has
+// certainly expired, even if a smaller one was made since, because the smaller one may be
+// lost on the way.
 func (g *Allocator) TableFor(node string, now Micros) *Table {
 	if g.number == 0 {
 		return nil
@@ -242,11 +250,11 @@
 	return t
 }
 
-// part works out a node's part of each account: what it could use of the rate, as far
-// as others' parts leave it.
+// nodeRates computes a controller's rate for each account: its fair share of the account's
+// rate by demand, as far as the grants of the other controllers leave it.
 func (g *Allocator) nodeRates(node string, now Micros) []uint32 {
 	rates := make([]uint32, g.accounts.Len())
-	inUse := int64(0) // of the pool, by others
+	inUse := int64(0) // of the pool, by other controllers
 	for name, h := range g.nodes {
 		if name != node {
 			inUse += h.maxInUse(now)
@@ -277,7 +285,7 @@
 	return rates
 }
 
-// inUse is the most of an account that a node may be using.
+// maxAccountInUse returns the highest rate of an account that the controller may be using.
 func (h *nodeState) maxAccountInUse(account int, now Micros) uint32 {
 	highest := uint32(0)
 	for _, x := range h.grants {
@@ -288,7 +296,8 @@
 	return highest
 }
 
-// most is the most of the pool that a node may be using.
+// maxInUse returns the highest part of the pool that the controller may be using, and drops
+// expired grants.
 func (h *nodeState) maxInUse(now Micros) int64 {
 	h.grants = slices.DeleteFunc(h.grants, func(x grant) bool { return now >= x.expiresAt })
 	highest := int64(0)
@@ -302,7 +311,8 @@
 	return highest
 }
 
-// Out is what of the pool others may be using: the leader does without it.
+// Outstanding returns the part of the pool that other controllers may be using, which the
+// leader must not use; until grantsFrom that is the whole pool.
 func (g *Allocator) Outstanding(now Micros) int64 {
 	if now < g.grantsFrom {
 		return g.limits.Pool
