--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -21,41 +21,42 @@
 	return NewAccountIndex([]string{"t", "u"}, aims)
 }
 
-// TestAccountIndex: users cannot make accounts, and those of other settings differ.
+// TestAccountIndex: unknown classes share one account, and other settings give another
+// digest.
 func TestAccountIndex(t *testing.T) {
 	b := testAccounts(3)
 	if b.Len() != 8 || b.IndexOf("t", "made up") != b.IndexOf("t", "made up too") || b.IndexOf("nobody", "c00") != -1 || b.IndexOf("u", "c01") < 0 {
-		t.Errorf("%+v", b.Accounts)
+		t.Errorf("wrong accounts: %+v", b.Accounts)
 	}
 	if b.Digest == testAccounts(4).Digest || b.Digest != testAccounts(3).Digest {
-		t.Error("digest")
+		t.Error("the digest does not tell apart the settings, or differs for equal ones")
 	}
 }
 
-// world is nodes that ask the leader of the moment for tables over a bad network, each
-// with a clock of its own, and what they believe they may spend.
+// testCluster is a set of controllers that request tables from the current leader over a
+// lossy network. Each controller has a drifting clock and its own view of what it may spend.
 type testCluster struct {
 	accounts   *AccountIndex
 	limits     Limits
-	now        Micros // true time
-	skew       []int64
+	now        Micros  // true time
+	skew       []int64 // by controller, clock drift in units of 0.01%
 	allowances []*Allowance
 	allocator  *Allocator
 	leader     int
 	term       uint64
-	inFlight   []tableReply
-	latest     []*Table // by node, the newest table taken
+	inFlight   []tableReply // replies not delivered yet
+	latest     []*Table     // by controller, the newest table applied
 }
 
-// reply is an answer under way.
+// tableReply is a reply in flight.
 type tableReply struct {
 	to          int
-	recipient   *Allowance
+	recipient   *Allowance // the controller's state at the request, to detect a restart
 	table       *Table
 	requestedAt Micros
 }
 
-// local is a node's steady clock: up to 0.05% fast or slow.
+// localTime is a controller's monotonic clock, up to 0.05% fast or slow.
 func (w *testCluster) localTime(node int) Micros { return w.now + w.now*Micros(w.skew[node])/10_000 }
 
 func newTestCluster(nodes, classes int, skew []int64) *testCluster {
@@ -64,7 +65,7 @@
 		w.allowances = append(w.allowances, NewAllowance(w.accounts, w.limits))
 	}
 	w.elect(0)
-	w.allocator.grantsFrom = 0 // nobody led before
+	w.allocator.grantsFrom = 0 // no earlier leader
 	return w
 }
 
@@ -74,7 +75,7 @@
 	w.allocator = NewAllocator(w.accounts, fmt.Sprint(node), w.term, w.localTime(node), w.limits)
 }
 
-// ask has a node send its notice and the leader answer; the answer is under way.
+// requestTable sends a controller's notice to the leader and puts the reply in flight.
 func (w *testCluster) requestTable(node int) {
 	now := w.localTime(w.leader)
 	w.allocator.RecordNotice(fmt.Sprint(node), w.allowances[node].Notice(func(int) int { return 0 }, w.localTime(node)), now)
@@ -85,7 +86,7 @@
 	r := w.inFlight[i]
 	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	p := w.allowances[r.to]
-	if p != r.recipient { // restarted meanwhile
+	if p != r.recipient { // the controller restarted in between
 		return nil
 	}
 	if p.ApplyTable(r.table, r.requestedAt) {
@@ -97,7 +98,8 @@
 	return nil
 }
 
-// check: parts in use, with the leader's own claim, never exceed an account or the pool.
+// check verifies that the grants in use never exceed an account's rate or the pool, and that
+// equal tables give equal answers.
 func (w *testCluster) check() error {
 	inUse := make([]int64, w.accounts.Len())
 	poolInUse := int64(0)
@@ -114,7 +116,7 @@
 		}
 		poolInUse += sum
 		if sum > 0 && n == w.leader && t.Term == w.term {
-			return fmt.Errorf("the leader gave itself a part")
+			return fmt.Errorf("the leader granted itself a rate")
 		}
 		if tables == nil {
 			tables = map[[2]uint64][]Entry{}
@@ -125,7 +127,7 @@
 				for job := range 20 {
 					id := fmt.Sprintf("req-%06d", job)
 					if t.SlotsUntil(a, id) != (&Table{Number: t.Number, Accounts: o}).SlotsUntil(a, id) {
-						return fmt.Errorf("same table, another answer for %s", id)
+						return fmt.Errorf("same table, different answer for %s", id)
 					}
 				}
 			}
@@ -133,11 +135,11 @@
 		tables[key] = t.Accounts
 	}
 	if poolInUse > w.limits.Pool {
-		return fmt.Errorf("parts of %d in use, the pool is %d", poolInUse, w.limits.Pool)
+		return fmt.Errorf("grants of %d in use, the pool is %d", poolInUse, w.limits.Pool)
 	}
-	// What the leader would make itself, it does on top of all others.
+	// The leader spends what is not outstanding on top of all grants in use.
 	if out := w.allocator.Outstanding(w.localTime(w.leader)); poolInUse > out {
-		return fmt.Errorf("parts of %d in use, the leader counts on %d", poolInUse, out)
+		return fmt.Errorf("grants of %d in use, the leader counts %d as outstanding", poolInUse, out)
 	}
 	limit := w.limits.Pool + w.limits.Base*int64(len(w.allowances))
 	for a, s := range inUse {
@@ -148,15 +150,15 @@
 	return nil
 }
 
-// TestPartsWithinPool plays losses, delays, reorderings, restarts, leaders that change
-// and clocks that drift.
+// TestGrantsWithinPool runs random sequences of lost, delayed and reordered replies,
+// controller restarts, leader changes and clock drift.
 func TestGrantsWithinPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 6).Draw(t, "nodes")
 		w := newTestCluster(nodes, 2, rapid.SliceOfN(rapid.Int64Range(-5, 5), nodes, nodes).Draw(t, "skew"))
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			node := rapid.IntRange(0, nodes-1).Draw(t, "node")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1:
 				w.now += Micros(rapid.IntRange(1, 2_500_000).Draw(t, "dt"))
 			case 2:
@@ -165,12 +167,12 @@
 				w.requestTable(node)
 			case 6, 7:
 				if len(w.inFlight) > 0 {
-					if err := w.deliver(rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "which")); err != nil {
+					if err := w.deliver(rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "reply")); err != nil {
 						t.Fatal(err)
 					}
 				}
 			case 8:
-				w.allowances[node].RecordSubmission(rapid.IntRange(0, w.accounts.Len()-1).Draw(t, "account"), rapid.IntRange(1, 500).Draw(t, "load"), w.localTime(node))
+				w.allowances[node].RecordSubmission(rapid.IntRange(0, w.accounts.Len()-1).Draw(t, "account"), rapid.IntRange(1, 500).Draw(t, "writes"), w.localTime(node))
 			case 9:
 				if rapid.Bool().Draw(t, "restart") {
 					w.allowances[node] = NewAllowance(w.accounts, w.limits)
@@ -186,9 +188,9 @@
 	})
 }
 
-// TestHandOver explores every order of events of a hand-over with three nodes to a
-// depth: tables made, asked for, delivered late or lost, seconds that pass, a node
-// that restarts, leaders that change.
+// TestGrantsAcrossLeaderChanges explores every order of events, up to a fixed depth, with
+// three controllers: tables built, requested, delivered late or lost, time passing, a
+// controller restart and leader changes.
 func TestGrantsAcrossLeaderChanges(t *testing.T) {
 	const depth = 7
 	states, seen := 0, map[string]bool{}
@@ -232,17 +234,17 @@
 
 const numEvents = 9
 
-// step does one of the events; false if it can't happen now.
+// apply performs one event and reports whether the event was possible.
 func (w *testCluster) apply(event int) bool {
 	switch event {
-	case 0: // a second with load at two nodes, and the table of it
+	case 0: // one second passes with load at two controllers, and a table is built
 		w.now += clock.Second
 		w.allowances[1].RecordSubmission(1, 300, w.localTime(1))
 		w.allowances[2].RecordSubmission(1, 300, w.localTime(2))
 		w.allocator.BuildTable(w.localTime(w.leader), false, nil, nil)
 	case 1, 2:
 		w.requestTable(event)
-	case 3, 4: // the oldest or the newest answer arrives
+	case 3, 4: // the oldest or the newest reply arrives
 		if len(w.inFlight) < event-2 {
 			return false
 		}
@@ -264,7 +266,8 @@
 	return true
 }
 
-// key tells states apart: times are relative, so that equal states meet.
+// stateKey identifies a state. Grant and reply times are relative to the present, so that
+// equal states have equal keys.
 func (w *testCluster) stateKey() string {
 	s := fmt.Sprint(w.term, w.leader, w.allocator.number, w.allocator.grantsFrom-w.localTime(w.leader) > 0, w.now)
 	for n, p := range w.allowances {
@@ -282,8 +285,8 @@
 	return s
 }
 
-// TestPartsEndInTime: at the very instant at which the leader counts a part as ended, its
-// holder does not use it any more, however their clocks differ and the answer was late.
+// TestGrantsExpire: when the leader counts a grant as expired, its holder has already stopped
+// using it, whatever the clock drift and the delay of the reply.
 func TestGrantsExpire(t *testing.T) {
 	for _, skew := range [][]int64{{5, -5, 0}, {-5, 5, 0}, {5, -5, 5}} {
 		for delay := Micros(0); delay < 4*clock.Second; delay += 100 * clock.Millisecond {
@@ -291,7 +294,7 @@
 			load := func(node int) { w.allowances[node].RecordSubmission(1, 500, w.localTime(node)) }
 			buildTable := func() { w.allocator.BuildTable(w.localTime(0), false, nil, nil) }
 			load(1)
-			w.requestTable(1) // the leader learns of the load
+			w.requestTable(1) // the leader receives the load in the notice
 			w.inFlight = nil
 			buildTable()
 			requestedAt := w.localTime(1)
@@ -323,8 +326,8 @@
 	}
 }
 
-// TestPartsFollowDemand: a node with demand gets the pool, one that has none gives it
-// back within the life of a table.
+// TestGrantsFollowDemand: a controller with demand gets the pool; one without demand returns
+// its grant within the lifetime of a table.
 func TestGrantsFollowDemand(t *testing.T) {
 	w := newTestCluster(3, 1, []int64{0, 0, 0})
 	round := func(busy ...int) {
@@ -352,23 +355,23 @@
 		round(1)
 	}
 	if r := w.allowances[1].Rate(w.now); r < baseAndPool-0.1 {
-		t.Errorf("alone with demand: %v of %v", r, baseAndPool)
+		t.Errorf("sole controller with demand: rate %v of %v", r, baseAndPool)
 	}
 	for range 20 {
 		round(2)
 	}
 	if idleRate, busyRate := w.allowances[1].Rate(w.now), w.allowances[2].Rate(w.now); idleRate > base+1 || busyRate < baseAndPool-1.5 {
-		t.Errorf("after the demand moved: %v and %v of %v", idleRate, busyRate, baseAndPool)
+		t.Errorf("after the demand moved: rates %v and %v of %v", idleRate, busyRate, baseAndPool)
 	}
 	w.now += 4 * clock.Second
 	if r := w.allowances[2].Rate(w.now); r != base {
-		t.Errorf("without a valid table: %v, not the base %v", r, base)
+		t.Errorf("without a valid table: rate %v, want the base %v", r, base)
 	}
 }
 
-// TestTurns: whoever comes back when told is taken within MaxSlots tables of his first
-// attempt, also while the number of slots changes, and those refused together do not
-// come back together.
+// TestSlotsUntil: a user who retries when told is accepted within MaxSlots tables of the
+// first attempt, even if the number of slots changes, and users who are refused together
+// are spread over the slots.
 func TestSlotsUntil(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := fmt.Sprintf("req-%06d", rapid.IntRange(0, 999999).Draw(t, "job"))
@@ -383,7 +386,7 @@
 			}
 			table.Number += uint64(wait)
 			if waited += wait; waited >= MaxSlots {
-				t.Fatalf("%d tables", waited)
+				t.Fatalf("not accepted after %d tables", waited)
 			}
 			slots = uint32(1) << rapid.IntRange(0, 4).Draw(t, "slots")
 		}
@@ -394,39 +397,39 @@
 		count[table.SlotsUntil(0, fmt.Sprintf("req-%06d", i))]++
 	}
 	if slices.Max(count) > 150 || slices.Min(count) < 50 {
-		t.Errorf("not spread: %v", count)
+		t.Errorf("jobs per slot are not spread: %v", count)
 	}
 }
 
-// TestQueue plays arrivals in any order: bounds hold, nothing is lost, and an account
-// that waits is served its round whatever the others send.
+// TestQueue pushes and pops in random order: the bounds hold, nothing is lost, and an account
+// with submissions is served in each round whatever the others send.
 func TestQueue(t *testing.T) {
 	type item struct{ account, cost int }
 	rapid.Check(t, func(t *rapid.T) {
 		const accounts = 4
 		q := NewQueue[item](accounts, Bounds{Count: 60, Bytes: 4000})
 		pushed, popped := 0, 0
-		servedAhead := make([]int, accounts) // changes of others since an account waits and was not served
+		servedAhead := make([]int, accounts) // by account: writes of others served while the account waited
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "push") {
 				x := item{rapid.IntRange(0, accounts-1).Draw(t, "account"), rapid.IntRange(1, 6).Draw(t, "cost")}
 				bytes := rapid.IntRange(1, 100).Draw(t, "bytes")
 				if !q.Fits(x.account, bytes) {
 					if q.lanes[x.account].count == 0 && q.Len() < 59 && q.bytes+bytes <= 2000 {
-						t.Fatal("an empty lane was refused")
+						t.Fatal("an empty lane did not fit although the queue has room")
 					}
 					continue
 				}
 				q.Push(x.account, Rank(rapid.IntRange(0, 2).Draw(t, "rank")), x.cost, bytes, 0, x)
 				pushed++
 				if q.Len() > 60 || q.bytes > 4000 {
-					t.Fatal("bounds")
+					t.Fatal("the queue exceeds its bounds")
 				}
 				continue
 			}
 			x, ok := q.Pop(100, true, func(item) bool { return true })
 			if ok != (q.Len() > 0 || ok) || !ok && q.Len() > 0 {
-				t.Fatal("something waits and nothing is served")
+				t.Fatal("the queue is not empty and nothing was popped")
 			}
 			if !ok {
 				continue
@@ -436,24 +439,24 @@
 				if a == x.account || q.QueuedCost(a) == 0 {
 					servedAhead[a] = 0
 				} else if servedAhead[a] += x.cost; servedAhead[a] > 2*(accounts-1)*(quantum+6) {
-					t.Fatalf("account %d was passed by %d changes", a, servedAhead[a])
+					t.Fatalf("account %d waited while %d writes of others were served", a, servedAhead[a])
 				}
 			}
 		}
 		for q.Len() > 0 {
 			if _, ok := q.Pop(1, true, func(item) bool { return true }); !ok {
-				t.Fatal("stuck")
+				t.Fatal("the queue is not empty and nothing was popped")
 			}
 			popped++
 		}
 		if pushed != popped || q.Cost() != 0 || q.bytes != 0 {
-			t.Fatalf("%d in, %d out", pushed, popped)
+			t.Fatalf("%d submissions pushed, %d popped", pushed, popped)
 		}
 	})
 }
 
-// TestQueueBurst: one account's burst, however long and first, leaves the others room,
-// and a retry goes before newcomers of its account.
+// TestQueueBurst: a long burst of one account leaves room for the others even if it comes
+// first, and a retry goes before new submissions of its account.
 func TestQueueBurst(t *testing.T) {
 	q := NewQueue[string](3, Bounds{Count: 100, Bytes: 1 << 20})
 	refused := 0
@@ -465,7 +468,7 @@
 		q.Push(0, RankNew, 1, 10, 1, "burst")
 	}
 	if refused == 0 || !q.Fits(1, 10) {
-		t.Fatalf("%d refused, %d wait", refused, q.Len())
+		t.Fatalf("%d refused, %d queued", refused, q.Len())
 	}
 	q.Push(1, RankNew, 1, 10, 2, "other")
 	q.Push(0, RankDependent, 1, 10, 3, "stage")
@@ -479,16 +482,16 @@
 		t.Error(order)
 	}
 	if q.CostAhead(1, RankNew, 1) > 2*quantum+2 || q.Oldest(9) != 1 {
-		t.Errorf("ahead %d, oldest %d", q.CostAhead(1, RankNew, 1), q.Oldest(9))
+		t.Errorf("cost ahead %d, oldest %d", q.CostAhead(1, RankNew, 1), q.Oldest(9))
 	}
 }
 
-// TestBudget: under a burst of one use the others keep their floors; unwanted floors
-// are lent.
+// TestBudget: under a burst of one class the others keep their minimum shares, and unused
+// shares are lent.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(30, 500).Draw(t, "rate")
-		minShares := rapid.SampledFrom([]MinShares{WriteMinShares, ReadMinShares}).Draw(t, "floors")
+		minShares := rapid.SampledFrom([]MinShares{WriteMinShares, ReadMinShares}).Draw(t, "min shares")
 		b := NewBudget(rate, minShares)
 		greedy := RequestClass(rapid.IntRange(0, len(minShares)-1).Draw(t, "greedy"))
 		modest := RequestClass(rapid.IntRange(0, len(minShares)-1).Draw(t, "modest"))
@@ -509,21 +512,21 @@
 			}
 		}
 		if minimum := int(minShares[modest]*rate*seconds*0.8) - 4; spent[modest] < minimum {
-			t.Fatalf("use %d got %d of its floor's %d beside %d", modest, spent[modest], minimum, greedy)
+			t.Fatalf("class %d got %d, want at least %d beside class %d", modest, spent[modest], minimum, greedy)
 		}
 		if maximum := int(rate*(seconds+1)) + 8; spent[greedy]+spent[modest] > maximum {
-			t.Fatalf("%d spent of %d", spent[greedy]+spent[modest], maximum)
+			t.Fatalf("%d tokens spent, want at most %d", spent[greedy]+spent[modest], maximum)
 		}
 		b.SetWaiting(modest, false)
 		at = at.Add(5 * time.Second)
 		if n := int(b.Available(at, greedy)); n < b.Burst()-1 {
-			t.Fatalf("%d lent of %d", n, b.Burst())
+			t.Fatalf("%d tokens available, want the whole burst of %d", n, b.Burst())
 		}
 	})
 }
 
-// TestShares: a team gets its part by its guarantee and no more than it can use, what one
-// leaves others get, and the shares are those of the whole room.
+// TestTeamShares: a team gets its share by its guarantee and no more than it can use, what it
+// leaves goes to the others, and the shares add up to the capacity or the demand.
 func TestTeamShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		accounts := testAccounts(rapid.IntRange(1, 4).Draw(t, "classes"))
@@ -532,7 +535,7 @@
 		demands := make([]Demand, accounts.Len())
 		teamDemands, sum := make([]float64, 2), 0.0
 		for i := range demands {
-			demands[i] = Demand{Held: rapid.Float64Range(0, 50).Draw(t, "held"), Waiting: float64(rapid.IntRange(0, 3).Draw(t, "some")) * 400}
+			demands[i] = Demand{Held: rapid.Float64Range(0, 50).Draw(t, "held"), Waiting: float64(rapid.IntRange(0, 3).Draw(t, "waiting")) * 400}
 			for j, team := range teams {
 				if accounts.Accounts[i].Team == team.Name {
 					teamDemands[j] += demands[i].Held + demands[i].Waiting
@@ -548,42 +551,41 @@
 			sum += teamDemands[j]
 			guarantee := max(teams[j].Guarantee, 0.001)
 			if minimum := min(teamDemands[j], capacity*guarantee/(teams[0].Guarantee+teams[1].Guarantee+0.001)); share < minimum-0.1 || share > teamDemands[j]+0.1 {
-				t.Fatalf("team %d gets %v of %v wanted, at least %v", j, share, teamDemands[j], minimum)
+				t.Fatalf("team %d gets %v of %v demanded, want at least %v", j, share, teamDemands[j], minimum)
 			}
 			given += share
 		}
 		if want := min(sum, capacity); given < want-0.1 || given > want+0.1 {
-			t.Fatalf("%v given of %v", given, want)
+			t.Fatalf("shares add up to %v, want %v", given, want)
 		}
 	})
 }
 
-// TestTurns of the floor: of each account just as many jobs have a turn as it lacks, those
-// that take least; the account that is served least comes first, so accounts whose bursts
-// differ tenfold are served alike at any moment; what they have beyond is spare.
+// TestMinServedShare: in each account exactly as many jobs are needed as it lacks for its
+// minimum share, those with the least work, and all its other jobs are surplus.
 func TestMinServedShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const accounts = 3
-		minShares := []float64{0.55, 0.55, rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "floor")}
+		minShares := []float64{0.55, 0.55, rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "min share")}
 		s := NewObjectiveTracker(minShares)
 		now := Micros(0)
-		for range rapid.IntRange(0, 30).Draw(t, "over") {
+		for range rapid.IntRange(0, 30).Draw(t, "finished") {
 			now += clock.Second
-			s.RecordFinished(rapid.IntRange(-1, accounts).Draw(t, "of"), rapid.Bool().Draw(t, "good"), now)
+			s.RecordFinished(rapid.IntRange(-1, accounts).Draw(t, "finished account"), rapid.Bool().Draw(t, "met"), now)
 		}
 		if rapid.Bool().Draw(t, "takeover") {
 			next := NewObjectiveTracker(minShares)
 			next.Restore(s.Counts(now), now)
 			s = next
 		}
-		jobs := make([]UnfinishedJob, rapid.IntRange(0, 60).Draw(t, "cases"))
+		jobs := make([]UnfinishedJob, rapid.IntRange(0, 60).Draw(t, "jobs"))
 		counts := s.Counts(now)
 		total, onTime, open := make([]float64, accounts), make([]float64, accounts), make([]int, accounts)
 		for i := range jobs {
 			c := &jobs[i]
 			c.Account = rapid.IntRange(-1, accounts-1).Draw(t, "account")
-			c.Feasibility = Feasibility(rapid.IntRange(0, 3).Draw(t, "prospect"))
-			c.RemainingWork, c.ID = float64(rapid.IntRange(0, 9).Draw(t, "rest")), string(rune('a'+i))
+			c.Feasibility = Feasibility(rapid.IntRange(0, 3).Draw(t, "feasibility"))
+			c.RemainingWork, c.ID = float64(rapid.IntRange(0, 9).Draw(t, "work")), string(rune('a'+i))
 			if c.Account >= 0 {
 				total[c.Account]++
 				switch c.Feasibility {
@@ -616,17 +618,17 @@
 				}
 			}
 			if want := min(missing, open[a]); needed != want {
-				t.Fatalf("account %d of %v jobs, %v served: %d have a turn, %d lack", a, counted, served, needed, want)
+				t.Fatalf("account %d of %v jobs, %v served: %d jobs needed, want %d", a, counted, served, needed, want)
 			}
 			if needed < open[a] && largest > smallest {
-				t.Fatalf("a job of %v has a turn before one of %v", largest, smallest)
+				t.Fatalf("a job with %v CPU-seconds left is needed before one with %v", largest, smallest)
 			}
 		}
 	})
 }
 
-// TestServedAlike: two classes whose bursts differ tenfold get their turns in like measure,
-// as the index by Jain shows wherever the turns are cut off, and a small one is not drowned.
+// TestServedSharesAreEven: classes whose bursts differ ten- and a hundredfold are served evenly,
+// wherever the order by served share is cut off, as measured by Jain's fairness index.
 func TestServedSharesAreEven(t *testing.T) {
 	s := NewObjectiveTracker([]float64{0.55, 0.55, 0.55})
 	var jobs []UnfinishedJob
@@ -650,13 +652,13 @@
 		}
 		a, b, c := n[0]/400, n[1]/40, n[2]/4
 		if jain := (a + b + c) * (a + b + c) / (3 * (a*a + b*b + c*c)); jain < 0.93 {
-			t.Errorf("after %d turns %v, %v and %v are served: %v", cut, a, b, c, jain)
+			t.Errorf("after %d jobs the shares %v, %v and %v are served: Jain's index %v", cut, a, b, c, jain)
 		}
 	}
 }
 
-// TestMode: overload begins and ends late, so that the order does not flap, and not
-// while there are machines to be had.
+// TestOverloadMode: overload begins and ends with a delay, so that the order does not change
+// back and forth, and does not begin while machines can be rented.
 func TestOverloadMode(t *testing.T) {
 	accounts := testAccounts(1)
 	s := NewTeamShares(accounts, []Team{{"t", 0, 0}}, Settings{Enabled: true, OverloadBacklog: 30 * clock.Second})
@@ -673,12 +675,13 @@
 	}{{0, 10, false, false}, {10, 1000, true, false}, {20, 1000, false, false}, {24, 1000, false, true},
 		{25, 50, false, true}, {26, 5, false, true}, {27, 500, true, true}, {30, 5, true, true}, {40, 5, true, false}} {
 		if got := evaluate(c.at, c.waiting, c.canRent); got != c.want {
-			t.Errorf("at %d s with %v waiting: overload %v", c.at, c.waiting, got)
+			t.Errorf("at %d s with %v CPUs waiting: overload %v", c.at, c.waiting, got)
 		}
 	}
 }
 
-// TestNotices: a refusal is known to all nodes, bounded, and forgotten.
+// TestRefusalNotices: a refusal reaches all controllers, in notices of bounded size, and is
+// forgotten after a while.
 func TestRefusalNotices(t *testing.T) {
 	accounts := testAccounts(1)
 	a, b := NewAllowance(accounts, LimitsOf(100, 2)), NewAllowance(accounts, LimitsOf(100, 2))
@@ -687,20 +690,20 @@
 	}
 	n := a.Notice(func(int) int { return 7 }, clock.Second)
 	if len(n.Refusals) != maxNoticeRefusals || len(a.refusals.byHash) > maxRememberedRefusals || n.Accounts[1].Queued != 7 || n.Accounts[1].Refused == 0 {
-		t.Errorf("%d told, %d remembered, %+v", len(n.Refusals), len(a.refusals.byHash), n.Accounts[1])
+		t.Errorf("%d refusals in the notice, %d remembered, arrivals %+v", len(n.Refusals), len(a.refusals.byHash), n.Accounts[1])
 	}
 	b.MergeRefusals(n, 2*clock.Second)
 	if !b.WasRefused("req-000000", 3*clock.Second) || b.WasRefused("req-000000", 70*clock.Second) || b.WasRefused("req-999999", 3*clock.Second) {
-		t.Error("what a peer refused")
+		t.Error("refusals of a peer are not remembered as expected")
 	}
 	b.MergeRefusals(&Notice{Digest: 1, Refusals: []Refusal{{Hash: Hash("req-999999")}}}, 2*clock.Second)
 	if b.WasRefused("req-999999", 3*clock.Second) {
-		t.Error("a notice of other settings was taken")
+		t.Error("a notice made from other settings was merged")
 	}
 }
 
-// BenchmarkDecision is the cost of judging one submission among 1,000 accounts; a
-// refusal allocates nothing.
+// BenchmarkDecision measures the decision on one submission among 1,000 accounts. A refusal
+// allocates nothing.
 func BenchmarkDecision(b *testing.B) {
 	accounts := testAccounts(499)
 	p := NewAllowance(accounts, LimitsOf(100, 3))
@@ -713,7 +716,7 @@
 	for i := range 300 {
 		q.Push(i*3, RankNew, 1, 100, 0, i)
 	}
-	for i := range 2 * maxRememberedRefusals { // its memory is full
+	for i := range 2 * maxRememberedRefusals { // fill the memory of refusals
 		p.RecordRefusal(3, 1, fmt.Sprintf("req-%06d", i), 4, 0)
 	}
 	jobs := make([]string, 512)
