--- a/internal/quota/amounts.go
+++ b/internal/quota/amounts.go
@@ -1,5 +1,7 @@
-// Package quota holds the tree of organisations that divide, lend and take back
-// their share. It is pure: no I/O, no clock, and amounts are integers.
+// Package quota holds the tree of organisational units that divide, lend and reclaim
+// resources, and the changes that operators make to it. It decides which tasks may start
+// within the limits and which must give resources back; it neither places nor stops tasks.
+// It does no I/O, reads no clock and calculates in integers.
 package quota
 
 import (
@@ -9,26 +11,27 @@
 	"math/bits"
 )
 
-// Amounts are resources: thousandths of a CPU, thousandths of an accelerator,
-// and bytes.
+// Resources is an amount of each resource: thousandths of a CPU, thousandths of an
+// accelerator, and bytes of memory.
 type Resources struct {
 	CPUs   int64 `msgpack:"c"`
 	GPUs   int64 `msgpack:"g,omitempty"`
 	Memory int64 `msgpack:"m"`
 }
 
-// Unlimited stands in a limit for a resource that has none.
+// Unlimited in a limit means that the resource has no limit.
 const Unlimited = math.MaxInt64
 
-// Most is the largest amount that a node may be given: sums of as many nodes as a
-// tree may have stay far below an overflow.
+// MaxAmount is the largest amount that a node may be given. The sum over MaxNodes nodes stays
+// far below an overflow.
 const MaxAmount = int64(1) << 50
 
-// resources is how many resources there are; at numbers them.
+// numResources is the number of resources; component numbers them.
 const numResources = 3
 
 var resourceNames = [numResources]string{"cpus", "gpus", "memory"}
 
+// component returns the amount of resource i.
 func (a *Resources) component(i int) *int64 {
 	switch i {
 	case 0:
@@ -40,12 +43,12 @@
 	}
 }
 
-// each makes amounts resource by resource.
+// perResource builds Resources from a function of the resource's number.
 func perResource(f func(i int) int64) Resources {
 	return Resources{f(0), f(1), f(2)}
 }
 
-// Plus and Minus move amounts between sums. What is unlimited stays so.
+// Add returns a+b. A resource that is unlimited in either stays unlimited.
 func (a Resources) Add(b Resources) Resources {
 	return perResource(func(i int) int64 {
 		x, y := *a.component(i), *b.component(i)
@@ -56,7 +59,7 @@
 	})
 }
 
-// Minus takes b away.
+// Sub returns a-b. A resource that is unlimited in a stays unlimited.
 func (a Resources) Sub(b Resources) Resources {
 	return perResource(func(i int) int64 {
 		if *a.component(i) == Unlimited {
@@ -66,24 +69,26 @@
 	})
 }
 
-// Within reports whether no resource is above that of b.
+// Within reports whether no resource of a exceeds that of b.
 func (a Resources) Within(b Resources) bool {
 	return a.CPUs <= b.CPUs && a.GPUs <= b.GPUs && a.Memory <= b.Memory
 }
 
-// IsZero reports whether there is nothing.
+// IsZero reports whether all amounts are zero.
 func (a Resources) IsZero() bool { return a == Resources{} }
 
-// least and most are taken resource by resource.
+// minResources returns the smaller amount of each resource.
 func minResources(a, b Resources) Resources {
 	return perResource(func(i int) int64 { return min(*a.component(i), *b.component(i)) })
 }
 
+// maxResources returns the larger amount of each resource.
 func maxResources(a, b Resources) Resources {
 	return perResource(func(i int) int64 { return max(*a.component(i), *b.component(i)) })
 }
 
-// share is whole*part/of, rounded down, for 0 <= part <= of.
+// mulDiv returns x*numerator/denominator, rounded down, without overflow, for
+// 0 <= numerator <= denominator; it returns 0 if denominator is 0.
 func mulDiv(x, numerator, denominator int64) int64 {
 	if denominator == 0 {
 		return 0
@@ -93,7 +98,7 @@
 	return int64(q)
 }
 
-// compareShares compares a/b with c/d, for amounts that are not negative and weights
+// compareRatios compares a/b with c/d without overflow, for a and c of at least 0 and b and d
 // above 0.
 func compareRatios(a, b, c, d int64) int {
 	h1, l1 := bits.Mul64(uint64(a), uint64(d))
@@ -101,7 +106,8 @@
 	return cmp.Or(cmp.Compare(h1, h2), cmp.Compare(l1, l2))
 }
 
-// check reports amounts that no node may have.
+// check returns an error for an amount that no node may have. unlimited says whether
+// Unlimited is allowed.
 func (a Resources) check(field string, unlimited bool) error {
 	for i, name := range resourceNames {
 		switch x := *a.component(i); {
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Operations on a tree.
+// Operations of a change.
 const (
-	OpGrant  = "grant"  // sets a node's guarantee, limit or weight to more
-	OpShrink = "shrink" // or to less
-	OpAdd    = "add"
-	OpRemove = "remove"
-	OpMove   = "move" // below another parent
+	OpGrant  = "grant"  // raises a node's guarantee or limit, and may set its weight
+	OpShrink = "shrink" // lowers a node's guarantee or limit, and may set its weight
+	OpAdd    = "add"    // adds a node
+	OpRemove = "remove" // removes a node that has no children and holds nothing
+	OpMove   = "move"   // moves a node below another parent
 )
 
-// Change is what an operator asks for. ID names it for ever: a change that is
-// repeated lands once. Version is that of the tree which the operator saw.
+// Change is an operator's request to change the tree. Its ID is unique for ever: a change
+// that is repeated is applied once. Version is the version of the tree that the operator saw.
 type Change struct {
 	ID        string     `msgpack:"id"`
 	Version   uint64     `msgpack:"version"`
@@ -24,47 +24,50 @@
 	Parent    string     `msgpack:"parent,omitempty"`    // add, move
 	Guarantee *Resources `msgpack:"guarantee,omitempty"` // add, grant, shrink
 	Limit     *Resources `msgpack:"limit,omitempty"`     // add, grant, shrink
-	Weight    int64      `msgpack:"weight,omitempty"`    // add, grant, shrink; 0: as it is, or 1
+	Weight    int64      `msgpack:"weight,omitempty"`    // add, grant, shrink; 0 keeps the weight, or means 1 for a new node
 	Team      string     `msgpack:"team,omitempty"`      // add
 	Classes   []string   `msgpack:"classes,omitempty"`   // add
 }
 
-// Refusal says why a change is not made.
+// Refusal is the error that says why a change was not applied.
 type Refusal struct {
-	Malformed bool // not a change at all, whatever the tree
-	Stale     bool // made for another version
+	Malformed bool // invalid whatever the tree is
+	Stale     bool // made for another version of the tree
 	Reason    string
 }
 
+// Error returns the reason.
 func (r *Refusal) Error() string { return r.Reason }
 
+// malformed returns the refusal of a change that is invalid whatever the tree is.
 func malformed(format string, args ...any) *Refusal {
 	return &Refusal{Malformed: true, Reason: fmt.Sprintf("quota: change."+format, args...)}
 }
 
+// refusalFor returns the refusal of a change that the present tree does not allow.
 func refusalFor(err error) *Refusal { return &Refusal{Reason: err.Error()} }
 
-// recent is how many changes are remembered by their ids: what is older is stale
-// by its version anyway, since each change raises that by one.
+// maxApplied is the number of applied changes whose ids are remembered. Older ones are stale
+// by their version, since each change raises the version by one.
 const maxApplied = 64
 
-// Book is a tree with its version and the changes that made it.
+// VersionedTree is a tree with its version and its latest changes.
 type VersionedTree struct {
 	Tree    *Tree
 	Version uint64
-	Applied []AppliedChange // the latest last
+	Applied []AppliedChange // latest last
 }
 
-// Landed is a change that was made.
+// AppliedChange is a change that was applied.
 type AppliedChange struct {
 	ID      string `msgpack:"id"`
-	Version uint64 `msgpack:"v"` // that it made
+	Version uint64 `msgpack:"v"` // the version that the change made
 }
 
-// Decide makes a change, or says why not. The version given back is that which the
-// change made, also when it had landed before. No spec but that of the node it names
-// differs then. The book is a new one, and the old one stays as it was, so that what is
-// not committed need not be taken back.
+// Apply returns the tree after a change, or says why the change is refused. The version is the
+// one that the change made, also if it was applied before. Only the spec of the node that the
+// change names differs. The receiver stays as it was, so a change that is not committed need
+// not be undone.
 func (b *VersionedTree) Apply(c *Change) (next *VersionedTree, version uint64, err *Refusal) {
 	if err := c.check(); err != nil {
 		return nil, 0, err
@@ -75,7 +78,7 @@
 		}
 	}
 	if c.Version != b.Version {
-		return nil, 0, &Refusal{Stale: true, Reason: fmt.Sprintf("quota: change.version: %d is not the present %d", c.Version, b.Version)}
+		return nil, 0, &Refusal{Stale: true, Reason: fmt.Sprintf("quota: change.version: %d is not the current version %d", c.Version, b.Version)}
 	}
 	tree, err := b.Tree.apply(c)
 	if err != nil {
@@ -86,9 +89,10 @@
 	return next, next.Version, nil
 }
 
+// check returns the refusal of a change that is invalid whatever the tree is, or nil.
 func (c *Change) check() *Refusal {
 	if c.ID == "" || len(c.ID) > MaxName {
-		return malformed("id: 1 to %d characters are needed", MaxName)
+		return malformed("id: must have 1 to %d characters", MaxName)
 	}
 	if c.Name == "" {
 		return malformed("name: missing")
@@ -116,7 +120,7 @@
 	return nil
 }
 
-// apply gives the tree after a change, with all that is held.
+// apply returns the tree after a change, with everything that is held.
 func (t *Tree) apply(c *Change) (*Tree, *Refusal) {
 	specs := make([]Spec, 0, len(t.order)+1)
 	for _, n := range t.order {
@@ -124,7 +128,7 @@
 	}
 	index := slices.IndexFunc(specs, func(s Spec) bool { return s.Name == c.Name })
 	if index < 0 && c.Op != OpAdd {
-		return nil, refusalFor(nodeError(c.Name, "name: there is no such node"))
+		return nil, refusalFor(nodeError(c.Name, "name: node does not exist"))
 	}
 	switch c.Op {
 	case OpGrant, OpShrink:
@@ -138,12 +142,12 @@
 			}
 			notAbove, notBelow := field.requested.Within(*field.current), field.current.Within(*field.requested)
 			if c.Op == OpGrant && !notBelow || c.Op == OpShrink && !notAbove {
-				return nil, refusalFor(nodeError(c.Name, "%s: a %s can't set %v to %v", field.name, c.Op, *field.current, *field.requested))
+				return nil, refusalFor(nodeError(c.Name, "%s: a %s cannot change %v to %v", field.name, c.Op, *field.current, *field.requested))
 			}
 			*field.current = *field.requested
 		}
 		if c.Op == OpShrink && c.Limit != nil && c.Guarantee == nil {
-			s.Guarantee = minResources(s.Guarantee, s.Limit) // nobody is guaranteed more than the limit
+			s.Guarantee = minResources(s.Guarantee, s.Limit) // a guarantee never exceeds the limit
 		}
 		if c.Weight != 0 {
 			s.Weight = c.Weight
@@ -154,10 +158,10 @@
 	case OpRemove:
 		n := t.nodes[c.Name]
 		if len(n.children) > 0 {
-			return nil, refusalFor(nodeError(c.Name, "name: has children"))
+			return nil, refusalFor(nodeError(c.Name, "name: node has children"))
 		}
 		if !n.held.IsZero() {
-			return nil, refusalFor(nodeError(c.Name, "name: holds %v; shrink it to nothing first", n.held))
+			return nil, refusalFor(nodeError(c.Name, "name: node holds %v; shrink it to zero first", n.held))
 		}
 		specs = slices.Delete(specs, index, index+1)
 	case OpMove:
@@ -179,9 +183,9 @@
 	return next, nil
 }
 
-// follows judges what Build does not: a node gives its children no more than it
-// holds, unless a shrink of its own made it so, and a subtree that moves while in
-// use fits where it goes at once.
+// checkTransition checks what Build does not: a node's children have no larger guarantees
+// together than the node, unless a shrink caused it, and a subtree that moves while in use
+// fits at once below its new parent.
 func (t *Tree) checkTransition(before *Tree, c *Change) error {
 	for _, n := range t.order {
 		overcommit := n.overcommit()
@@ -189,7 +193,7 @@
 			continue
 		}
 		if !overcommit.IsZero() {
-			return nodeError(n.Name, "guarantee: its children would have %v more than it", overcommit)
+			return nodeError(n.Name, "guarantee: the children's guarantees would exceed it by %v", overcommit)
 		}
 	}
 	if c.Op != OpMove && c.Op != OpAdd {
@@ -197,7 +201,7 @@
 	}
 	for n := t.nodes[c.Name].parent; n != nil; n = n.parent {
 		if previous := before.nodes[n.Name]; n.held != previous.held && !n.held.Within(maxResources(n.Limit, previous.held)) {
-			return nodeError(n.Name, "limit: %v held by %s do not fit", t.nodes[c.Name].held, c.Name)
+			return nodeError(n.Name, "limit: %v held by %s does not fit", t.nodes[c.Name].held, c.Name)
 		}
 	}
 	return nil
--- a/internal/quota/divide.go
+++ b/internal/quota/divide.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Ask is one side's wish when something is divided: machines' CPUs among teams and
-// classes, or changes of the state service among nodes.
+// Request is one participant's request when Divide splits a total, such as the machines' CPUs
+// among teams or the state service's write rate among controllers.
 type Request struct {
-	Demand  int64 // takes no more than this
-	Minimum int64 // is given this much first, as far as it is wanted
-	Weight  int64 // its part of what is left; below 1 counts as 1
+	Demand  int64 // most that the participant takes
+	Minimum int64 // given first, up to Demand
+	Weight  int64 // relative share of the rest; below 1 counts as 1
 }
 
-// Divide shares a total out by weighted max-min: floors first, in proportion if
-// they are more than there is; then everybody's part of the rest grows with his
-// weight until he has what he wants. No part exceeds its want, the parts together
-// are the smaller of the total and all wants, and what one side leaves the others
-// get. Amounts below 0 count as 0.
+// Divide splits a total by weighted max-min fairness. Minimums are met first, in proportion
+// if they exceed the total; then all shares grow by weight until each reaches its demand. No
+// share exceeds its demand, and the shares add up to the total or the sum of the demands,
+// whichever is smaller, so what one participant leaves goes to the others. Negative amounts
+// count as 0.
 func Divide(total int64, requests []Request) []int64 {
 	shares := make([]int64, len(requests))
 	var minimums, demands uint64
@@ -44,8 +44,8 @@
 		distributeRemainder(shares, requests, remainder)
 		return shares
 	}
-	// The least hungry for his weight is satisfied first; what he leaves is there
-	// for all that come after.
+	// Requests with the smallest unmet demand relative to their weight are satisfied first; what
+	// they leave is available to all later ones.
 	order := make([]int, len(requests))
 	weights := int64(0)
 	for i := range requests {
@@ -76,7 +76,7 @@
 	return shares
 }
 
-// spread hands out the few units that rounding left.
+// distributeRemainder distributes the few units that rounding left.
 func distributeRemainder(shares []int64, requests []Request, remainder int64) {
 	for i := 0; remainder > 0 && i < len(shares); i++ {
 		if shares[i] < requests[i].Demand {
@@ -86,11 +86,13 @@
 	}
 }
 
+// effectiveWeight returns the weight of a request within its bounds.
 func effectiveWeight(r Request) int64 { return min(max(r.Weight, 1), MaxRequestWeight) }
 
-// MaxAskWeight bounds a weight so that the sum over many asks is no overflow.
+// MaxRequestWeight bounds a weight so that the sum over many requests does not overflow.
 const MaxRequestWeight = int64(1) << 40
 
+// addSaturating returns a+b, or the largest uint64 if the sum overflows.
 func addSaturating(a, b uint64) uint64 {
 	if s, over := bits.Add64(a, b, 0); over == 0 {
 		return s
--- a/internal/quota/lend.go
+++ b/internal/quota/lend.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Want notes what a leaf's waiting tasks need. Together with its entitlement that
-// makes its claim, which borrowers have to leave free.
+// SetDemand sets what a leaf's waiting tasks need. The part within the leaf's entitlement is
+// its claim, which borrowers must leave free.
 func (t *Tree) SetDemand(leaf *Node, need Resources) {
 	leaf.demand = need
 	t.updateClaim(leaf)
 }
 
-// ask works a leaf's claim out again, and with it the claims of all above it.
+// updateClaim recomputes the claim of a leaf and updates the claims of all nodes above it.
 func (t *Tree) updateClaim(leaf *Node) {
 	claim := minResources(leaf.demand, leaf.unusedEntitlement())
 	for n := leaf.parent; n != nil; n = n.parent {
@@ -21,18 +21,17 @@
 	leaf.claim = claim
 }
 
-// spare is what a node is entitled to and does not hold.
+// unusedEntitlement returns what a node is entitled to and does not hold.
 func (n *Node) unusedEntitlement() Resources {
 	return maxResources(n.entitled.Sub(n.held), Resources{})
 }
 
-// Allows reports whether a leaf may start one more task. No node on the way up may
-// pass its limit. Where a node goes beyond its entitlement it borrows from its
-// siblings, and must leave them what they wait for and are entitled to: an idle
-// share is lent, an asked one is not.
+// Allows reports whether a leaf may start one more task. No node on the path to the root may
+// exceed its limit. A node beyond its entitlement borrows from its siblings and must leave
+// them what they claim: an idle share is lent, a claimed share is not.
 func (t *Tree) Allows(leaf *Node, need Resources) bool {
 	var below *Node
-	var reserve Resources // claims of others that go before, wherever they are below n
+	var reserve Resources // claims of siblings at all levels up to n, which go before borrowing
 	borrows := false
 	for n := leaf; n != nil; below, n = n, n.parent {
 		if borrows {
@@ -46,8 +45,8 @@
 	return true
 }
 
-// fits reports whether there is room for what is needed; what is not needed at all
-// fits into a node that is over its limit.
+// fits reports whether a is available in free. A resource of which nothing is needed fits even
+// if the node is over its limit.
 func (a Resources) fits(free Resources) bool {
 	for i := range numResources {
 		if x := *a.component(i); x > 0 && x > *free.component(i) {
@@ -57,8 +56,9 @@
 	return true
 }
 
-// Possible reports whether a leaf could ever hold so much: it fits below each limit
-// that is set on the way up. The node named is the first where it does not.
+// FitsLimits reports whether the limits on the path to the root allow a leaf to hold need at
+// all, whatever is held now. If not, it returns the name of the first node whose limit is too
+// low.
 func (t *Tree) FitsLimits(leaf *Node, need Resources) (string, bool) {
 	for n := leaf; n != nil; n = n.parent {
 		if !need.fits(n.Limit) {
@@ -68,9 +68,9 @@
 	return "", true
 }
 
-// Before orders two leaves that both want to borrow: where their ways up part, the
-// one goes first whose side has borrowed less for its weight. Unused share so goes
-// to siblings by weight, and then up the tree.
+// CompareBorrowed orders two leaves that both borrow: at the level where their paths to the
+// root meet, the side that has borrowed less relative to its weight goes first. An unused
+// share is thus offered to siblings by weight, and then further up the tree.
 func (t *Tree) CompareBorrowed(a, b *Node) int {
 	for a.depth > b.depth {
 		a = a.parent
@@ -87,24 +87,24 @@
 	return compareRatios(a.borrowed(), a.Weight, b.borrowed(), b.Weight)
 }
 
-// borrowed is the CPUs held beyond the entitlement: the measure by which lenders'
+// borrowed returns the thousandths of a CPU held beyond the entitlement, by which a lent
 // share is divided.
 func (n *Node) borrowed() int64 { return max(n.held.CPUs-n.entitled.CPUs, 0) }
 
-// Due is what the tasks of a leaf have to give back.
+// Reclaim is an amount that the tasks of a leaf must give back.
 type Reclaim struct {
 	Leaf      *Node
 	Amount    Resources
-	OverLimit bool  // a limit on its way up is below what is held
-	Claimant  *Node // otherwise, the leaf that asks for its share
+	OverLimit bool  // a limit on the leaf's path to the root is below what is held
+	Claimant  *Node // otherwise, the leaf whose claim the amount is for
 }
 
-// Dues lists who must give back how much: what is above a limit first, then what
-// keeps a claim from being met. Of the borrowers under the node that is short, those
-// give back first that have borrowed most for their weight.
+// Reclaims lists what leaves must give back: first what exceeds a limit, then what prevents a
+// claim from being met. Below the node that lacks room, those that have borrowed most relative
+// to their weight give back first.
 func (t *Tree) Reclaims() []Reclaim {
 	g := &reclaimPlan{planned: map[*Node]Resources{}}
-	for i := len(t.order) - 1; i >= 0; i-- { // below first: that counts further up
+	for i := len(t.order) - 1; i >= 0; i-- { // children first, as their amounts count further up
 		n := t.order[i]
 		if excess := maxResources(n.held.Sub(g.planned[n]).Sub(n.Limit), Resources{}); !excess.IsZero() {
 			g.collect(n, excess, nil, Reclaim{OverLimit: true})
@@ -119,9 +119,9 @@
 	return g.reclaims
 }
 
-// recall takes back what keeps a leaf's claim from being met. At each node on the way
-// up that lacks room the other children give as far as the side that asks is entitled
-// to it; the rest has to come from that side itself, where somebody borrowed it.
+// reclaimFor plans the reclaims that a leaf's claim needs. At each node on the path to the
+// root that lacks room, the other children give back up to what the claiming side is entitled
+// to; the rest comes from the claiming side itself, where another leaf borrowed it.
 func (g *reclaimPlan) reclaimFor(leaf *Node) {
 	path := []*Node{leaf}
 	for n := leaf.parent; n != nil; n = n.parent {
@@ -130,7 +130,7 @@
 	for i, n := range path[1:] {
 		free := n.Limit.Sub(n.held.Sub(g.planned[n]))
 		shortfall := perResource(func(r int) int64 {
-			if *leaf.claim.component(r) == 0 { // what it does not claim it does not lack
+			if *leaf.claim.component(r) == 0 { // a resource that is not claimed is not short
 				return 0
 			}
 			return max(*leaf.claim.component(r)-*free.component(r), 0)
@@ -143,14 +143,14 @@
 	}
 }
 
-// giver adds up what is given back while it is being listed.
+// reclaimPlan collects reclaims and how much of each node's holdings they cover.
 type reclaimPlan struct {
 	planned  map[*Node]Resources
 	reclaims []Reclaim
 }
 
-// collect takes an amount back from below n. What the child named by asks holds is
-// left alone.
+// collect reclaims up to amount below n, except from the child exclude, and returns what it
+// found.
 func (g *reclaimPlan) collect(n *Node, amount Resources, exclude *Node, reclaim Reclaim) Resources {
 	if len(n.children) == 0 {
 		available := g.aboveEntitlement(n)
@@ -178,8 +178,8 @@
 			total = total.Add(g.collect(c, part, nil, reclaim))
 		}
 	}
-	// Those beyond their entitlement give first, and no more than that; a shrink goes
-	// on with what was guaranteed.
+	// Children beyond their entitlement give back first, and no more than the excess; only a
+	// shrink also takes what is guaranteed.
 	for _, c := range children {
 		collectFrom(c, g.aboveEntitlement(c))
 	}
@@ -191,7 +191,8 @@
 	return total
 }
 
-// beyond is what a node holds above its entitlement, less what it gives back.
+// aboveEntitlement returns what a node holds beyond its entitlement, less its planned
+// reclaims.
 func (g *reclaimPlan) aboveEntitlement(n *Node) Resources {
 	return maxResources(n.held.Sub(g.planned[n]).Sub(n.entitled), Resources{})
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -10,9 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain plays more cases than the library's hundred, unless told otherwise: some
-// guards are missed by those. The seed is fixed so that the verdict is the same each
-// time; a run by hand may set another with -rapid.seed.
+// TestMain runs 3000 cases instead of rapid's default of 100, since 100 miss some of the
+// guards. The seed is fixed so that the result is reproducible; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.checks", "3000")
 	flag.Set("rapid.seed", "1")
@@ -23,14 +22,14 @@
 
 func cpus(n int64) Resources { return Resources{CPUs: n} }
 
-// model plays a tree against a plain account of it: what each leaf holds as a list
-// of tasks, and the limits in force as the note defines them, lowered step by step.
+// model checks a tree against a simple model of it: the tasks of each leaf as a list, and the
+// limits in force, which fall step by step after a shrink.
 type model struct {
 	t         *rapid.T
 	versioned *VersionedTree
-	tasks     map[string][]Resources // by leaf
-	inForce   map[string]Resources
-	changes   int
+	tasks     map[string][]Resources // by leaf: what each task holds
+	inForce   map[string]Resources   // by node: the limit in force
+	changes   int                    // changes made, to number their ids
 }
 
 func newModel(t *rapid.T) *model {
@@ -74,7 +73,7 @@
 		}
 	}
 	if len(leaves) == 0 {
-		m.t.Skip("no leaf is left")
+		m.t.Skip("the tree has no leaf")
 	}
 	return rapid.SampledFrom(leaves).Draw(m.t, "leaf")
 }
@@ -94,7 +93,7 @@
 	m.versioned.Tree.Release(n, need)
 }
 
-// held adds up what a subtree's tasks hold, from the account alone.
+// held returns what a subtree's tasks hold, from the lists of tasks alone.
 func (m *model) held(n *Node) Resources {
 	var sum Resources
 	for _, need := range m.tasks[n.Name] {
@@ -106,25 +105,26 @@
 	return sum
 }
 
-// check is the bound and the conservation of what is held, after every step.
+// check runs after every step. It verifies that the tree holds what the tasks hold, within the
+// limits in force, and that claims add up.
 func (m *model) check() {
 	for _, n := range m.versioned.Tree.Nodes() {
 		held := m.held(n)
 		if held != n.Held() {
-			m.t.Fatalf("%s holds %v by the account, %v by the tree", n.Name, held, n.Held())
+			m.t.Fatalf("%s holds %v by the model, %v by the tree", n.Name, held, n.Held())
 		}
 		effective, ok := m.inForce[n.Name]
 		if !ok {
 			effective = n.Limit
 		}
-		// The limit in force rises with the one that is set, and falls to it only as
-		// tasks are proven gone.
+		// The limit in force rises with the limit that is set, and falls to it only as tasks are
+		// proven to have ended.
 		effective = maxResources(n.Limit, minResources(effective, held))
 		if !held.Within(effective) {
-			m.t.Fatalf("%s holds %v, in force is %v", n.Name, held, effective)
+			m.t.Fatalf("%s holds %v, the limit in force is %v", n.Name, held, effective)
 		}
 		if effective != n.EffectiveLimit() {
-			m.t.Fatalf("%s: in force is %v by the account, %v by the tree", n.Name, effective, n.EffectiveLimit())
+			m.t.Fatalf("%s: the limit in force is %v by the model, %v by the tree", n.Name, effective, n.EffectiveLimit())
 		}
 		m.inForce[n.Name] = effective
 		var claims Resources
@@ -132,25 +132,25 @@
 			claims = claims.Add(c.claim)
 		}
 		if len(n.children) > 0 && claims != n.claim {
-			m.t.Fatalf("%s: claims %v, its children's are %v", n.Name, n.claim, claims)
+			m.t.Fatalf("%s claims %v, its children claim %v", n.Name, n.claim, claims)
 		}
 	}
 }
 
-// starts tries a start. It must fit the limits in force as they are when the step
-// begins, not as it makes them.
+// tryStart starts a task if the tree allows it. The task must fit the limits in force before
+// the step, not those that the step itself causes.
 func (m *model) tryStart(n *Node, need Resources) {
 	limits := map[string]Resources{}
 	for a := n; a != nil; a = a.parent {
 		limits[a.Name] = maxResources(m.inForce[a.Name], a.Limit)
 		if !a.Held().Within(a.Limit) {
-			limits[a.Name] = a.Held() // nothing new above what is set
+			limits[a.Name] = a.Held() // nothing new starts above the limit that is set
 		}
 	}
 	if m.start(n, need) {
 		for a := n; a != nil; a = a.parent {
 			if need.CPUs > 0 && !a.Held().Within(limits[a.Name]) {
-				m.t.Fatalf("%s: a start on %s makes it hold %v of %v", a.Name, n.Name, a.Held(), limits[a.Name])
+				m.t.Fatalf("%s: a start on %s makes it hold %v, above the limit of %v", a.Name, n.Name, a.Held(), limits[a.Name])
 			}
 		}
 	}
@@ -186,21 +186,20 @@
 		return
 	}
 	if version != m.versioned.Version+1 || next.Version != version {
-		t.Fatalf("version %d after %d", version, m.versioned.Version)
+		t.Fatalf("change made version %d from %d", version, m.versioned.Version)
 	}
 	m.versioned = next
 	if _, again, err := next.Apply(c); err != nil || again != version {
-		t.Fatalf("a repeated change: version %d, %v", again, err)
+		t.Fatalf("repeated change: version %d, error %v", again, err)
 	}
 	stale := *c
 	stale.ID += "x"
 	if _, _, err := next.Apply(&stale); err == nil || !err.Stale {
-		t.Fatalf("a stale change: %v", err)
+		t.Fatalf("stale change: error %v", err)
 	}
 }
 
-// takeover builds the tree again from its specs and the placements, as a new leader
-// does.
+// takeover rebuilds the tree from its specs and the placements, as a new leader does.
 func (m *model) takeover() {
 	var specs []Spec
 	for _, n := range m.versioned.Tree.Nodes() {
@@ -218,8 +217,8 @@
 	m.versioned = &VersionedTree{Tree: tree, Version: m.versioned.Version, Applied: m.versioned.Applied}
 }
 
-// TestBound plays random trees with random starts, ends, waves of lost machines,
-// changes and takeovers.
+// TestUsageWithinLimits runs random sequences of starts, ends, losses of many tasks, changes
+// and takeovers on random trees, and checks the model after each step.
 func TestUsageWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -253,7 +252,7 @@
 	})
 }
 
-// fill lets leaves start tasks of one CPU until nothing more is allowed.
+// fill starts tasks of one thousandth of a CPU on the leaves until no more are allowed.
 func (m *model) fill(leaves ...*Node) {
 	for more := true; more; {
 		more = false
@@ -263,10 +262,10 @@
 	}
 }
 
-// TestLentReturns: whoever borrowed, a leaf that asks gets all that it is entitled to
-// and waits for, no matter what the borrowers start meanwhile. Only others that are
-// entitled too may take what was given back, and so ask for another round; nobody gives
-// back what he is entitled to.
+// TestReclaimMeetsClaim: a leaf that claims gets everything that it is entitled to and waits
+// for, whoever borrowed it and whatever the borrowers start meanwhile. Only other leaves that
+// are entitled too may take what was given back, which costs another round. No leaf gives back
+// what it is entitled to.
 func TestReclaimMeetsClaim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -285,16 +284,16 @@
 			reclaims := m.versioned.Tree.Reclaims()
 			if round > 50 {
 				if name, ok := borrowedAbove(claimant); ok {
-					t.Fatalf("%s claims %v and has %v after %d rounds; below %s is lent share, due %v", claimant.Name, claim, claimant.Held(), round, name, reclaims)
+					t.Fatalf("%s claims %v and holds %v after %d rounds, while leaves below %s borrow; reclaims %v", claimant.Name, claim, claimant.Held(), round, name, reclaims)
 				}
 				return // the limits above are too low for what is guaranteed below
 			}
 			for _, reclaim := range reclaims {
 				if reclaim.OverLimit || reclaim.Claimant != claimant || reclaim.Leaf == claimant {
-					t.Fatalf("due of %s for %v, shrink %v", reclaim.Leaf.Name, reclaim.Claimant, reclaim.OverLimit)
+					t.Fatalf("unexpected reclaim from %s for %v, over limit %v", reclaim.Leaf.Name, reclaim.Claimant, reclaim.OverLimit)
 				}
 				if left := reclaim.Leaf.Held().Sub(reclaim.Amount); left.CPUs < reclaim.Leaf.Entitled().CPUs {
-					t.Fatalf("%s is to give back %v of %v, though entitled to %v", reclaim.Leaf.Name, reclaim.Amount, reclaim.Leaf.Held(), reclaim.Leaf.Entitled())
+					t.Fatalf("%s must give back %v of %v, though it is entitled to %v", reclaim.Leaf.Name, reclaim.Amount, reclaim.Leaf.Held(), reclaim.Leaf.Entitled())
 				}
 				for range reclaim.Amount.CPUs {
 					m.end(reclaim.Leaf, 0)
@@ -308,14 +307,13 @@
 		}
 		m.versioned.Tree.SetDemand(claimant, Resources{})
 		if reclaims := m.versioned.Tree.Reclaims(); len(reclaims) > 0 {
-			t.Fatalf("still due: %v of %s", reclaims[0].Amount, reclaims[0].Leaf.Name)
+			t.Fatalf("without a claim, %v must still be given back by %s", reclaims[0].Amount, reclaims[0].Leaf.Name)
 		}
 	})
 }
 
-// roof finds a node above a leaf whose limit would allow for it and which is kept full
-// by those that are beyond their entitlement; without one, the limits themselves are
-// too low for all entitlements below them.
+// borrowedAbove returns a node above a leaf that is kept full by children beyond their
+// entitlement. If there is none, the limits are too low for all entitlements below them.
 func borrowedAbove(leaf *Node) (string, bool) {
 	for n := leaf.parent; n != nil; n = n.parent {
 		for _, c := range n.children {
@@ -327,7 +325,8 @@
 	return "", false
 }
 
-// TestDemandServed: alone, a leaf may start until some limit on its way is reached.
+// TestStartsUntilLimit: a leaf that starts tasks alone can do so until it reaches a limit on its
+// path to the root.
 func TestStartsUntilLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -338,12 +337,12 @@
 				return
 			}
 		}
-		t.Fatalf("%s stops at %v", n.Name, n.Held())
+		t.Fatalf("%s holds %v and may start no more, though no limit is reached", n.Name, n.Held())
 	})
 }
 
-// campus is a small tree for the cases below: 100 CPUs, of which north is guaranteed
-// 60, divided between ingest and transcoding of one team, and south 40.
+// sampleSpecs returns a small tree: of 100 units, north is guaranteed 60, divided between
+// ingest and transcode of one team, and south 40.
 func sampleSpecs() []Spec {
 	return []Spec{
 		{Name: "office", Guarantee: cpus(100), Limit: cpus(100), Weight: 1},
@@ -354,28 +353,28 @@
 	}
 }
 
-// TestRefused covers input that must not become a tree, or a change.
+// TestInvalidInput covers specs and changes that must be refused, and the error texts.
 func TestInvalidInput(t *testing.T) {
 	for want, corrupt := range map[string]func(s []Spec) []Spec{
-		"north.name: stands for two nodes":                     func(s []Spec) []Spec { s[4].Name = "north"; return s },
-		"nodes[1].name: \"\"":                                  func(s []Spec) []Spec { s[1].Name = ""; return s },
-		"south.parent: there is no node \"east\"":              func(s []Spec) []Spec { s[4].Parent = "east"; return s },
-		"south.parent: transcode holds the jobs of team media": func(s []Spec) []Spec { s[4].Parent = "transcode"; return s },
-		"office.parent: north is below itself":                 func(s []Spec) []Spec { s[0].Parent = "north"; return s },
-		"north.guarantee.cpus: 101 is above the limit":         func(s []Spec) []Spec { s[1].Guarantee.CPUs = 101; return s },
-		"south.limit.memory: -1 is not between":                func(s []Spec) []Spec { s[4].Limit.Memory = -1; return s },
-		"south.guarantee.gpus":                                 func(s []Spec) []Spec { s[4].Guarantee.GPUs = MaxAmount + 1; return s },
-		"south.weight: 0":                                      func(s []Spec) []Spec { s[4].Weight = 0; return s },
-		"south.team: media is bound to transcode":              func(s []Spec) []Spec { s[4].Team = "media"; return s },
-		"south.classes: hall of team media is bound to ingest": func(s []Spec) []Spec { s[4].Team, s[4].Classes = "media", []string{"hall"}; return s },
-		"office.classes: without a team":                       func(s []Spec) []Spec { s[0].Classes = []string{"a"}; return s },
+		"north.name: used by two nodes":                                func(s []Spec) []Spec { s[4].Name = "north"; return s },
+		"nodes[1].name: \"\"":                                          func(s []Spec) []Spec { s[1].Name = ""; return s },
+		"south.parent: node \"east\" does not exist":                   func(s []Spec) []Spec { s[4].Parent = "east"; return s },
+		"south.parent: transcode holds the jobs of team media":         func(s []Spec) []Spec { s[4].Parent = "transcode"; return s },
+		"office.parent: north is below itself":                         func(s []Spec) []Spec { s[0].Parent = "north"; return s },
+		"north.guarantee.cpus: 101 is above the limit":                 func(s []Spec) []Spec { s[1].Guarantee.CPUs = 101; return s },
+		"south.limit.memory: -1 is not between":                        func(s []Spec) []Spec { s[4].Limit.Memory = -1; return s },
+		"south.guarantee.gpus":                                         func(s []Spec) []Spec { s[4].Guarantee.GPUs = MaxAmount + 1; return s },
+		"south.weight: 0":                                              func(s []Spec) []Spec { s[4].Weight = 0; return s },
+		"south.team: media is already bound to transcode":              func(s []Spec) []Spec { s[4].Team = "media"; return s },
+		"south.classes: hall of team media is already bound to ingest": func(s []Spec) []Spec { s[4].Team, s[4].Classes = "media", []string{"hall"}; return s },
+		"office.classes: set without a team":                           func(s []Spec) []Spec { s[0].Classes = []string{"a"}; return s },
 		"levels deep": func(s []Spec) []Spec {
 			for i := range MaxDepth {
 				s = append(s, Spec{Name: fmt.Sprint("d", i), Parent: s[max(i+4, 5)*boolToInt(i > 0)].Name, Weight: 1})
 			}
 			return s
 		},
-		"4097 nodes are more than 4096": func([]Spec) []Spec { return make([]Spec, MaxNodes+1) },
+		"4097 nodes exceed the maximum of 4096": func([]Spec) []Spec { return make([]Spec, MaxNodes+1) },
 	} {
 		if _, err := Build(corrupt(sampleSpecs())); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v", want, err)
@@ -389,19 +388,19 @@
 	tree.Acquire(tree.Node("south"), cpus(30))
 	low, high := cpus(10), cpus(90)
 	for want, c := range map[string]Change{
-		"change.id":                         {Version: 7, Op: OpRemove, Name: "south"},
-		"change.op":                         {ID: "1", Version: 7, Op: "lend", Name: "south"},
-		"7":                                 {ID: "1", Version: 6, Op: OpRemove, Name: "south"},
-		"east.name: there is no such node":  {ID: "1", Version: 7, Op: OpRemove, Name: "east"},
-		"north.name: has children":          {ID: "1", Version: 7, Op: OpRemove, Name: "north"},
-		"south.name: holds":                 {ID: "1", Version: 7, Op: OpRemove, Name: "south"},
-		"office.guarantee: its children":    {ID: "1", Version: 7, Op: OpGrant, Name: "south", Guarantee: &high},
-		"guarantee: a grant can't set":      {ID: "1", Version: 7, Op: OpGrant, Name: "south", Guarantee: &low},
-		"guarantee: a shrink can't set":     {ID: "1", Version: 7, Op: OpShrink, Name: "south", Guarantee: &high},
-		"north.parent: north is below":      {ID: "1", Version: 7, Op: OpMove, Name: "north", Parent: "north"},
-		"change.guarantee: a remove":        {ID: "1", Version: 7, Op: OpRemove, Name: "south", Weight: 2},
-		"change.limit: a new node needs":    {ID: "1", Version: 7, Op: OpAdd, Name: "east"},
-		"north.guarantee: its children wou": {ID: "1", Version: 7, Op: OpMove, Name: "south", Parent: "north"},
+		"change.id":                                        {Version: 7, Op: OpRemove, Name: "south"},
+		"change.op":                                        {ID: "1", Version: 7, Op: "lend", Name: "south"},
+		"7":                                                {ID: "1", Version: 6, Op: OpRemove, Name: "south"},
+		"east.name: node does not exist":                   {ID: "1", Version: 7, Op: OpRemove, Name: "east"},
+		"north.name: node has children":                    {ID: "1", Version: 7, Op: OpRemove, Name: "north"},
+		"south.name: node holds":                           {ID: "1", Version: 7, Op: OpRemove, Name: "south"},
+		"office.guarantee: the children's":                 {ID: "1", Version: 7, Op: OpGrant, Name: "south", Guarantee: &high},
+		"guarantee: a grant cannot change":                 {ID: "1", Version: 7, Op: OpGrant, Name: "south", Guarantee: &low},
+		"guarantee: a shrink cannot change":                {ID: "1", Version: 7, Op: OpShrink, Name: "south", Guarantee: &high},
+		"north.parent: north is below":                     {ID: "1", Version: 7, Op: OpMove, Name: "north", Parent: "north"},
+		"change.guarantee: a remove":                       {ID: "1", Version: 7, Op: OpRemove, Name: "south", Weight: 2},
+		"change.limit: a new node needs":                   {ID: "1", Version: 7, Op: OpAdd, Name: "east"},
+		"north.guarantee: the children's guarantees would": {ID: "1", Version: 7, Op: OpMove, Name: "south", Parent: "north"},
 	} {
 		if _, _, err := versioned.Apply(&c); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
@@ -416,8 +415,8 @@
 	return 0
 }
 
-// TestShrinkInUse: what is given up belongs to nobody until tasks have left, and a
-// parent that holds less than it guaranteed shrinks its children's entitlements alike.
+// TestShrinkInUse: what a shrink takes away is available to no leaf until tasks have ended, and
+// a parent that holds less than it guaranteed scales down its children's entitlements.
 func TestShrinkInUse(t *testing.T) {
 	tree, err := Build(sampleSpecs())
 	if err != nil {
@@ -435,40 +434,40 @@
 	tree = versioned.Tree
 	office, north, south := tree.Node("office"), tree.Node("north"), tree.Node("south")
 	if office.EffectiveLimit() != cpus(100) || office.Guarantee != half || north.Entitled() != cpus(30) || south.Entitled() != cpus(20) {
-		t.Errorf("in force %v, guaranteed %v, entitled %v and %v", office.EffectiveLimit(), office.Guarantee, north.Entitled(), south.Entitled())
+		t.Errorf("office: limit in force %v, guarantee %v; entitled: north %v, south %v", office.EffectiveLimit(), office.Guarantee, north.Entitled(), south.Entitled())
 	}
 	if err := tree.CheckOvercommit(); err == nil || !strings.Contains(err.Error(), "office.guarantee") {
-		t.Errorf("the office has guaranteed more than it holds: %v", err)
+		t.Errorf("office guarantees more than its own guarantee: error %v", err)
 	}
 	if name, ok := tree.FitsLimits(north, cpus(51)); ok || name != "office" {
-		t.Errorf("51 CPUs below an office of 50: %s %v", name, ok)
+		t.Errorf("FitsLimits for 51 units below a limit of 50: node %q, %v", name, ok)
 	}
 	if _, ok := tree.FitsLimits(north, half); !ok {
-		t.Error("50 CPUs do not fit an office of 50, though it is only full now")
+		t.Error("FitsLimits refuses 50 units below a limit of 50; only the present usage is too high")
 	}
 	reclaimed := map[string]int64{}
 	for _, d := range tree.Reclaims() {
 		if reclaimed[d.Leaf.Name] += d.Amount.CPUs; !d.OverLimit {
-			t.Errorf("%s is to give back for %s", d.Leaf.Name, d.Claimant.Name)
+			t.Errorf("%s must give back for the claim of %s, not for the limit", d.Leaf.Name, d.Claimant.Name)
 		}
 	}
-	// Beyond their entitlements, 30 and 20: north by 30, all of it transcode's, south
-	// by 20.
+	// Held beyond the entitlements of 30 and 20: by north 30, all of it by transcode, and by
+	// south 20.
 	if fmt.Sprint(reclaimed) != "map[south:20 transcode:30]" {
-		t.Errorf("due: %v", reclaimed)
+		t.Errorf("reclaims: %v", reclaimed)
 	}
 	for n, name := range map[int64]string{30: "transcode", 20: "south"} {
 		if tree.Allows(tree.Node("ingest"), cpus(1)) {
-			t.Error("a start while the tree holds more than its limit")
+			t.Error("a start is allowed while the tree holds more than its limit")
 		}
 		tree.Release(tree.Node(name), cpus(n))
 	}
 	if office.EffectiveLimit() != half || len(tree.Reclaims()) > 0 {
-		t.Errorf("in force %v, due %v", office.EffectiveLimit(), tree.Reclaims())
+		t.Errorf("office: limit in force %v, reclaims %v", office.EffectiveLimit(), tree.Reclaims())
 	}
 }
 
-// TestByWeight: what is lent goes to the side that has borrowed less for its weight.
+// TestBorrowByWeight: lent resources go to the side that has borrowed less for its weight.
 func TestBorrowByWeight(t *testing.T) {
 	tree, err := Build([]Spec{
 		{Name: "top", Guarantee: cpus(100), Limit: cpus(100), Weight: 1},
@@ -500,6 +499,7 @@
 	}
 }
 
+// BenchmarkTree measures one start and end of a task in trees of 10, 100 and 1,000 nodes.
 func BenchmarkTree(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -6,51 +6,52 @@
 	"strings"
 )
 
-// Spec is what operators say of a node.
+// Spec is the definition of a node as operators set it.
 type Spec struct {
 	Name      string    `msgpack:"n"`
-	Parent    string    `msgpack:"p,omitempty"` // empty at the top
-	Guarantee Resources `msgpack:"g"`           // what it may ask back from those that borrow it
-	Limit     Resources `msgpack:"l"`           // what its subtree never exceeds
-	Weight    int64     `msgpack:"w"`           // its part of what siblings lend
-	Team      string    `msgpack:"t,omitempty"` // of a leaf: whose jobs it holds
-	Classes   []string  `msgpack:"k,omitempty"` // and only these classes of jobs, if any
+	Parent    string    `msgpack:"p,omitempty"` // empty for a root
+	Guarantee Resources `msgpack:"g"`           // what the node may reclaim from borrowers
+	Limit     Resources `msgpack:"l"`           // what the subtree never exceeds
+	Weight    int64     `msgpack:"w"`           // share of what siblings lend, relative to other borrowers
+	Team      string    `msgpack:"t,omitempty"` // of a leaf: the team whose jobs it holds
+	Classes   []string  `msgpack:"k,omitempty"` // of a leaf: if not empty, it holds only these classes of jobs
 }
 
 // Bounds of a tree.
 const (
 	MaxNodes   = 4096
-	MaxDepth   = 16
-	MaxName    = 64
-	MaxClasses = 64
+	MaxDepth   = 16 // levels
+	MaxName    = 64 // bytes in a name
+	MaxClasses = 64 // classes per leaf
 	MaxWeight  = 1_000_000
 )
 
-// Node is an organisation in a tree.
+// Node is an organisational unit in a tree.
 type Node struct {
 	Spec
 	parent   *Node
 	children []*Node
 	depth    int
 
-	held     Resources // by the tasks of its subtree whose absence is not proven
-	entitled Resources // what its guarantee is worth: see entitle
+	held     Resources // by the subtree's tasks that are not proven to have ended
+	entitled Resources // present value of the guarantee: see updateEntitlements
 	demand   Resources // of a leaf: what its waiting tasks need
-	claim    Resources // what its leaves are entitled to, wait for, and do not hold
+	claim    Resources // sum over the leaves of demand that is within the entitlement and not held
 }
 
-// Held is what the subtree's tasks hold.
+// Held returns what the subtree's tasks hold.
 func (n *Node) Held() Resources { return n.held }
 
-// Entitled is what its guarantee is worth now.
+// Entitled returns the present value of the node's guarantee.
 func (n *Node) Entitled() Resources { return n.entitled }
 
-// InForce is the limit in force: the one that was set or, while a shrink has not
-// taken effect, what is held. Nothing starts above the limit set, so it only falls.
+// EffectiveLimit returns the limit in force: the limit that was set or, until a shrink has
+// taken effect, what the node holds. No task starts above the limit that was set, so the
+// excess only decreases.
 func (n *Node) EffectiveLimit() Resources { return maxResources(n.Limit, n.held) }
 
-// Tree is a checked tree of organisations with what they hold. Several nodes may
-// stand at the top; above them nothing is bounded.
+// Tree is a validated tree of nodes with what they hold. It may have several roots, and
+// nothing limits the roots together.
 type Tree struct {
 	nodes  map[string]*Node
 	order  []*Node // parents before children
@@ -58,15 +59,15 @@
 	byTeam map[string][]*Node
 }
 
-// Nodes lists all nodes, parents before children.
+// Nodes returns all nodes, parents before children.
 func (t *Tree) Nodes() []*Node { return t.order }
 
-// Node finds a node by name.
+// Node returns the node with the given name, or nil.
 func (t *Tree) Node(name string) *Node { return t.nodes[name] }
 
-// Leaf is the node that holds the jobs of a team and class: the one that names
-// the class or, failing that, the one of the team that names none. Nil means that
-// the tree does not bound such jobs.
+// LeafFor returns the leaf that holds the jobs of a team and class: the team's leaf that
+// names the class or, if there is none, the team's leaf that names no class. It returns nil
+// if the tree does not limit such jobs.
 func (t *Tree) LeafFor(team, class string) *Node {
 	var fallback *Node
 	for _, n := range t.byTeam[team] {
@@ -79,17 +80,17 @@
 	return fallback
 }
 
-// fault names the node and the field that are wrong.
+// nodeError returns an error that names the node and the field that is wrong.
 func nodeError(node, format string, args ...any) error {
 	return fmt.Errorf("quota: %s.%s", node, fmt.Sprintf(format, args...))
 }
 
-// Build checks nodes and makes them a tree that holds nothing. A parent's
-// guarantee may be less than those of its children together: a shrink may have
-// made it so, and entitlements follow. Divided reports that.
+// Build validates specs and returns their tree, in which nothing is held. A parent may have a
+// smaller guarantee than its children together, since a shrink may have caused that;
+// entitlements are scaled down then, and CheckOvercommit reports the parent.
 func Build(specs []Spec) (*Tree, error) {
 	if len(specs) > MaxNodes {
-		return nil, fmt.Errorf("quota: %d nodes are more than %d", len(specs), MaxNodes)
+		return nil, fmt.Errorf("quota: %d nodes exceed the maximum of %d", len(specs), MaxNodes)
 	}
 	t := &Tree{nodes: make(map[string]*Node, len(specs)), byTeam: map[string][]*Node{}}
 	for i, s := range specs {
@@ -97,7 +98,7 @@
 			return nil, err
 		}
 		if t.nodes[s.Name] != nil {
-			return nil, nodeError(s.Name, "name: stands for two nodes")
+			return nil, nodeError(s.Name, "name: used by two nodes")
 		}
 		s.Classes = slices.Clone(s.Classes)
 		t.nodes[s.Name] = &Node{Spec: s}
@@ -109,10 +110,10 @@
 			continue
 		}
 		if n.parent = t.nodes[s.Parent]; n.parent == nil {
-			return nil, nodeError(s.Name, "parent: there is no node %q", s.Parent)
+			return nil, nodeError(s.Name, "parent: node %q does not exist", s.Parent)
 		}
 		if n.parent.Team != "" {
-			return nil, nodeError(s.Name, "parent: %s holds the jobs of team %s and can't be divided", s.Parent, n.parent.Team)
+			return nil, nodeError(s.Name, "parent: %s holds the jobs of team %s and cannot have children", s.Parent, n.parent.Team)
 		}
 		n.parent.children = append(n.parent.children, n)
 	}
@@ -128,7 +129,7 @@
 		}
 		t.order = append(t.order, n.children...)
 	}
-	if len(t.order) < len(specs) { // the rest hangs on nothing but itself
+	if len(t.order) < len(specs) { // the other nodes form a cycle or are below one
 		for _, s := range specs {
 			if !slices.Contains(t.order, t.nodes[s.Name]) {
 				return nil, nodeError(s.Name, "parent: %s is below itself", s.Parent)
@@ -144,6 +145,7 @@
 	return t, nil
 }
 
+// check returns an error for a spec that is invalid whatever the other specs are.
 func (s *Spec) check(i int) error {
 	if s.Name == "" || len(s.Name) > MaxName || strings.ContainsFunc(s.Name, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("._-", r))
@@ -165,31 +167,32 @@
 		return nodeError(s.Name, "weight: %d is not between 1 and %d", s.Weight, MaxWeight)
 	}
 	if s.Team == "" && len(s.Classes) > 0 {
-		return nodeError(s.Name, "classes: without a team")
+		return nodeError(s.Name, "classes: set without a team")
 	}
 	if len(s.Classes) > MaxClasses {
-		return nodeError(s.Name, "classes: %d are more than %d", len(s.Classes), MaxClasses)
+		return nodeError(s.Name, "classes: %d exceed the maximum of %d", len(s.Classes), MaxClasses)
 	}
 	return nil
 }
 
-// bind enters a leaf under its team. No job may belong to two leaves.
+// bindTeam registers a leaf under its team. It returns an error if a job would belong to two
+// leaves.
 func (t *Tree) bindTeam(n *Node) error {
 	if n.Team == "" {
 		return nil
 	}
 	for i, class := range n.Classes {
 		if class == "" || slices.Contains(n.Classes[:i], class) {
-			return nodeError(n.Name, "classes: %q is empty or stands there twice", class)
+			return nodeError(n.Name, "classes: %q is empty or listed twice", class)
 		}
 	}
 	for _, other := range t.byTeam[n.Team] {
 		if len(n.Classes) == 0 && len(other.Classes) == 0 {
-			return nodeError(n.Name, "team: %s is bound to %s already", n.Team, other.Name)
+			return nodeError(n.Name, "team: %s is already bound to %s", n.Team, other.Name)
 		}
 		for _, class := range n.Classes {
 			if slices.Contains(other.Classes, class) {
-				return nodeError(n.Name, "classes: %s of team %s is bound to %s already", class, n.Team, other.Name)
+				return nodeError(n.Name, "classes: %s of team %s is already bound to %s", class, n.Team, other.Name)
 			}
 		}
 	}
@@ -197,23 +200,23 @@
 	return nil
 }
 
-// Divided reports the first node that has guaranteed its children more than it
-// holds itself; nil if there is none.
+// CheckOvercommit returns an error that names the first node whose children have larger
+// guarantees together than the node itself, or nil if there is none.
 func (t *Tree) CheckOvercommit() error {
 	for _, n := range t.order {
 		if overcommit := n.overcommit(); !overcommit.IsZero() {
-			return nodeError(n.Name, "guarantee: its children have %v more than it", overcommit)
+			return nodeError(n.Name, "guarantee: the children's guarantees exceed it by %v", overcommit)
 		}
 	}
 	return nil
 }
 
-// excess is what a node's children are guaranteed beyond what it is.
+// overcommit returns the amount by which the guarantees of a node's children exceed its own.
 func (n *Node) overcommit() Resources {
 	return maxResources(n.childGuarantees().Sub(n.Guarantee), Resources{})
 }
 
-// granted is what a node's children are guaranteed in all.
+// childGuarantees returns the sum of the guarantees of a node's children.
 func (n *Node) childGuarantees() Resources {
 	var sum Resources
 	for _, c := range n.children {
@@ -222,9 +225,9 @@
 	return sum
 }
 
-// entitle works out what each guarantee is worth. A node's own counts in full at
-// the top; below a parent that has guaranteed more than it is entitled to, the
-// children's shrink alike.
+// updateEntitlements computes the present value of each guarantee. A root's guarantee counts
+// in full. Where children have larger guarantees together than their parent is entitled to,
+// their entitlements are scaled down in proportion.
 func (t *Tree) updateEntitlements() {
 	for _, n := range t.roots {
 		n.entitled = n.Guarantee
@@ -243,13 +246,13 @@
 	}
 }
 
-// Take adds what a task of a leaf holds, from the decision to start it on; Give
-// takes it away once the task's absence is proven.
+// Acquire adds what a task of a leaf holds, from the decision to start the task on.
 func (t *Tree) Acquire(leaf *Node, need Resources) { t.addHeld(leaf, need, 1) }
 
-// Give is the reverse of Take.
+// Release removes what a task held, once the task is proven to have ended.
 func (t *Tree) Release(leaf *Node, need Resources) { t.addHeld(leaf, need, -1) }
 
+// addHeld adds sign*need to what a leaf and all nodes above it hold.
 func (t *Tree) addHeld(leaf *Node, need Resources, sign int64) {
 	for n := leaf; n != nil; n = n.parent {
 		n.held = perResource(func(i int) int64 { return *n.held.component(i) + sign**need.component(i) })
