--- a/internal/admit/table.go
+++ b/internal/admit/table.go
@@ -109,7 +109,7 @@
 const (
 	tableLifetime    = 3 * clock.Second
 	maxGrantLifetime = tableLifetime + tableLifetime/500
-	noticeLifetime   = 5 * clock.Second
+	noticeLifetime   = 5 * clock.Second // older notices are ignored
 )
 
 // Allocator makes a leader's tables and tracks the grants that controllers may be using.
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -34,7 +34,7 @@
 	depth    int
 
 	held     Resources // by the subtree's tasks that are not proven to have ended
-	entitled Resources // present value of the guarantee: see updateEntitlements
+	entitled Resources // effective guarantee: see updateEntitlements
 	demand   Resources // of a leaf: what its waiting tasks need
 	claim    Resources // sum over the leaves of demand that is within the entitlement and not held
 }
@@ -42,7 +42,7 @@
 // Held returns what the subtree's tasks hold.
 func (n *Node) Held() Resources { return n.held }
 
-// Entitled returns the present value of the node's guarantee.
+// Entitled returns the effective guarantee of the node, which may be below Guarantee.
 func (n *Node) Entitled() Resources { return n.entitled }
 
 // EffectiveLimit returns the limit in force: the limit that was set or, until a shrink has
@@ -225,7 +225,7 @@
 	return sum
 }
 
-// updateEntitlements computes the present value of each guarantee. A root's guarantee counts
+// updateEntitlements computes the effective value of each guarantee. A root's guarantee counts
 // in full. Where children have larger guarantees together than their parent is entitled to,
 // their entitlements are scaled down in proportion.
 func (t *Tree) updateEntitlements() {
