--- a/internal/admit/objective_tracker.go
+++ b/internal/admit/objective_tracker.go
@@ -8,135 +8,138 @@
 	"lilacthread/internal/clock"
 )
 
-// Prospect is what can be said of an unfinished job's aims.
+// Feasibility says whether the objectives of an unfinished job can still be met.
 type Feasibility uint8
 
-// Prospects.
+// Values of Feasibility, from the best to the worst.
 const (
-	OnTime     Feasibility = iota // has its places in time
-	Feasible                      // can be served as its users want it, if it gets its places soon
-	AtRisk                        // the same, if all goes well
-	Infeasible                    // cannot be served in time any more
+	OnTime     Feasibility = iota // placed in time
+	Feasible                      // can be met if the job is placed soon
+	AtRisk                        // can be met only if nothing delays the job
+	Infeasible                    // can no longer be met
 )
 
-// Case is one unfinished job as the floor of the served share sees it.
+// UnfinishedJob is an unfinished job as ObjectiveTracker evaluates it.
 type UnfinishedJob struct {
 	Account       int
 	Feasibility   Feasibility
-	RemainingWork float64 // CPU-seconds that it yet needs
-	ReadyAt       Micros  // when it became ready
+	RemainingWork float64 // CPU-seconds
+	ReadyAt       Micros  // when the job became ready to run
 	ID            string
 }
 
-// Served keeps, for each account, how many of its jobs were served of late, and tells
-// which of those that wait must be, so that of every account at least a given part is.
-// Whatever machines are left beyond that go by the users' own order.
+// ObjectiveTracker keeps the share of each account's recently finished jobs that met their
+// objectives. It selects the waiting jobs that must be served next so that every account
+// reaches its minimum served share. Machines beyond that need follow the users' own
+// priorities.
 type ObjectiveTracker struct {
-	floors []float64 // the part of its jobs that each account is to be served
-	past   []past
+	minShares []float64        // by account: the share of its jobs that must meet their objectives
+	finished  []finishedCounts // by account
 }
 
-// past counts jobs that are over; both fade.
-type past struct {
-	jobs, good float64
-	at         Micros
+// finishedCounts holds exponentially decayed counts of finished jobs.
+type finishedCounts struct {
+	jobs, met float64 // all jobs, and those that met their objectives
+	updatedAt Micros
 }
 
-// servedMemory is how long a job that is over weighs in the served share.
-const servedMemory = 300 * clock.Second
+// finishedTimeConstant is the time constant of the exponential decay of finishedCounts.
+const finishedTimeConstant = 300 * clock.Second
 
-// NewServed makes the counts of a deployment's accounts, each with its floor.
-func NewObjectiveTracker(floors []float64) *ObjectiveTracker {
-	return &ObjectiveTracker{floors: floors, past: make([]past, len(floors))}
+// NewObjectiveTracker returns a tracker without history; minShares is indexed by account.
+func NewObjectiveTracker(minShares []float64) *ObjectiveTracker {
+	return &ObjectiveTracker{minShares: minShares, finished: make([]finishedCounts, len(minShares))}
 }
 
-func (p *past) fade(now Micros) {
-	if dt := now - p.at; dt > 0 {
-		f := math.Exp(-float64(dt) / float64(servedMemory))
-		p.jobs, p.good, p.at = p.jobs*f, p.good*f, now
+func (p *finishedCounts) decay(now Micros) {
+	if dt := now - p.updatedAt; dt > 0 {
+		factor := math.Exp(-float64(dt) / float64(finishedTimeConstant))
+		p.jobs, p.met, p.updatedAt = p.jobs*factor, p.met*factor, now
 	}
 }
 
-// Over counts a job that is over; good if it was served as its users wanted it.
-func (s *ObjectiveTracker) RecordFinished(account int, good bool, now Micros) {
-	if account < 0 || account >= len(s.past) {
+// RecordFinished counts a finished job; met says whether it met its objectives.
+func (s *ObjectiveTracker) RecordFinished(account int, met bool, now Micros) {
+	if account < 0 || account >= len(s.finished) {
 		return
 	}
-	p := &s.past[account]
-	p.fade(now)
+	p := &s.finished[account]
+	p.decay(now)
 	p.jobs++
-	if good {
-		p.good++
+	if met {
+		p.met++
 	}
 }
 
-// Counts gives the jobs of late and those of them that were served, of each account in
-// turn: what Restore takes over in the next term.
+// Counts returns two numbers for each account: the recently finished jobs and those of them
+// that met their objectives. Restore reads them in the next leader's term.
 func (s *ObjectiveTracker) Counts(now Micros) []float64 {
-	out := make([]float64, 0, 2*len(s.past))
-	for a := range s.past {
-		s.past[a].fade(now)
-		out = append(out, s.past[a].jobs, s.past[a].good)
+	out := make([]float64, 0, 2*len(s.finished))
+	for a := range s.finished {
+		s.finished[a].decay(now)
+		out = append(out, s.finished[a].jobs, s.finished[a].met)
 	}
 	return out
 }
 
-// Restore takes over the counts that were given at the time.
+// Restore replaces the history with the result of Counts at the given time. It ignores
+// counts that are invalid.
 func (s *ObjectiveTracker) Restore(counts []float64, at Micros) {
-	if len(counts) != 2*len(s.past) {
+	if len(counts) != 2*len(s.finished) {
 		return
 	}
-	for a := range s.past {
-		jobs, good := counts[2*a], counts[2*a+1]
-		if jobs >= 0 && good >= 0 && good <= jobs && jobs < math.MaxInt32 {
-			s.past[a] = past{jobs, good, at}
+	for a := range s.finished {
+		jobs, met := counts[2*a], counts[2*a+1]
+		if jobs >= 0 && met >= 0 && met <= jobs && jobs < math.MaxInt32 {
+			s.finished[a] = finishedCounts{jobs, met, at}
 		}
 	}
 }
 
-// Turn is what the floor of the served share makes of a job.
+// MinShareStatus says how a job relates to its account's minimum served share.
 type MinShareStatus struct {
-	Needed      bool    // its account lacks it for its floor
-	ServedShare float64 // then: what of its account's jobs is served before it; the least goes first
-	Surplus     bool    // its account has its floor without it
+	Needed      bool    // the job must be served for its account to reach the minimum
+	ServedShare float64 // if Needed: the share of its account's jobs served before it; the lowest goes first
+	Surplus     bool    // the account reaches its minimum without the job, or the job is infeasible
 }
 
-// Turns tells which cases have to be served next, and in what order: of each account the
-// open ones that take least, as many as it lacks of its floor, a part of all its jobs.
-// Least first, since a job counts as one whatever it takes: half of the jobs of a class
-// are a fifth of its work or so, and the rest of the machines can go to whom the users
-// put first.
-func (s *ObjectiveTracker) Evaluate(now Micros, cases []UnfinishedJob) []MinShareStatus {
-	turns := make([]MinShareStatus, len(cases))
-	all, good := make([]float64, len(s.past)), make([]float64, len(s.past))
-	for a := range s.past {
-		p := &s.past[a]
-		p.fade(now)
-		all[a], good[a] = p.jobs, p.good
+// Evaluate returns the status of each job. In each account as many jobs are needed as the
+// account lacks for its minimum share of all its jobs: those that can still meet their
+// objectives, by feasibility and then by least remaining work. Jobs with the least work go
+// first because every job counts as one whatever its size: half of the jobs of a class are
+// about a fifth of its work, and the rest of the machines stays available for the jobs that
+// users put first.
+func (s *ObjectiveTracker) Evaluate(now Micros, jobs []UnfinishedJob) []MinShareStatus {
+	statuses := make([]MinShareStatus, len(jobs))
+	total, served := make([]float64, len(s.finished)), make([]float64, len(s.finished))
+	for a := range s.finished {
+		p := &s.finished[a]
+		p.decay(now)
+		total[a], served[a] = p.jobs, p.met
 	}
-	order := make([]int, 0, len(cases))
-	for i, c := range cases {
-		if c.Account < 0 || c.Account >= len(all) {
+	order := make([]int, 0, len(jobs))
+	for i, job := range jobs {
+		if job.Account < 0 || job.Account >= len(total) {
 			continue
 		}
-		all[c.Account]++
+		total[job.Account]++
 		order = append(order, i)
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		x, y := &cases[a], &cases[b]
+		x, y := &jobs[a], &jobs[b]
 		return cmp.Or(cmp.Compare(x.Feasibility, y.Feasibility), cmp.Compare(x.RemainingWork, y.RemainingWork), cmp.Compare(x.ReadyAt, y.ReadyAt), cmp.Compare(x.ID, y.ID))
 	})
 	for _, i := range order {
-		c := &cases[i]
-		lacks := good[c.Account] < s.floors[c.Account]*all[c.Account]
+		job := &jobs[i]
+		belowMinimum := served[job.Account] < s.minShares[job.Account]*total[job.Account]
 		switch {
-		case c.Feasibility == Infeasible || !lacks:
-			turns[i].Surplus = true
+		case job.Feasibility == Infeasible || !belowMinimum:
+			statuses[i].Surplus = true
 			continue
-		case c.Feasibility != OnTime:
-			turns[i].Needed, turns[i].ServedShare = true, good[c.Account]/all[c.Account]
+		case job.Feasibility != OnTime:
+			statuses[i].Needed, statuses[i].ServedShare = true, served[job.Account]/total[job.Account]
 		}
-		good[c.Account]++
+		served[job.Account]++
 	}
-	return turns
+	return statuses
 }
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -2,96 +2,100 @@
 
 import "slices"
 
-// Queue holds submissions that wait for the state service, a lane for each account.
-// Lanes are served by deficit round robin: each gets as many changes as any other
-// that has something waiting, whatever the sizes of its submissions and however many
-// of them there are.
+// Queue holds submissions that wait to be written to the state service, in one lane per
+// account. Lanes are served by deficit round robin: every lane that has submissions gets
+// the same number of writes, whatever the size and number of its submissions.
 type Queue[T any] struct {
 	bounds Bounds
 	lanes  []lane[T]
-	ring   []int // lanes with something waiting, the next to be served first
-	count  int
-	bytes  int
-	cost   int
+	ring   []int // lanes that are not empty, the next to be served first
+	count  int   // submissions in all lanes
+	bytes  int   // size of their records
+	cost   int   // writes that they ask for
 }
 
-// Bounds of a queue.
+// Bounds limits the size of a queue.
 type Bounds struct {
 	Count int // submissions
-	Bytes int // of their records
+	Bytes int // total size of their records
 }
 
-// Rank is a place within a lane.
+// Rank is the priority of a submission within its lane.
 type Rank int
 
-// Ranks, the first goes first.
+// Ranks, the highest priority first.
 const (
-	RankRetry     Rank = iota // was refused before
+	RankRetry     Rank = iota // refused before
 	RankDependent             // a later stage of a pipeline that was accepted
 	RankNew
-	ranks
+	numRanks
 )
 
-type entry[T any] struct {
+// queued is a submission in a lane.
+type queued[T any] struct {
 	item        T
-	cost, bytes int
-	at          Micros
+	cost, bytes int // writes that it asks for, size of its record
+	arrivedAt   Micros
 }
 
+// lane holds the submissions of one account by rank.
 type lane[T any] struct {
-	entries [ranks][]entry[T]
-	costs   [ranks]int
+	entries [numRanks][]queued[T]
+	costs   [numRanks]int // writes by rank
 	count   int
 	cost    int
 	bytes   int
-	deficit int
-	fresh   bool // its turn has not begun
+	deficit int  // writes that the lane may still take
+	newTurn bool // the quantum of the next turn is not added yet
 }
 
-// quantum is the changes that a lane may take in a turn: most submissions ask for one.
+// quantum is the number of writes added to a lane's deficit per turn. Most submissions ask
+// for one write.
 const quantum = 4
 
-// NewQueue makes a queue for so many accounts, and one lane for what has none.
+// NewQueue returns a queue with a lane for each account and one for submissions without an
+// account.
 func NewQueue[T any](accounts int, bounds Bounds) *Queue[T] {
 	return &Queue[T]{bounds: bounds, lanes: make([]lane[T], accounts+1)}
 }
 
-func (q *Queue[T]) lane(account int) int {
+func (q *Queue[T]) laneIndex(account int) int {
 	if account < 0 || account >= len(q.lanes)-1 {
 		return len(q.lanes) - 1
 	}
 	return account
 }
 
-// Fits reports whether a lane has room: no lane may hold more than what is free, in
-// number and in bytes, so that one account's burst leaves the others half of the
-// queue, whoever comes first.
+// Fits reports whether a lane may take another submission with a record of the given size.
+// A lane may hold no more than what is free in the queue, in number and in bytes, so a burst
+// of one account leaves half of the queue to the others, even if the burst comes first.
 func (q *Queue[T]) Fits(account, bytes int) bool {
-	l := &q.lanes[q.lane(account)]
+	l := &q.lanes[q.laneIndex(account)]
 	return l.count < q.bounds.Count-q.count && l.bytes+bytes <= q.bounds.Bytes-q.bytes
 }
 
-// Push lets a submission wait. The caller has asked Fits, or hands back what he took:
-// that keeps its place by the time at which it came.
-func (q *Queue[T]) Push(account int, rank Rank, cost, bytes int, at Micros, item T) {
-	i := q.lane(account)
+// Push adds a submission. The caller has checked Fits, or returns a submission that Pop
+// gave it; a returned submission regains its position by its arrival time.
+func (q *Queue[T]) Push(account int, rank Rank, cost, bytes int, arrivedAt Micros, item T) {
+	i := q.laneIndex(account)
 	l := &q.lanes[i]
 	if l.count == 0 {
 		q.ring = append(q.ring, i)
-		l.deficit, l.fresh = 0, true
+		l.deficit, l.newTurn = 0, true
 	}
-	list := l.entries[rank]
-	place := len(list)
-	for place > 0 && list[place-1].at > at {
-		place--
+	entries := l.entries[rank]
+	pos := len(entries)
+	for pos > 0 && entries[pos-1].arrivedAt > arrivedAt {
+		pos--
 	}
-	l.entries[rank] = slices.Insert(list, place, entry[T]{item, cost, bytes, at})
+	l.entries[rank] = slices.Insert(entries, pos, queued[T]{item, cost, bytes, arrivedAt})
 	l.costs[rank] += cost
 	l.count, l.cost, l.bytes = l.count+1, l.cost+cost, l.bytes+bytes
 	q.count, q.cost, q.bytes = q.count+1, q.cost+cost, q.bytes+bytes
 }
 
-func (l *lane[T]) head() *entry[T] {
+// head returns the next submission of a lane, or nil if the lane is empty.
+func (l *lane[T]) head() *queued[T] {
 	for r := range l.entries {
 		if len(l.entries[r]) > 0 {
 			return &l.entries[r][0]
@@ -100,43 +104,44 @@
 	return nil
 }
 
-// Pop gives the next submission if it asks for at most room changes and suits; what
-// does not suit, or finds no room, ends the batch: ok is false. The first of a batch
-// may ask for more than there is room, or it would wait for ever.
-func (q *Queue[T]) Pop(room int, first bool, suits func(T) bool) (item T, ok bool) {
+// Pop removes and returns the next submission if it asks for at most maxCost writes and
+// accept allows it. Otherwise it removes nothing and ok is false, which ends the batch. The
+// first submission of a batch may ask for more than maxCost; otherwise it would wait for
+// ever.
+func (q *Queue[T]) Pop(maxCost int, firstOfBatch bool, accept func(T) bool) (item T, ok bool) {
 	for len(q.ring) > 0 {
 		i := q.ring[0]
 		l := &q.lanes[i]
-		if l.fresh {
+		if l.newTurn {
 			l.deficit += quantum
-			l.fresh = false
+			l.newTurn = false
 		}
-		e := l.head()
-		if e.cost > l.deficit {
-			// Its turn is over; the rest of its due stays with it.
-			l.fresh = true
+		head := l.head()
+		if head.cost > l.deficit {
+			// The lane's turn is over; it keeps the rest of its deficit.
+			l.newTurn = true
 			q.ring = append(q.ring[1:], i)
 			continue
 		}
-		if e.cost > room && !first || !suits(e.item) {
+		if head.cost > maxCost && !firstOfBatch || !accept(head.item) {
 			return item, false
 		}
-		item = e.item
-		l.deficit -= e.cost
-		q.drop(i, e)
+		item = head.item
+		l.deficit -= head.cost
+		q.removeHead(i, head)
 		return item, true
 	}
 	return item, false
 }
 
-// drop removes a lane's head.
-func (q *Queue[T]) drop(i int, e *entry[T]) {
+// removeHead removes the head of a lane.
+func (q *Queue[T]) removeHead(i int, head *queued[T]) {
 	l := &q.lanes[i]
-	cost, bytes := e.cost, e.bytes
+	cost, bytes := head.cost, head.bytes
 	for r := range l.entries {
 		if len(l.entries[r]) > 0 {
 			l.costs[r] -= cost
-			l.entries[r][0] = entry[T]{}
+			l.entries[r][0] = queued[T]{}
 			if l.entries[r] = l.entries[r][1:]; len(l.entries[r]) == 0 {
 				l.entries[r] = nil
 			}
@@ -150,7 +155,7 @@
 	}
 }
 
-// Head is the changes that the next submission asks for; 0 if none waits.
+// HeadCost returns the writes that the next submission asks for, or 0 if the queue is empty.
 func (q *Queue[T]) HeadCost() int {
 	if len(q.ring) == 0 {
 		return 0
@@ -158,37 +163,40 @@
 	return q.lanes[q.ring[0]].head().cost
 }
 
-// Len is how many submissions wait; Cost is the changes that they ask for.
-func (q *Queue[T]) Len() int  { return q.count }
+// Len returns the number of submissions in the queue.
+func (q *Queue[T]) Len() int { return q.count }
+
+// Cost returns the writes that all submissions in the queue ask for.
 func (q *Queue[T]) Cost() int { return q.cost }
 
-// Queued is the changes that one account waits for.
-func (q *Queue[T]) QueuedCost(account int) int { return q.lanes[q.lane(account)].cost }
+// QueuedCost returns the writes that the queued submissions of one account ask for.
+func (q *Queue[T]) QueuedCost(account int) int { return q.lanes[q.laneIndex(account)].cost }
 
-// Oldest is since when the submission waits that came first; now if none does.
+// Oldest returns the arrival time of the oldest submission, or now if the queue is empty.
 func (q *Queue[T]) Oldest(now Micros) Micros {
 	for _, i := range q.ring {
-		for _, list := range q.lanes[i].entries {
-			if len(list) > 0 {
-				now = min(now, list[0].at)
+		for _, entries := range q.lanes[i].entries {
+			if len(entries) > 0 {
+				now = min(now, entries[0].arrivedAt)
 			}
 		}
 	}
 	return now
 }
 
-// Ahead is how many changes are served before a new submission of an account, which
-// asks for cost itself: what its lane holds, and as much of each other lane.
+// CostAhead returns how many writes are served before a new submission of the account that
+// asks for cost writes: those ahead of it in its own lane and at most as many, plus one
+// quantum, of each other lane.
 func (q *Queue[T]) CostAhead(account int, rank Rank, cost int) int {
-	i := q.lane(account)
-	mine := cost
+	i := q.laneIndex(account)
+	ownCost := cost
 	for r := Rank(0); r <= rank; r++ {
-		mine += q.lanes[i].costs[r]
+		ownCost += q.lanes[i].costs[r]
 	}
-	sum := mine - cost
-	for _, k := range q.ring {
-		if k != i {
-			sum += min(q.lanes[k].cost, mine+quantum)
+	sum := ownCost - cost
+	for _, other := range q.ring {
+		if other != i {
+			sum += min(q.lanes[other].cost, ownCost+quantum)
 		}
 	}
 	return sum
--- a/internal/admit/share.go
+++ b/internal/admit/share.go
@@ -7,94 +7,98 @@
 	"lilacthread/internal/quota"
 )
 
-// Shares settles when there is more to do than the machines can take, and how much of
-// them each team is due then, by its guarantee. Within a team Served says who goes first.
+// TeamShares detects overload, which is more work than the machines can do in time, and
+// divides the machines among teams by their guarantees while it lasts. Within a team,
+// ObjectiveTracker sets the order.
 type TeamShares struct {
-	accounts   *AccountIndex
-	teams      []Team
-	rules      Settings
-	Overloaded bool   // overloaded now
-	since      Micros // since when the other mode is called for; clock.Forever while it is not
+	accounts        *AccountIndex
+	teams           []Team
+	settings        Settings
+	Overloaded      bool   // whether overload mode is on
+	modeChangeSince Micros // since when the other mode has been indicated; clock.Forever while it is not
 }
 
-// Team is what the settings say of one.
+// Team is a team's entry in the settings.
 type Team struct {
 	Name      string
 	Guarantee float64 // CPUs
-	Limit     float64 // CPUs; 0: none
+	Limit     float64 // CPUs; 0 means no limit
 }
 
-// Rules are the operators' settings of admission.
+// Settings are the operators' settings of admission.
 type Settings struct {
 	Enabled              bool
-	MinServedShare       float64            // part of each account's jobs that is served before all else
-	ClassMinServedShares map[string]float64 // of classes: their parts instead
-	MaxQueueWait         Micros             // a submission that would wait longer is refused at once
-	OverloadBacklog      Micros             // overload begins when the work waiting takes this long; 0: from the aims
+	MinServedShare       float64            // share of each account's jobs that is served before all other jobs
+	ClassMinServedShares map[string]float64 // by class: overrides MinServedShare
+	MaxQueueWait         Micros             // a submission that would wait longer in the queue is refused at once
+	OverloadBacklog      Micros             // backlog, as time of all machines, at which overload begins; 0 derives it from the objectives
 }
 
-// Floors are the parts of their jobs that the accounts are to be served, in turn.
+// AccountMinServedShares returns the minimum served share of each account, by number.
 func (r Settings) AccountMinServedShares(accounts *AccountIndex) []float64 {
-	floors := make([]float64, accounts.Len())
+	shares := make([]float64, accounts.Len())
 	for i, a := range accounts.Accounts {
-		floors[i] = r.MinServedShare
-		if f, ok := r.ClassMinServedShares[a.Class]; ok {
-			floors[i] = f
+		shares[i] = r.MinServedShare
+		if share, ok := r.ClassMinServedShares[a.Class]; ok {
+			shares[i] = share
 		}
 	}
-	return floors
+	return shares
 }
 
-// begins is when work waiting means overload: a quarter of the narrowest of the widest
-// aims of those who ask. What waits less than that is reached in time in the usual
-// order. Services are not among the demands: their aims are a few seconds.
-func (s *TeamShares) begins(demands []Demand) Micros {
-	if s.rules.OverloadBacklog > 0 {
-		return s.rules.OverloadBacklog
+// overloadThreshold returns the backlog at which overload begins: a quarter of the shortest
+// of the longest target times of the accounts that have demand. The usual order serves a
+// smaller backlog in time. The demands do not include services, whose target times are only
+// a few seconds.
+func (s *TeamShares) overloadThreshold(demands []Demand) Micros {
+	if s.settings.OverloadBacklog > 0 {
+		return s.settings.OverloadBacklog
 	}
-	least := clock.Forever
-	for a, w := range s.accounts.LongestTargets {
-		if w > 0 && demands[a].Held+demands[a].Waiting > 0 {
-			least = min(least, w)
+	shortest := clock.Forever
+	for a, target := range s.accounts.LongestTargets {
+		if target > 0 && demands[a].Held+demands[a].Waiting > 0 {
+			shortest = min(shortest, target)
 		}
 	}
-	if least == clock.Forever {
-		return defaultBegins
+	if shortest == clock.Forever {
+		return defaultOverloadBacklog
 	}
-	return max(least/4, beginsLeast)
+	return max(shortest/4, minOverloadBacklog)
 }
 
 const (
-	defaultBegins = 75 * clock.Second
-	beginsLeast   = 60 * clock.Second // while a fleet starts, more than that can wait for its boots
-	settles       = 3 * clock.Second  // how long a change of mode must be called for
+	defaultOverloadBacklog = 75 * clock.Second
+	minOverloadBacklog     = 60 * clock.Second // while a fleet starts, even more work can wait only for machines to boot
+	modeChangeDelay        = 3 * clock.Second  // how long a mode change must be indicated before it is made
 )
 
-// NewShares makes the shares of a deployment.
-func NewTeamShares(accounts *AccountIndex, teams []Team, rules Settings) *TeamShares {
-	return &TeamShares{accounts: accounts, teams: teams, rules: rules, since: clock.Forever}
+// NewTeamShares returns the shares of a deployment, not overloaded.
+func NewTeamShares(accounts *AccountIndex, teams []Team, settings Settings) *TeamShares {
+	return &TeamShares{accounts: accounts, teams: teams, settings: settings, modeChangeSince: clock.Forever}
 }
 
-// Demand is what an account's unfinished work, services aside, asks of the machines.
+// Demand is what an account's unfinished jobs, services excluded, ask of the machines.
 type Demand struct {
-	Held          float64 // CPUs that its tasks hold
+	Held          float64 // CPUs held by its running tasks
 	Waiting       float64 // CPUs that its waiting tasks ask for
-	RemainingWork float64 // CPU-seconds of both that are yet to do
+	RemainingWork float64 // CPU-seconds of both that remain
 }
 
-// Due is what an account is due, in CPUs: by its floor, and by its team's share.
+// Entitlement is what an account is entitled to, in CPUs: MinShare by its minimum served
+// share, and Share by its team's share of the machines.
 type Entitlement struct {
 	MinShare, Share float64
 }
 
+// milli is the number of thousandths in a unit.
 const milli = 1000
 
-// Judge works out what the teams are due of capacity CPUs, which is what machines have
-// for work that is not production, up or on their way. room tells whether machines can
-// still be rented. It reports nil, and leaves Over false, while the usual order serves
-// everybody.
-func (s *TeamShares) Evaluate(now Micros, capacity float64, room bool, demands []Demand) []float64 {
-	if !s.rules.Enabled || len(demands) != s.accounts.Len() {
+// Evaluate updates Overloaded and returns each team's share of capacity, both in CPUs.
+// capacity covers machines for work that is not production, running or booting; canRent
+// says whether more machines can be rented. Outside overload, Evaluate returns nil and the
+// usual order serves all teams.
+func (s *TeamShares) Evaluate(now Micros, capacity float64, canRent bool, demands []Demand) []float64 {
+	if !s.settings.Enabled || len(demands) != s.accounts.Len() {
 		s.Overloaded = false
 		return nil
 	}
@@ -102,20 +106,20 @@
 	for _, d := range demands {
 		held, waiting, work = held+d.Held, waiting+d.Waiting, work+d.RemainingWork
 	}
-	// The work that waits, measured by how long all machines would take for it.
+	// The backlog is the waiting work, as the time that all machines would take for it.
 	backlog := Micros(0)
 	if total := held + waiting; total > 0 && capacity > 0 {
 		backlog = clock.FromSeconds(math.Min(work*waiting/total/capacity, 1e9))
 	}
-	begins := s.begins(demands)
-	over := backlog > begins && !room
+	threshold := s.overloadThreshold(demands)
+	overloaded := backlog > threshold && !canRent
 	if s.Overloaded {
-		over = backlog > begins/3
+		overloaded = backlog > threshold/3
 	}
-	if over == s.Overloaded {
-		s.since = clock.Forever
-	} else if s.since = min(s.since, now); now-s.since >= settles {
-		s.Overloaded, s.since = over, clock.Forever
+	if overloaded == s.Overloaded {
+		s.modeChangeSince = clock.Forever
+	} else if s.modeChangeSince = min(s.modeChangeSince, now); now-s.modeChangeSince >= modeChangeDelay {
+		s.Overloaded, s.modeChangeSince = overloaded, clock.Forever
 	}
 	if !s.Overloaded {
 		return nil
@@ -123,28 +127,28 @@
 	return s.divide(capacity, demands)
 }
 
-// divide shares out among the teams, by guarantee and up to their limits.
+// divide splits capacity among the teams by guarantee, up to their limits and demands.
 func (s *TeamShares) divide(capacity float64, demands []Demand) []float64 {
-	asks := make([]quota.Request, len(s.teams))
+	requests := make([]quota.Request, len(s.teams))
 	for t, team := range s.teams {
 		for a, account := range s.accounts.Accounts {
 			if account.Team == team.Name {
-				asks[t].Demand += units(demands[a].Held + demands[a].Waiting)
+				requests[t].Demand += milliCPUs(demands[a].Held + demands[a].Waiting)
 			}
 		}
 		if team.Limit > 0 {
-			asks[t].Demand = min(asks[t].Demand, units(team.Limit))
+			requests[t].Demand = min(requests[t].Demand, milliCPUs(team.Limit))
 		}
-		asks[t].Weight = max(units(team.Guarantee), 1)
+		requests[t].Weight = max(milliCPUs(team.Guarantee), 1)
 	}
 	shares := make([]float64, len(s.teams))
-	for t, part := range quota.Divide(units(capacity), asks) {
-		shares[t] = float64(part) / milli
+	for t, share := range quota.Divide(milliCPUs(capacity), requests) {
+		shares[t] = float64(share) / milli
 	}
 	return shares
 }
 
-// units is thousandths of a CPU.
-func units(cpus float64) int64 {
+// milliCPUs converts CPUs to thousandths of a CPU.
+func milliCPUs(cpus float64) int64 {
 	return int64(math.Min(math.Max(cpus, 0)*milli, float64(quota.MaxAmount)))
 }
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Operations on a tree.
+// Operations of a change.
 const (
-	OpGrant  = "grant"  // sets a node's guarantee, limit or weight to more
-	OpShrink = "shrink" // or to less
-	OpAdd    = "add"
-	OpRemove = "remove"
-	OpMove   = "move" // below another parent
+	OpGrant  = "grant"  // raises a node's guarantee or limit, and may set its weight
+	OpShrink = "shrink" // lowers a node's guarantee or limit, and may set its weight
+	OpAdd    = "add"    // adds a node
+	OpRemove = "remove" // removes a node that has no children and holds nothing
+	OpMove   = "move"   // moves a node below another parent
 )
 
-// Change is what an operator asks for. ID names it for ever: a change that is
-// repeated lands once. Version is that of the tree which the operator saw.
+// Change is an operator's request to change the tree. Its ID is unique for ever: a change
+// that is repeated is applied once. Version is the version of the tree that the operator saw.
 type Change struct {
 	ID        string     `msgpack:"id"`
 	Version   uint64     `msgpack:"version"`
@@ -24,47 +24,50 @@
 	Parent    string     `msgpack:"parent,omitempty"`    // add, move
 	Guarantee *Resources `msgpack:"guarantee,omitempty"` // add, grant, shrink
 	Limit     *Resources `msgpack:"limit,omitempty"`     // add, grant, shrink
-	Weight    int64      `msgpack:"weight,omitempty"`    // add, grant, shrink; 0: as it is, or 1
+	Weight    int64      `msgpack:"weight,omitempty"`    // add, grant, shrink; 0 keeps the weight, or means 1 for a new node
 	Team      string     `msgpack:"team,omitempty"`      // add
 	Classes   []string   `msgpack:"classes,omitempty"`   // add
 }
 
-// Refusal says why a change is not made.
+// Refusal is the error that says why a change was not applied.
 type Refusal struct {
-	Malformed bool // not a change at all, whatever the tree
-	Stale     bool // made for another version
+	Malformed bool // invalid whatever the tree is
+	Stale     bool // made for another version of the tree
 	Reason    string
 }
 
+// Error returns the reason.
 func (r *Refusal) Error() string { return r.Reason }
 
+// malformed returns the refusal of a change that is invalid whatever the tree is.
 func malformed(format string, args ...any) *Refusal {
 	return &Refusal{Malformed: true, Reason: fmt.Sprintf("quota: change."+format, args...)}
 }
 
-func refused(err error) *Refusal { return &Refusal{Reason: err.Error()} }
+// refusalFor returns the refusal of a change that the present tree does not allow.
+func refusalFor(err error) *Refusal { return &Refusal{Reason: err.Error()} }
 
-// recent is how many changes are remembered by their ids: what is older is stale
-// by its version anyway, since each change raises that by one.
-const recent = 64
+// maxApplied is the number of applied changes whose ids are remembered. Older ones are stale
+// by their version, since each change raises the version by one.
+const maxApplied = 64
 
-// Book is a tree with its version and the changes that made it.
+// VersionedTree is a tree with its version and its latest changes.
 type VersionedTree struct {
 	Tree    *Tree
 	Version uint64
-	Applied []AppliedChange // the latest last
+	Applied []AppliedChange // latest last
 }
 
-// Landed is a change that was made.
+// AppliedChange is a change that was applied.
 type AppliedChange struct {
 	ID      string `msgpack:"id"`
-	Version uint64 `msgpack:"v"` // that it made
+	Version uint64 `msgpack:"v"` // the version that the change made
 }
 
-// Decide makes a change, or says why not. The version given back is that which the
-// change made, also when it had landed before. No spec but that of the node it names
-// differs then. The book is a new one, and the old one stays as it was, so that what is
-// not committed need not be taken back.
+// Apply returns the tree after a change, or says why the change is refused. The version is the
+// one that the change made, also if it was applied before. Only the spec of the node that the
+// change names differs. The receiver stays as it was, so a change that is not committed need
+// not be undone.
 func (b *VersionedTree) Apply(c *Change) (next *VersionedTree, version uint64, err *Refusal) {
 	if err := c.check(); err != nil {
 		return nil, 0, err
@@ -75,28 +78,29 @@
 		}
 	}
 	if c.Version != b.Version {
-		return nil, 0, &Refusal{Stale: true, Reason: fmt.Sprintf("quota: change.version: %d is not the present %d", c.Version, b.Version)}
+		return nil, 0, &Refusal{Stale: true, Reason: fmt.Sprintf("quota: change.version: %d is not the current version %d", c.Version, b.Version)}
 	}
 	tree, err := b.Tree.apply(c)
 	if err != nil {
 		return nil, 0, err
 	}
 	next = &VersionedTree{Tree: tree, Version: b.Version + 1}
-	next.Applied = append(slices.Clone(b.Applied[max(len(b.Applied)-recent+1, 0):]), AppliedChange{c.ID, next.Version})
+	next.Applied = append(slices.Clone(b.Applied[max(len(b.Applied)-maxApplied+1, 0):]), AppliedChange{c.ID, next.Version})
 	return next, next.Version, nil
 }
 
+// check returns the refusal of a change that is invalid whatever the tree is, or nil.
 func (c *Change) check() *Refusal {
 	if c.ID == "" || len(c.ID) > MaxName {
-		return malformed("id: 1 to %d characters are needed", MaxName)
+		return malformed("id: must have 1 to %d characters", MaxName)
 	}
 	if c.Name == "" {
 		return malformed("name: missing")
 	}
-	sizes := c.Guarantee != nil || c.Limit != nil || c.Weight != 0
+	setsAmounts := c.Guarantee != nil || c.Limit != nil || c.Weight != 0
 	switch c.Op {
 	case OpGrant, OpShrink:
-		if !sizes {
+		if !setsAmounts {
 			return malformed("guarantee: a %s needs a guarantee, a limit or a weight", c.Op)
 		}
 		if c.Parent != "" || c.Team != "" || c.Classes != nil {
@@ -107,7 +111,7 @@
 			return malformed("limit: a new node needs a guarantee and a limit")
 		}
 	case OpRemove, OpMove:
-		if sizes || c.Team != "" || c.Classes != nil || c.Op == OpRemove && c.Parent != "" {
+		if setsAmounts || c.Team != "" || c.Classes != nil || c.Op == OpRemove && c.Parent != "" {
 			return malformed("guarantee: a %s changes no amounts", c.Op)
 		}
 	default:
@@ -116,34 +120,34 @@
 	return nil
 }
 
-// apply gives the tree after a change, with all that is held.
+// apply returns the tree after a change, with everything that is held.
 func (t *Tree) apply(c *Change) (*Tree, *Refusal) {
 	specs := make([]Spec, 0, len(t.order)+1)
 	for _, n := range t.order {
 		specs = append(specs, n.Spec)
 	}
-	at := slices.IndexFunc(specs, func(s Spec) bool { return s.Name == c.Name })
-	if at < 0 && c.Op != OpAdd {
-		return nil, refused(nodeError(c.Name, "name: there is no such node"))
+	index := slices.IndexFunc(specs, func(s Spec) bool { return s.Name == c.Name })
+	if index < 0 && c.Op != OpAdd {
+		return nil, refusalFor(nodeError(c.Name, "name: node does not exist"))
 	}
 	switch c.Op {
 	case OpGrant, OpShrink:
-		s := &specs[at]
-		for _, f := range []struct {
-			name    string
-			to, old *Resources
+		s := &specs[index]
+		for _, field := range []struct {
+			name               string
+			requested, current *Resources
 		}{{"guarantee", c.Guarantee, &s.Guarantee}, {"limit", c.Limit, &s.Limit}} {
-			if f.to == nil {
+			if field.requested == nil {
 				continue
 			}
-			less, more := f.to.Within(*f.old), f.old.Within(*f.to)
-			if c.Op == OpGrant && !more || c.Op == OpShrink && !less {
-				return nil, refused(nodeError(c.Name, "%s: a %s can't set %v to %v", f.name, c.Op, *f.old, *f.to))
+			notAbove, notBelow := field.requested.Within(*field.current), field.current.Within(*field.requested)
+			if c.Op == OpGrant && !notBelow || c.Op == OpShrink && !notAbove {
+				return nil, refusalFor(nodeError(c.Name, "%s: a %s cannot change %v to %v", field.name, c.Op, *field.current, *field.requested))
 			}
-			*f.old = *f.to
+			*field.current = *field.requested
 		}
 		if c.Op == OpShrink && c.Limit != nil && c.Guarantee == nil {
-			s.Guarantee = minResources(s.Guarantee, s.Limit) // nobody is guaranteed more than the limit
+			s.Guarantee = minResources(s.Guarantee, s.Limit) // a guarantee never exceeds the limit
 		}
 		if c.Weight != 0 {
 			s.Weight = c.Weight
@@ -154,50 +158,50 @@
 	case OpRemove:
 		n := t.nodes[c.Name]
 		if len(n.children) > 0 {
-			return nil, refused(nodeError(c.Name, "name: has children"))
+			return nil, refusalFor(nodeError(c.Name, "name: node has children"))
 		}
 		if !n.held.IsZero() {
-			return nil, refused(nodeError(c.Name, "name: holds %v; shrink it to nothing first", n.held))
+			return nil, refusalFor(nodeError(c.Name, "name: node holds %v; shrink it to zero first", n.held))
 		}
-		specs = slices.Delete(specs, at, at+1)
+		specs = slices.Delete(specs, index, index+1)
 	case OpMove:
-		specs[at].Parent = c.Parent
+		specs[index].Parent = c.Parent
 	}
 	next, err := Build(specs)
 	if err != nil {
-		return nil, refused(err)
+		return nil, refusalFor(err)
 	}
 	for _, n := range t.order {
-		if m := next.nodes[n.Name]; m != nil && len(n.children) == 0 && len(m.children) == 0 {
-			next.Acquire(m, n.held)
-			next.SetDemand(m, n.demand)
+		if successor := next.nodes[n.Name]; successor != nil && len(n.children) == 0 && len(successor.children) == 0 {
+			next.Acquire(successor, n.held)
+			next.SetDemand(successor, n.demand)
 		}
 	}
-	if err := next.follows(t, c); err != nil {
-		return nil, refused(err)
+	if err := next.checkTransition(t, c); err != nil {
+		return nil, refusalFor(err)
 	}
 	return next, nil
 }
 
-// follows judges what Build does not: a node gives its children no more than it
-// holds, unless a shrink of its own made it so, and a subtree that moves while in
-// use fits where it goes at once.
-func (t *Tree) follows(before *Tree, c *Change) error {
+// checkTransition checks what Build does not: a node's children have no larger guarantees
+// together than the node, unless a shrink caused it, and a subtree that moves while in use
+// fits at once below its new parent.
+func (t *Tree) checkTransition(before *Tree, c *Change) error {
 	for _, n := range t.order {
-		over := n.excess()
-		if old := before.nodes[n.Name]; old != nil && (over.Within(old.excess()) || c.Op == OpShrink) {
+		overcommit := n.overcommit()
+		if previous := before.nodes[n.Name]; previous != nil && (overcommit.Within(previous.overcommit()) || c.Op == OpShrink) {
 			continue
 		}
-		if !over.IsZero() {
-			return nodeError(n.Name, "guarantee: its children would have %v more than it", over)
+		if !overcommit.IsZero() {
+			return nodeError(n.Name, "guarantee: the children's guarantees would exceed it by %v", overcommit)
 		}
 	}
 	if c.Op != OpMove && c.Op != OpAdd {
 		return nil
 	}
 	for n := t.nodes[c.Name].parent; n != nil; n = n.parent {
-		if old := before.nodes[n.Name]; n.held != old.held && !n.held.Within(maxResources(n.Limit, old.held)) {
-			return nodeError(n.Name, "limit: %v held by %s do not fit", t.nodes[c.Name].held, c.Name)
+		if previous := before.nodes[n.Name]; n.held != previous.held && !n.held.Within(maxResources(n.Limit, previous.held)) {
+			return nodeError(n.Name, "limit: %v held by %s does not fit", t.nodes[c.Name].held, c.Name)
 		}
 	}
 	return nil
