--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -419,7 +419,7 @@
 
 func (c *Core) fleetInput(now Micros) *fleet.Input {
 	in := &fleet.Input{Now: now, Catalog: c.catalog, RefusedUntil: c.refusedUntil, Machines: c.sortedMachines,
-		Unplaced: c.unplaced, SpotWait: c.policy.SpotWaitThreshold, FetchRates: c.fetchRates, MaxReportAge: c.maxReportAge()}
+		Unplaced: c.unplaced, SpotWaitThreshold: c.policy.SpotWaitThreshold, FetchRates: c.fetchRates, MaxReportAge: c.maxReportAge()}
 	for _, bid := range slices.Sorted(maps.Keys(c.pendingRentals)) {
 		in.PendingRentals = append(in.PendingRentals, c.pendingRentals[bid])
 	}
