--- a/internal/oneway/oneway.go
+++ b/internal/oneway/oneway.go
@@ -1,7 +1,10 @@
-// Package oneway detects one-way partitions: it judges, from what a worker reports, whether
-// anything that its controllers send reaches it. A machine whose reports arrive while answers and commands don't reach it looks
-// alive: it renews nothing, kills its work when its lease ends and begins a new session,
-// again and again. Pure, like sched: no I/O and no clock of its own.
+// Package oneway detects one-way partitions: from what a worker reports, it infers whether
+// answers and commands of the controllers reach that worker. While its reports arrive, a
+// worker whose inbound traffic is lost looks alive, but it never gets its lease renewed:
+// it kills its tasks when the lease ends and begins a new session, again and again.
+//
+// The package is pure, like package sched: it does no I/O and reads no clock. The
+// controllers send the probes and act on the result.
 package oneway
 
 import "lilacthread/internal/clock"
@@ -9,38 +12,41 @@
 // Micros is the project's unit of time.
 type Micros = clock.Micros
 
-// Sign is something that a worker shows and that contradicts what it was told.
+// Symptom is evidence that something sent to a worker did not arrive. Its value is its
+// weight.
 type Symptom int
 
-// Signs, by their weight. One alone of the first three has other causes too: an answer
-// that was slow, a machine that stood still for a moment.
+// Symptoms and their weights. A single one of the first three may have other causes, such
+// as a slow answer or a machine that paused for a moment.
 const (
-	CommandBatchLost Symptom = 1 // an order was not answered, and a later report came all the same
+	CommandBatchLost Symptom = 1 // a command batch was not answered, but a later report arrived
 	LaunchLost       Symptom = 1 // a launch in the answer to a report had no effect
-	TokenLost        Symptom = 1 // a report was answered under a newer token, and the next shows the old
-	SessionLost      Symptom = 3 // its lease ended although its reports were answered
+	TokenLost        Symptom = 1 // a report was answered with a newer token, but the next report carries the old one
+	SessionLost      Symptom = 3 // the worker's lease ended although its reports were answered
 )
 
-// enough is the weight of signs since the last proof that makes a machine pass for partitioned.
+// partitionThreshold is the total weight of symptoms, since the machine was last confirmed
+// reachable, from which on it counts as partitioned.
 const partitionThreshold = 3
 
-// Detector is what is known of the way from the controllers to one machine.
+// Detector tracks whether traffic from the controllers reaches one machine.
 type Detector struct {
-	Partitioned      bool
-	firstSymptomAt   Micros // when the first sign of it came, without a proof since
-	sessionLost      bool   // its session moved since: nothing of before is on it
-	symptomWeight    Symptom
-	lastSymptomAt    Micros // of the latest sign
-	lastProbeAt      Micros // when it was last asked for a proof
-	unansweredProbes int    // questions without an answer, since then
+	Partitioned      bool    // inbound traffic of the machine is taken to be lost
+	firstSymptomAt   Micros  // first symptom since the machine was last confirmed reachable
+	sessionLost      bool    // the worker has begun a new session since, so earlier tasks are gone
+	symptomWeight    Symptom // total weight of the symptoms since then
+	lastSymptomAt    Micros
+	lastProbeAt      Micros
+	unansweredProbes int // probes without an answer since Partitioned was set
 }
 
-// Proof notes that the machine executed or answered something.
+// ConfirmReachable records that the machine executed or answered something, which clears
+// all symptoms.
 func (d *Detector) ConfirmReachable() { *d = Detector{} }
 
-// See notes a sign; within the span that follows another of its weight it is taken for
-// the same one, so that repeats and copies weigh nothing. It reports whether the machine
-// passes for partitioned from now on.
+// RecordSymptom adds a symptom. One lighter than SessionLost that follows another within
+// dedupWindow is ignored, so that repeated and duplicated evidence counts only once.
+// RecordSymptom reports whether this symptom makes the machine count as partitioned.
 func (d *Detector) RecordSymptom(s Symptom, now, dedupWindow Micros) bool {
 	if s < SessionLost && d.symptomWeight > 0 && now-d.lastSymptomAt < dedupWindow {
 		return false
@@ -59,12 +65,14 @@
 	return true
 }
 
-// Suspected reports whether any sign of it was seen since the last proof.
+// Suspected reports whether there was any symptom since the machine was last confirmed
+// reachable.
 func (d *Detector) Suspected() bool { return d.symptomWeight > 0 }
 
-// Ask reports whether the machine should be asked for a proof now, and notes that it is:
-// soon after a sign, and ever less often while it stays silent. Whoever asks has one
-// question to a machine under way at a time.
+// BeginProbe reports whether the machine should be probed now, and if so records the
+// probe. Only a suspected machine is probed, at intervals that grow from 2 s to 20 s with
+// the number of unanswered probes. The caller must have at most one probe to a machine in
+// flight.
 func (d *Detector) BeginProbe(now Micros) bool {
 	if d.symptomWeight == 0 || now-d.lastProbeAt < min(2*clock.Second<<min(d.unansweredProbes, 4), 20*clock.Second) {
 		return false
@@ -73,7 +81,8 @@
 	return true
 }
 
-// Answered notes the outcome of a question: a machine that answers hears.
+// RecordProbeResult records whether a probe was answered. An answer confirms that the
+// machine is reachable.
 func (d *Detector) RecordProbeResult(answered bool) {
 	if answered {
 		d.ConfirmReachable()
@@ -82,11 +91,13 @@
 	}
 }
 
-// questions is how many must stay without an answer before such a machine is given up.
+// unansweredProbeLimit is the number of unanswered probes from which on a partitioned
+// machine can be unrecoverable.
 const unansweredProbeLimit = 3
 
-// Hopeless reports whether the machine should be returned: it does not answer, and what
-// ran on it is gone or will be before long, as its lease has not been renewed since.
+// Unrecoverable reports whether the machine should be released: it is partitioned, it
+// doesn't answer probes, and its tasks are gone or will be soon, as its session was lost
+// or half of its lease has passed without a sign that a renewal arrived.
 func (d *Detector) Unrecoverable(now, leaseDuration Micros) bool {
 	return d.Partitioned && d.unansweredProbes >= unansweredProbeLimit && (d.sessionLost || now-d.firstSymptomAt > leaseDuration/2)
 }
