--- a/cmd/lilacthread/bound.go
+++ b/cmd/lilacthread/bound.go
@@ -13,18 +13,19 @@
 	"lilacthread/internal/clock"
 )
 
+// boundCmd compares a recorded run with what any scheduler could have reached.
 type boundCmd struct {
-	Begun    map[string]float64 `placeholder:"CLASS=SECONDS" help:"A job of the class counts if it is begun within this time."`
-	Done     map[string]float64 `placeholder:"CLASS=SECONDS" help:"A job of the class counts if it is done within this time."`
-	Deadline []string           `placeholder:"CLASS" help:"A job of the class counts if it is done by its own deadline."`
-	Aim      []string           `placeholder:"KIND:CLASS:SECONDS:WORST:BEST:WEIGHT" help:"One of the aims that the day's figure is made of; may be repeated."`
-	Log      []string           `arg:"" type:"existingfile" help:"Logs of the controllers, at level debug."`
+	Begun    map[string]float64 `placeholder:"CLASS=SECONDS" help:"Count a job of the class as in time if it starts within this time."`
+	Done     map[string]float64 `placeholder:"CLASS=SECONDS" help:"Count a job of the class as in time if it finishes within this time."`
+	Deadline []string           `placeholder:"CLASS" help:"Count a job of the class as in time if it finishes by its own deadline."`
+	Aim      []string           `placeholder:"KIND:CLASS:SECONDS:WORST:BEST:WEIGHT" help:"An objective to score the recorded run by. May be repeated."`
+	Log      []string           `arg:"" type:"existingfile" help:"Logs of the controllers, written at level debug."`
 }
 
-// Run tells how far from the best a recorded day was.
+// Run prints how far the recorded run was from the bounds.
 func (b *boundCmd) Run() error {
 	if len(b.Begun)+len(b.Done)+len(b.Deadline)+len(b.Aim) == 0 {
-		return usageError{errors.New("bound: name the aims with --begun, --done, --deadline or --aim")}
+		return usageError{errors.New("bound: at least one of --begun, --done, --deadline and --aim is required")}
 	}
 	var log strings.Builder
 	for _, path := range b.Log {
@@ -45,11 +46,12 @@
 	return nil
 }
 
-// read makes a day of the log, in which there must be something.
+// readRecording makes a recording from the log. It fails if the log has no matching jobs
+// or no capacity.
 func (b *boundCmd) readRecording(log string, windows bound.ObjectiveWindows) (*bound.Recording, map[string]*bound.Observed, error) {
 	recording, observed, err := bound.ReadLog(strings.NewReader(log), windows)
 	if err == nil && (len(recording.Jobs) == 0 || len(recording.Capacity) == 0) {
-		err = errors.New("bound: the log has no jobs of these classes, or not what machines had (level debug)")
+		err = errors.New("bound: the log has no jobs of the given classes or no capacity (is it at level debug?)")
 	}
 	if err != nil {
 		return nil, nil, usageError{err}
@@ -57,7 +59,8 @@
 	return recording, observed, nil
 }
 
-// shares tells what part of each account's jobs was served, and could have been.
+// printShares prints, for each account, the shares of its jobs that started and finished in
+// time and the share that the greedy plan serves, and then the bounds.
 func (b *boundCmd) printShares(log string) error {
 	toMicros := func(seconds map[string]float64) map[string]clock.Micros {
 		out := map[string]clock.Micros{}
@@ -80,12 +83,12 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Printf("no scheduler serves more than %.2f of every one, nor more than %.2f of all in the mean\n", bounds.MinShareBound, bounds.MeanShareBound)
+	fmt.Printf("no scheduler serves more than %.2f of every account's jobs, or more than %.2f in the mean over the accounts\n", bounds.MinShareBound, bounds.MeanShareBound)
 	return nil
 }
 
-// figure tells what the named aims were worth, and at most could have been: each as if the
-// machines were there for it alone.
+// printScores prints the score of each objective and its upper bound, and the weighted
+// means. Each bound assumes that all machines serve that objective alone.
 func (b *boundCmd) printScores(log string) error {
 	var objectives []bound.Objective
 	var shares, upperBounds []float64
@@ -111,6 +114,6 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Printf("the day was worth %.2f by these aims; no scheduler reaches more than %.2f\n", bound.MeanScore(objectives, shares), bound.MeanScore(objectives, upperBounds))
+	fmt.Printf("the recorded run is worth %.2f by these aims; no scheduler reaches more than %.2f\n", bound.MeanScore(objectives, shares), bound.MeanScore(objectives, upperBounds))
 	return nil
 }
--- a/internal/bound/bound.go
+++ b/internal/bound/bound.go
@@ -1,15 +1,18 @@
-// Package bound tells how well a recorded overload day could have been served at best: an
-// upper bound on what any scheduler reaches that knows the whole day beforehand, and what
-// a simple one that does reaches. So "how far from the best" is a figure.
+// Package bound evaluates a recorded run under overload offline: it computes an upper
+// bound on the share of jobs that any scheduler could have served, even one that knows the
+// whole recording in advance, and the share that a greedy plan with that knowledge serves.
+// The difference to what was observed says how far the scheduler was from the optimum.
+// The package takes no part in scheduling.
 //
-// A job counts as served if its work is done within its window. The bound relaxes what a
-// real scheduler must keep: work may be split at will, over time and over machines, and
-// nothing is ever fetched, lost or done twice. It is the dual of that linear program: for
-// any prices of the machines' time it holds that
+// A job counts as served if its work is done within its window. The bound relaxes the
+// constraints of a real scheduler: work may be split freely over time and machines, and no
+// time is spent on fetching images or on repeating lost work. It is the dual of that linear
+// program. For any non-negative prices of machine time it holds that
 //
-//	served <= sum(price[t] * room[t]) + sum over jobs of max(0, worth - work * cheapest price in its window)
+//	served <= sum over slots of price[t] * capacity[t]
+//	        + sum over jobs of max(0, value - work * lowest price in its window)
 //
-// so the search for good prices may stop anywhere, and the bound holds all the same.
+// so the search for good prices may stop at any point and still yields a valid bound.
 package bound
 
 import (
@@ -23,48 +26,52 @@
 // Micros is the project's unit of time.
 type Micros = clock.Micros
 
-// Job is one job of a day.
+// Job is one job of a recording.
 type Job struct {
 	Account  string
-	From, To Micros  // its work counts if it is done between these
+	From, To Micros  // window in which its work must be done
 	Work     float64 // CPU-seconds
 }
 
-// Step is what the machines have for the jobs from an instant on.
+// CapacityStep is the number of CPUs that the machines offer to the jobs from an instant
+// on, until the next step.
 type CapacityStep struct {
 	At   Micros
 	CPUs float64
 }
 
-// Day is a recorded day; the steps are in order.
+// Recording holds the jobs and the capacity of a recorded run. The steps are in order of
+// time.
 type Recording struct {
 	Jobs     []Job
 	Capacity []CapacityStep
 }
 
-// Result is the best that can be said of a day.
+// Result holds the bounds for a recording, as shares between 0 and 1.
 type Result struct {
-	MinShareBound  float64            // no scheduler serves a larger part of every account's jobs
-	MeanShareBound float64            // nor of all accounts in the mean
-	GreedyShare    map[string]float64 // what least work first reaches, by account
+	MinShareBound  float64            // no scheduler serves a larger share of every account's jobs
+	MeanShareBound float64            // no scheduler reaches a larger mean share over the accounts
+	GreedyShare    map[string]float64 // share that the greedy plan serves, by account
 }
 
-// slot is the grain of time. A window reaches to the slots' outer ends and a bound on
-// what is done in it stays one.
+// slotLength is the resolution of time. A window is widened to whole slots, which can only
+// raise the bound, so it stays valid.
 const slotLength = 5 * clock.Second
 
-// grid is a day in slots.
+// grid is a recording divided into slots. Its slices hold one element per job unless their
+// comment says otherwise.
 type grid struct {
 	slotCapacity       []float64 // CPU-seconds of each slot
-	firstSlot, endSlot []int     // of each job: its first slot and the one after its last
-	work               []float64
-	accountIndex       []int
-	infeasible         []bool    // more work than all room in its window: cannot be served
-	jobCount           []float64 // jobs by account
-	accounts           []string
+	firstSlot, endSlot []int     // first slot of the window, and the one after its last
+	work               []float64 // CPU-seconds
+	accountIndex       []int     // in accounts
+	infeasible         []bool    // the job has more work than its whole window has capacity
+	jobCount           []float64 // number of jobs, by account
+	accounts           []string  // names of the accounts
 }
 
-// cut puts a day into slots; nil if there is nothing in it.
+// newGrid divides a recording into slots. It returns nil if there are no jobs or no
+// capacity.
 func newGrid(recording *Recording) *grid {
 	if len(recording.Jobs) == 0 || len(recording.Capacity) == 0 {
 		return nil
@@ -98,13 +105,13 @@
 	return g
 }
 
-// capacity is the CPU-seconds between two instants.
+// cpuSecondsBetween returns the CPU-seconds that the steps offer between two instants.
 func cpuSecondsBetween(steps []CapacityStep, from, to Micros) float64 {
 	total := 0.0
 	for i, s := range steps {
 		stepStart, stepEnd := s.At, to
 		if i == 0 {
-			stepStart = min(stepStart, from) // before the record begins, what it begins with
+			stepStart = min(stepStart, from) // the first step also applies before its own time
 		}
 		if i+1 < len(steps) {
 			stepEnd = min(stepEnd, steps[i+1].At)
@@ -116,7 +123,7 @@
 	return total
 }
 
-// Best works a day out.
+// ComputeBounds computes all bounds of a recording.
 func ComputeBounds(recording *Recording) Result {
 	g := newGrid(recording)
 	if g == nil {
@@ -130,7 +137,8 @@
 	return r
 }
 
-// Mean is the part of Best's result that costs little.
+// MeanBound computes only the MeanShareBound of ComputeBounds, which takes one search for
+// prices instead of many.
 func MeanBound(recording *Recording) float64 {
 	if g := newGrid(recording); g != nil {
 		return g.meanShareBound(g.equalWeights(), g.greedyShares())
@@ -138,12 +146,13 @@
 	return 0
 }
 
+// meanShareBound returns a bound on the mean share over the accounts, for equal weights.
 func (g *grid) meanShareBound(weights, greedyShares []float64) float64 {
 	upperBound, _ := g.weightedBound(weights, dot(weights, greedyShares))
 	return min(upperBound, 1)
 }
 
-// equal weighs all accounts alike.
+// equalWeights returns the same weight for every account; the weights sum to 1.
 func (g *grid) equalWeights() []float64 {
 	weights := make([]float64, len(g.accounts))
 	for a := range weights {
@@ -152,15 +161,18 @@
 	return weights
 }
 
-// rounds of the searches: the bound holds after any number.
+// Iterations of the searches for prices and for weights. The bounds are valid after any
+// number of them.
 const (
 	priceRounds = 300
 	shareRounds = 40
 )
 
-// bound is the least upper bound found on the sum over accounts of weight times the part
-// of its jobs that is served, and those parts in the optimum under its prices. reached is
-// what can be served for certain: the search steps towards that.
+// weightedBound searches prices by subgradient descent. It returns the least upper bound
+// found on the sum, over accounts, of weight times the share of its jobs that is served,
+// and the shares that are optimal under the prices of that bound. lowerBound is a value of
+// that sum that is known to be reachable; it determines the step size, and the search ends
+// when it is met.
 func (g *grid) weightedBound(weights []float64, lowerBound float64) (float64, []float64) {
 	values := make([]float64, len(g.work))
 	for i, a := range g.accountIndex {
@@ -188,13 +200,14 @@
 			if values[i] == 0 || gain < -0.02*values[i] {
 				continue
 			}
-			servedFraction := 1.0 // a job at the margin is served in part
+			servedFraction := 1.0 // a job within 2 % of break-even is served in part
 			if gain < 0.02*values[i] {
 				servedFraction = 0.5 + 25*gain/values[i]
 			}
 			total += max(gain, 0)
 			roundShares[g.accountIndex[i]] += servedFraction / g.jobCount[g.accountIndex[i]]
-			// Among slots of about the least price the work is spread by their room.
+			// The work is spread over the slots within 2 % of the lowest price, in
+			// proportion to their capacity.
 			cheapCapacity := 0.0
 			for t := g.firstSlot[i]; t < g.endSlot[i]; t++ {
 				if prices[t] <= 1.02*minPrice {
@@ -227,8 +240,9 @@
 	return leastBound, shares
 }
 
-// uniform is the best price if all time has the same: the cheapest jobs per work that all
-// room together can hold are worth more than it, the others less.
+// uniformPrice returns the best price under the condition that it is the same in all
+// slots: the value per work of the first job that no longer fits when the jobs with the
+// most value per work fill the total capacity. It is 0 if all of them fit.
 func (g *grid) uniformPrice(values []float64) float64 {
 	order := make([]int, len(values))
 	for i := range order {
@@ -244,8 +258,10 @@
 	return 0
 }
 
-// least bounds the part that every account can be served to: for any weights that sum to
-// one it is at most their bound. Weights move to the accounts that are served least.
+// minShareBound returns a bound on the smallest share over the accounts. For any weights
+// that sum to 1 the smallest share is at most the weighted one, so the least weightedBound
+// over all iterations is valid. Each iteration moves weight to the accounts with the
+// smallest shares.
 func (g *grid) minShareBound(initialWeights, greedyShares []float64) float64 {
 	weights := slices.Clone(initialWeights)
 	leastBound := math.Inf(1)
@@ -280,9 +296,10 @@
 	return total
 }
 
-// greedy serves the account that is served least, and of it the job that takes least, as
-// long as it fits into what is left of its window: a plan that could be kept if work could
-// be split at will.
+// greedyShares returns the share of each account's jobs that a greedy plan serves. It
+// repeatedly takes the account with the smallest share so far, and of it the job with the
+// least work, and serves that job if it fits into the remaining capacity of its window. The
+// plan is feasible if work may be split freely.
 func (g *grid) greedyShares() []float64 {
 	remaining := slices.Clone(g.slotCapacity)
 	pending := make([][]int, len(g.accounts))
@@ -315,8 +332,9 @@
 	return servedJobs
 }
 
-// fits takes a job's work from the end of its window, where it stands in nobody's way who
-// comes before, and reports whether there was room; if not, it takes nothing.
+// reserveLatest reserves capacity for job i as late in its window as possible, which leaves
+// the earlier slots to jobs whose windows end sooner. It reports whether there was enough;
+// if not, it reserves nothing.
 func (g *grid) reserveLatest(remaining []float64, i int) bool {
 	need := g.work[i]
 	if sum(remaining[g.firstSlot[i]:g.endSlot[i]]) < need {
--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -13,7 +13,7 @@
 
 const sec = clock.Second
 
-// TestKnown: days of which the best is plain.
+// TestComputeBoundsKnownCases checks recordings whose optimum is known.
 func TestComputeBoundsKnownCases(t *testing.T) {
 	newRecording := func(cpus float64, work ...float64) *Recording {
 		d := &Recording{Capacity: []CapacityStep{{0, cpus}}}
@@ -37,27 +37,28 @@
 			t.Errorf("%s: %+v, want %v and %v", name, r, c.minShare, c.meanShare)
 		}
 	}
-	// What the machines have changes, and a window lies where there is nothing.
+	// The capacity changes over time, and one window lies where there is none.
 	d := &Recording{Capacity: []CapacityStep{{0, 10}, {100 * sec, 0}, {200 * sec, 10}}, Jobs: []Job{
 		{"a", 110 * sec, 190 * sec, 1}, {"b", 50 * sec, 250 * sec, 900}}}
 	if r := ComputeBounds(d); r.MinShareBound > 0.03 || r.GreedyShare["a"] != 0 || r.GreedyShare["b"] != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("got %+v, want account a not served and b served", r)
 	}
 	if r := ComputeBounds(&Recording{}); r.MinShareBound != 0 || len(r.GreedyShare) != 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("got %+v for an empty recording, want no shares", r)
 	}
 }
 
-// TestBoundHolds: no choice of jobs that fits their windows serves more than the bound,
-// tried over all choices of small days; nor does what the greedy plan reaches.
+// TestBoundsHoldForAllSubsets checks, over all subsets of the jobs of small random
+// recordings, that no feasible subset serves more than the bounds, and that the greedy plan
+// serves no more than the best subset.
 func TestBoundsHoldForAllSubsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &Recording{Capacity: []CapacityStep{{0, float64(rapid.IntRange(1, 20).Draw(t, "room"))}, {60 * sec, float64(rapid.IntRange(0, 20).Draw(t, "later"))}}}
+		d := &Recording{Capacity: []CapacityStep{{0, float64(rapid.IntRange(1, 20).Draw(t, "capacity"))}, {60 * sec, float64(rapid.IntRange(0, 20).Draw(t, "later capacity"))}}}
 		n := rapid.IntRange(1, 9).Draw(t, "jobs")
 		for range n {
 			from := Micros(rapid.IntRange(0, 20).Draw(t, "from")) * slotLength
 			d.Jobs = append(d.Jobs, Job{Account: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "account"), From: from,
-				To: from + Micros(rapid.IntRange(1, 20).Draw(t, "long"))*slotLength, Work: float64(rapid.IntRange(1, 900).Draw(t, "work"))})
+				To: from + Micros(rapid.IntRange(1, 20).Draw(t, "window"))*slotLength, Work: float64(rapid.IntRange(1, 900).Draw(t, "work"))})
 		}
 		r, g := ComputeBounds(d), newGrid(d)
 		bestMinShare, bestMeanShare := 0.0, 0.0
@@ -78,20 +79,20 @@
 			bestMinShare, bestMeanShare = max(bestMinShare, minShare), max(bestMeanShare, meanShare)
 		}
 		if bestMinShare > r.MinShareBound+1e-9 || bestMeanShare > r.MeanShareBound+1e-9 {
-			t.Fatalf("%v and %v can be served, the bounds are %v and %v", bestMinShare, bestMeanShare, r.MinShareBound, r.MeanShareBound)
+			t.Fatalf("shares %v (minimum) and %v (mean) can be served, but the bounds are %v and %v", bestMinShare, bestMeanShare, r.MinShareBound, r.MeanShareBound)
 		}
 		greedyMinShare := 1.0
 		for _, part := range r.GreedyShare {
 			greedyMinShare = min(greedyMinShare, part)
 		}
 		if greedyMinShare > bestMinShare+1e-9 {
-			t.Fatalf("the plan reaches %v, the best is %v", greedyMinShare, bestMinShare)
+			t.Fatalf("the greedy plan serves a minimum share of %v, but the best subset serves %v", greedyMinShare, bestMinShare)
 		}
 	})
 }
 
-// feasible reports whether a set of jobs fits into its windows, by earliest end first,
-// which is optimal for work that can be split.
+// feasible reports whether all jobs of a subset fit into their windows. It schedules the
+// earliest end of a window first, which is optimal for work that can be split.
 func (g *grid) feasible(subset int) bool {
 	need := make([]float64, len(g.work))
 	for i := range need {
@@ -123,7 +124,8 @@
 	return true
 }
 
-// TestRead: a log with lines of others between gives the day, and bad ones are named.
+// TestReadLog checks that a log gives the recording although other lines are mixed in, and
+// that the error for a malformed line names it.
 func TestReadLog(t *testing.T) {
 	const log = `    1.5000 node-1 time=2026-01-01T00:01:00.000Z level=DEBUG msg=fleet waiting=3 room=40
 hello
@@ -134,23 +136,23 @@
 	windows := ObjectiveWindows{StartWithin: map[string]Micros{"bulk": 15 * sec}, FinishWithin: map[string]Micros{"bulk": 60 * sec}}
 	recording, observed, err := ReadLog(strings.NewReader(log), windows)
 	if err != nil || len(recording.Jobs) != 1 || len(recording.Capacity) != 1 || recording.Capacity[0].CPUs != 40 {
-		t.Fatalf("%+v, %v", recording, err)
+		t.Fatalf("got %+v, error %v, want 1 job and 1 step of 40 CPUs", recording, err)
 	}
 	j := recording.Jobs[0]
 	if j.Work != 120 || j.To-j.From != 30*sec || recording.Capacity[0].At != j.From-20*sec || *observed["core/bulk"] != (Observed{1, 0, 1}) {
-		t.Errorf("%+v, %+v", j, observed["core/bulk"])
+		t.Errorf("got job %+v, observed %+v", j, observed["core/bulk"])
 	}
 	recording, observed, err = ReadLog(strings.NewReader(log), ObjectiveWindows{DeadlineClasses: []string{"other"}})
 	if err != nil || len(recording.Jobs) != 1 || recording.Jobs[0].To-recording.Jobs[0].From != 39*sec || *observed["core/other"] != (Observed{1, 0, 0}) {
 		t.Errorf("by deadline: %+v, %v", recording, err)
 	}
 	if _, _, err := ReadLog(strings.NewReader(strings.Replace(log, "tasks=4", "tasks=x", 1)), windows); err == nil || !strings.Contains(err.Error(), "line 3: tasks") {
-		t.Error(err)
+		t.Errorf("got error %v, want one that names line 3 and the key tasks", err)
 	}
 }
 
-// TestFigure: worth is by the logarithm of what is missed, within its bounds; malformed
-// aims are named.
+// TestObjectiveScores checks that the score is logarithmic in the missed share between
+// Worst and Best, the weighted mean, and that the error for a malformed objective names it.
 func TestObjectiveScores(t *testing.T) {
 	a, err := ParseObjective("done:bulk:300:1:0.01:2")
 	if err != nil || a.Windows.FinishWithin["bulk"] != 300*sec {
@@ -158,7 +160,7 @@
 	}
 	for share, want := range map[float64]float64{0: 0, 0.9: 0.5, 0.99: 1, 1: 1} {
 		if got := a.Score(share); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v in time is worth %v, not %v", share, got, want)
+			t.Errorf("share %v in time scores %v, want %v", share, got, want)
 		}
 	}
 	b, err := ParseObjective("deadline:check::0.5:0.005:1")
@@ -166,11 +168,11 @@
 		t.Fatalf("%+v, %v", b, err)
 	}
 	if got := MeanScore([]Objective{a, b}, []float64{0.9, 0.4}); math.Abs(got-1.0/3) > 1e-9 {
-		t.Errorf("figure %v", got)
+		t.Errorf("got mean score %v, want 1/3", got)
 	}
 	for _, text := range []string{"done:bulk:300:1:0.01", "ended:bulk:300:1:0.01:1", "done:bulk::1:0.01:1", "done:bulk:300:0.01:1:1", "done:bulk:300:1:nan:1"} {
 		if _, err := ParseObjective(text); err == nil || !strings.Contains(err.Error(), text) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: got error %v, want one that quotes the text", text, err)
 		}
 	}
 }
--- a/internal/bound/record.go
+++ b/internal/bound/record.go
@@ -15,20 +15,21 @@
 	"lilacthread/wire"
 )
 
-// Aims are the windows of the classes that a day is judged by: how long after it is ready
-// a job may be begun, or done.
+// ObjectiveWindows holds, by class, how long after a job becomes ready it may start
+// running, or finish, to count as in time. Jobs of other classes are ignored.
 type ObjectiveWindows struct {
 	StartWithin, FinishWithin map[string]Micros
-	DeadlineClasses           []string // classes of which each job has its own time to be done
+	DeadlineClasses           []string // classes whose jobs must finish by their own deadline
 }
 
-// Served is what a recorded day did itself, by account.
+// Observed counts the jobs of one account in a recording, and those that were in time.
 type Observed struct{ Jobs, StartedInTime, FinishedInTime int }
 
-// Read makes a day of a controllers' log at level debug: of the jobs that were over in it
-// and of what the machines had for them. Lines of all controllers may stand together, and
-// each may have something before its time. A job's work is its tasks' expected time at
-// the end, which is what they took, smoothed.
+// ReadLog makes a recording from controllers' logs at level debug: the lines "job over"
+// give the finished jobs, the lines "fleet" the capacity. It also returns what was
+// observed, by account. Lines of several controllers may be mixed, and any text may
+// precede the time of a line. A job's work is computed from the estimated run time of its
+// tasks at its end, which is a smoothed mean of the actual run times.
 func ReadLog(r io.Reader, windows ObjectiveWindows) (*Recording, map[string]*Observed, error) {
 	recording, observed := &Recording{}, map[string]*Observed{}
 	raw, err := io.ReadAll(r)
@@ -72,12 +73,14 @@
 			return nil, nil, numberErr
 		}
 	}
-	// Of controllers whose clocks differ; a leader's own lines are in order.
+	// The lines of one leader are in order, but the clocks of different controllers differ.
 	slices.SortStableFunc(recording.Capacity, func(a, b CapacityStep) int { return cmp.Compare(a.At, b.At) })
 	return recording, observed, nil
 }
 
-// add enters a job that was over just now.
+// addJob adds a job that ended at now, from the fields of its log line, and counts it in
+// observed. It ignores a job that did not finish successfully, a service, and a job of a
+// class without a window.
 func (r *Recording) addJob(fields map[string]string, now Micros, number func(string) float64, windows ObjectiveWindows, observed map[string]*Observed) {
 	class := fields["class"]
 	startWithin, hasStartWindow := windows.StartWithin[class]
@@ -98,7 +101,7 @@
 	}
 	account.Jobs++
 	if hasStartWindow {
-		j.To = ready + startWithin + duration("estimate") // what is begun in time may run on
+		j.To = ready + startWithin + duration("estimate") // a job that starts in time may run beyond the window
 		if startedAt := duration("began"); startedAt > 0 && startedAt-duration("ready") <= startWithin {
 			account.StartedInTime++
 		}
--- a/internal/bound/score.go
+++ b/internal/bound/score.go
@@ -9,21 +9,22 @@
 	"lilacthread/internal/clock"
 )
 
-// Aim is one of the users' aims for a class: what part of its jobs is begun, or done, in
-// time, worth nothing where the part Worst misses it, and all where no more than Best does.
+// Objective is a service-level objective of a class: the share of its jobs that start, or
+// finish, in time. Its score is 0 if the share Worst or more of the jobs misses the window,
+// and 1 if at most the share Best does.
 type Objective struct {
 	Class       string
-	Windows     ObjectiveWindows // the window
+	Windows     ObjectiveWindows // window of this class only
 	Worst, Best float64
-	Weight      float64
+	Weight      float64 // in MeanScore
 }
 
-// ParseAim reads KIND:CLASS:SECONDS:WORST:BEST:WEIGHT; the kind is begun, done, or, with
-// the seconds left empty, deadline.
+// ParseObjective parses KIND:CLASS:SECONDS:WORST:BEST:WEIGHT. The kind is begun, done or
+// deadline; for deadline, SECONDS is left empty.
 func ParseObjective(text string) (Objective, error) {
 	fields := strings.Split(text, ":")
 	if len(fields) != 6 {
-		return Objective{}, fmt.Errorf("aim %q: not KIND:CLASS:SECONDS:WORST:BEST:WEIGHT", text)
+		return Objective{}, fmt.Errorf("aim %q: format is not KIND:CLASS:SECONDS:WORST:BEST:WEIGHT", text)
 	}
 	numbers := [4]float64{}
 	for i, field := range fields[2:] {
@@ -32,7 +33,7 @@
 		}
 		value, err := strconv.ParseFloat(field, 64)
 		if err != nil || !(value > 0 && value < 1e9) {
-			return Objective{}, fmt.Errorf("aim %q: %q is not a number above 0", text, field)
+			return Objective{}, fmt.Errorf("aim %q: %q is not a number above 0 and below 1e9", text, field)
 		}
 		numbers[i] = value
 	}
@@ -46,16 +47,17 @@
 	case "deadline":
 		objective.Windows.DeadlineClasses = []string{fields[1]}
 	default:
-		return Objective{}, fmt.Errorf("aim %q: the kind is begun, done or deadline", text)
+		return Objective{}, fmt.Errorf("aim %q: kind must be begun, done or deadline", text)
 	}
 	if objective.Best >= objective.Worst || objective.Worst > 1 {
-		return Objective{}, fmt.Errorf("aim %q: best must lie below worst, and worst at 1 at most", text)
+		return Objective{}, fmt.Errorf("aim %q: best must be below worst, and worst at most 1", text)
 	}
 	return objective, nil
 }
 
-// Worth is what a day's part of jobs in time is worth: by the logarithm of what is missed,
-// so that half as many late is the same step anywhere.
+// Score returns the score, from 0 to 1, for a share of jobs that are in time. It is linear
+// in the logarithm of the share that misses the window, so halving the misses always gains
+// the same amount.
 func (o Objective) Score(share float64) float64 {
 	missedShare := 1 - share
 	if missedShare <= o.Best {
@@ -64,7 +66,8 @@
 	return max(math.Log(o.Worst/missedShare)/math.Log(o.Worst/o.Best), 0)
 }
 
-// Figure is the weighted mean of the worth of aims, each served to the part given.
+// MeanScore returns the weighted mean of the objectives' scores; shares[i] is the share of
+// jobs that are in time for objectives[i].
 func MeanScore(objectives []Objective, shares []float64) float64 {
 	sum, totalWeight := 0.0, 0.0
 	for i, objective := range objectives {
