--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -147,7 +147,7 @@
 		t.Errorf("by deadline: %+v, %v", recording, err)
 	}
 	if _, _, err := ReadLog(strings.NewReader(strings.Replace(log, "tasks=4", "tasks=x", 1)), windows); err == nil || !strings.Contains(err.Error(), "line 3: tasks") {
-		t.Errorf("got error %v, want one that names line 3 and the key tasks", err)
+		t.Error(err)
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,7 +69,7 @@
 	typ       *wire.MachineType
 	available sched.Resources
 	readyAt   sched.Micros // when it is expected to be up
-	// reclaimableCPUs is the CPUs that services could take: free, or held by work
+	// reclaimableCPUs counts the CPUs that services could take: free, or held by work
 	// that services may preempt.
 	reclaimableCPUs float64
 }
@@ -215,8 +215,8 @@
 }
 
 // planJob assigns the unplaced tasks of one job to incoming machines, to capacity
-// that running tasks will free, or to machines to rent. It stops at the first task
-// for which there is neither.
+// that running tasks will free, or to machines to rent. It stops at the first task for
+// which none of these is possible.
 func (p *rentalPlanner) planJob(u sched.Unplaced) {
 	j, need := u.Job, u.Job.Need()
 	perZone := j.PlacementsByZone(nil)
@@ -298,8 +298,8 @@
 	best, bestCost := MachineKind{}, math.Inf(1)
 	for i := range p.Catalog {
 		t := &p.Catalog[i]
-		slots := math.Floor(min(ratio(t.CPUs, need.CPUs), ratio(t.GPUs, need.GPUs), ratio(t.MemoryGB, need.Memory)) + 1e-9)
-		usable := math.Min(math.Max(slots, 1)*need.DominantCPUs(t), need.DominantCPUs(t)+p.remainingDemand)
+		tasksPerMachine := math.Floor(min(ratio(t.CPUs, need.CPUs), ratio(t.GPUs, need.GPUs), ratio(t.MemoryGB, need.Memory)) + 1e-9)
+		usableCPUs := math.Min(math.Max(tasksPerMachine, 1)*need.DominantCPUs(t), need.DominantCPUs(t)+p.remainingDemand)
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				k := MachineKind{t.Name, zone, spot}
@@ -313,7 +313,7 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				if cost := price / math.Max(usable, 0.01); cost < bestCost {
+				if cost := price / math.Max(usableCPUs, 0.01); cost < bestCost {
 					best, bestCost = k, cost
 				}
 			}
@@ -432,8 +432,8 @@
 	// retiring machines need elsewhere.
 	var freeCPUs, freeOrdinaryCPUs float64
 	type candidate struct {
-		m    *sched.Machine
-		cost float64
+		m               *sched.Machine
+		pricePerUsedCPU float64
 	}
 	var candidates []candidate
 	for _, m := range in.Machines {
@@ -454,7 +454,7 @@
 			}
 		}
 	}
-	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.cost, a.cost) })
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.pricePerUsedCPU, a.pricePerUsedCPU) })
 	spareCPUs := in.SpareCPUs()
 	var out []*sched.Machine
 	for _, c := range candidates {
@@ -463,7 +463,7 @@
 		usedCPUs := m.Type.CPUs - available
 		// Batch tasks finish on this machine, but the tasks that would follow them
 		// need the same capacity on other machines.
-		if c.cost <= 0 || freeCPUs-available < usedCPUs+in.Headroom {
+		if c.pricePerUsedCPU <= 0 || freeCPUs-available < usedCPUs+in.Headroom {
 			continue
 		}
 		if !m.Spot && (freeOrdinaryCPUs-available < m.ProductionCPUs() || spareCPUs-in.SpareCPUsOn(m) < m.ProductionCPUs()+in.Headroom) {
--- a/internal/oneway/oneway.go
+++ b/internal/oneway/oneway.go
@@ -97,7 +97,7 @@
 
 // Unrecoverable reports whether the machine should be released: it is partitioned, it
 // doesn't answer probes, and its tasks are gone or will be soon, as its session was lost
-// or half of its lease has passed without a sign that a renewal arrived.
+// or half of its lease has passed without evidence that a renewal arrived.
 func (d *Detector) Unrecoverable(now, leaseDuration Micros) bool {
 	return d.Partitioned && d.unansweredProbes >= unansweredProbeLimit && (d.sessionLost || now-d.firstSymptomAt > leaseDuration/2)
 }
