--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -1,5 +1,7 @@
-// Package lead elects the leading controller: a key that hangs on a lease of
-// the state service, and a term that rises with every change of leader.
+// Package lead elects the leading controller. The leader holds a key that is bound to a
+// lease of the state service; a separate term key increases with every election. The
+// package decides neither what a leader does nor which writes it makes: the owner adds
+// Guard to its transactions and reacts to Callbacks.
 package lead
 
 import (
@@ -12,315 +14,338 @@
 	"lilacthread/wire"
 )
 
-// Keys of the election. The term outlives the leader key.
+// Keys of the election in the state service. The term key is not bound to a lease, so it
+// remains when the leader key expires.
 const (
 	Prefix  = "lead/"
 	Key     = "lead/key"
 	TermKey = "lead/term"
 )
 
-// Record is the value of the leader key.
+// Record is the value of the leader key: it identifies the process that leads.
 type Record struct {
 	Node        string `msgpack:"node"`
 	Incarnation uint64 `msgpack:"inc"`
 	Term        uint64 `msgpack:"term"`
-	FenceCount  uint64 `msgpack:"rewrites"`
-	// Addr is where the process takes requests: an address and port that no other
-	// live process can hold; empty where the settings do not name one.
+	FenceCount  uint64 `msgpack:"rewrites"` // how often Fence rewrote the key
+	// Addr is the address and port on which the process accepts requests, which no other
+	// live process can hold. It is empty if the settings name none.
 	Addr string `msgpack:"addr,omitempty"`
 }
 
+// termRecord is the value of the term key.
 type termRecord struct {
 	Term uint64 `msgpack:"term"`
 }
 
-// Env is the time that an elector lives in.
+// Env provides an elector with the current time and with timers.
 type Env interface {
 	Now() clock.Micros
 	After(d clock.Micros, f func())
 }
 
-// Hooks tell the owner of changes.
+// Callbacks notify the owner of an elector of events.
 type Callbacks struct {
 	OnElected        func(term uint64)
 	OnLeadershipLost func()
-	OnStoreResponse  func() // the state service answered
+	OnStoreResponse  func() // called when the state service answers a request and does not refuse it
 }
 
-// Elector takes part in elections. All its methods and callbacks run on the
-// owner goroutine.
+// Elector campaigns for leadership on behalf of one process and keeps the lease while the
+// process leads. All its methods and callbacks run on the owner goroutine.
 type Elector struct {
-	env   Env
-	store store.Service
-	hooks Callbacks
-	self  Record
-	ttl   clock.Micros
-
-	leading  bool
-	term     uint64
-	version  uint64 // of the leader key
-	lease    uint64
-	deadline clock.Micros // our lease surely lives until then
-	leader   string       // who leads, as last read
-	abstain  clock.Micros
-	watching bool
-	told     clock.Micros // when a second process of our name was last told of
+	env       Env
+	store     store.Service
+	callbacks Callbacks
+	self      Record
+	ttl       clock.Micros
+
+	leading             bool
+	term                uint64
+	keyVersion          uint64 // version of the leader key in the state service
+	leaseID             uint64
+	leaseDeadline       clock.Micros // the lease is certain to be valid until then
+	leader              string       // name of the leader as last read; empty if unknown
+	abstainUntil        clock.Micros // the node does not run for leadership before then
+	watching            bool
+	duplicateReportedAt clock.Micros // when a leader with this node's name was last logged
 }
 
-// New makes an elector for the process that self describes, by its node, incarnation
-// and address; the incarnation must differ between processes.
-func New(env Env, s store.Service, self Record, ttl clock.Micros, hooks Callbacks) *Elector {
-	return &Elector{env: env, store: s, hooks: hooks, ttl: ttl, self: self, told: -clock.Forever}
+// New returns an elector for the process that self identifies by node, incarnation and
+// address. The incarnation must differ between processes. ttl is the duration of the
+// leader's lease.
+func New(env Env, service store.Service, self Record, ttl clock.Micros, callbacks Callbacks) *Elector {
+	return &Elector{env: env, store: service, callbacks: callbacks, ttl: ttl, self: self, duplicateReportedAt: -clock.Forever}
 }
 
-// Start begins to take part.
+// Start begins the first campaign.
 func (e *Elector) Start() { e.campaign() }
 
-// Leading reports whether this node was elected and has not learnt of its end.
+// Leading reports whether this node was elected and has not learned that its term ended.
+// Another leader may exist already; see HoldsValidLease.
 func (e *Elector) Leading() bool { return e.leading }
 
-// Authority reports whether no other leader can exist now.
-func (e *Elector) HoldsValidLease() bool { return e.leading && e.env.Now() < e.deadline }
+// HoldsValidLease reports whether this node leads and its lease is certain to be valid, so
+// that no other leader can exist.
+func (e *Elector) HoldsValidLease() bool { return e.leading && e.env.Now() < e.leaseDeadline }
 
-// Deadline is when Authority ends unless the lease is renewed.
-func (e *Elector) LeaseDeadline() clock.Micros { return e.deadline }
+// LeaseDeadline returns the time from which HoldsValidLease reports false unless the lease
+// is renewed.
+func (e *Elector) LeaseDeadline() clock.Micros { return e.leaseDeadline }
 
-// Term is the term led.
+// Term returns the latest term in which this node was elected.
 func (e *Elector) Term() uint64 { return e.term }
 
-// Leader names the leader as last read; empty when none is known.
+// Leader returns the name of the leader as last read, or "" if none is known.
 func (e *Elector) Leader() string { return e.leader }
 
-// Guard is the condition that every transaction of this leader carries.
-func (e *Elector) Guard() wire.Guard { return wire.Guard{Key: Key, Version: e.version} }
+// Guard returns the condition that every transaction of this leader must include: the
+// leader key is unchanged.
+func (e *Elector) Guard() wire.Guard { return wire.Guard{Key: Key, Version: e.keyVersion} }
 
-func (e *Elector) contact(o store.Outcome) {
-	if o == store.OK || o == store.Failed || o == store.Gone {
-		e.hooks.OnStoreResponse()
+// noteResponse notifies the owner if the outcome is an answer of the state service other
+// than a refusal.
+func (e *Elector) noteResponse(outcome store.Outcome) {
+	if outcome == store.OK || outcome == store.Failed || outcome == store.Gone {
+		e.callbacks.OnStoreResponse()
 	}
 }
 
-func (e *Elector) retry(d clock.Micros) { e.env.After(d, e.campaign) }
+// campaignAfter starts the next campaign after the delay.
+func (e *Elector) campaignAfter(delay clock.Micros) { e.env.After(delay, e.campaign) }
 
-const pause = 200 * clock.Millisecond
+// retryDelay is the delay before a failed request to the state service is repeated.
+const retryDelay = 200 * clock.Millisecond
 
-// campaign reads the election's keys and acts on them.
+// campaign reads the election's keys and, depending on them, tries to acquire the leader
+// key, resumes a won election, or watches for a change.
 func (e *Elector) campaign() {
 	if e.leading {
 		return
 	}
-	e.store.List(Prefix, "", 10, func(o store.Outcome, l *wire.ItemList) {
-		e.contact(o)
+	e.store.List(Prefix, "", 10, func(outcome store.Outcome, list *wire.ItemList) {
+		e.noteResponse(outcome)
 		if e.leading {
 			return
 		}
-		if o != store.OK {
+		if outcome != store.OK {
 			e.leader = ""
-			e.retry(pause)
+			e.campaignAfter(retryDelay)
 			return
 		}
-		var key *wire.Item
-		var rec Record
-		var term termRecord
+		var leaderItem *wire.Item
+		var leaderRecord Record
+		var lastTerm termRecord
 		var termVersion uint64
-		for i := range l.Items {
-			switch it := &l.Items[i]; it.Key {
+		for i := range list.Items {
+			switch item := &list.Items[i]; item.Key {
 			case Key:
-				if msgpack.Unmarshal(it.Value, &rec) == nil {
-					key = it
+				if msgpack.Unmarshal(item.Value, &leaderRecord) == nil {
+					leaderItem = item
 				}
 			case TermKey:
-				if msgpack.Unmarshal(it.Value, &term) == nil {
-					termVersion = it.Version
+				if msgpack.Unmarshal(item.Value, &lastTerm) == nil {
+					termVersion = item.Version
 				}
 			}
 		}
 		switch {
-		case key == nil:
+		case leaderItem == nil:
 			e.leader = ""
-			if wait := e.abstain - e.env.Now(); wait > 0 {
-				e.retry(min(wait, pause))
+			if wait := e.abstainUntil - e.env.Now(); wait > 0 {
+				e.campaignAfter(min(wait, retryDelay))
 				return
 			}
-			e.run(0, term.Term, termVersion)
-		case rec.Node == e.self.Node && rec.Incarnation == e.self.Incarnation && rec.Term <= e.term:
-			// The key of a term that this process has given up: leading it again
-			// would hand out its attempt numbers and rental names twice.
-			e.retry(pause)
-		case rec.Node == e.self.Node && rec.Incarnation == e.self.Incarnation:
-			// An election of ours whose answer was lost. The lease must be
-			// renewed before its deadline is known.
-			e.elected(rec, key.Version, key.Lease, 0)
-		case e.succeeds(rec):
-			e.run(key.Version, term.Term, termVersion)
+			e.acquire(0, lastTerm.Term, termVersion)
+		case leaderRecord.Node == e.self.Node && leaderRecord.Incarnation == e.self.Incarnation && leaderRecord.Term <= e.term:
+			// This process has already given up the term of this key. Leading the same
+			// term again would issue its attempt numbers and rental names twice.
+			e.campaignAfter(retryDelay)
+		case leaderRecord.Node == e.self.Node && leaderRecord.Incarnation == e.self.Incarnation:
+			// This process won the election, but the answer to its transaction was lost.
+			// The lease deadline is unknown until the lease is renewed.
+			e.becomeLeader(leaderRecord, leaderItem.Version, leaderItem.Lease, 0)
+		case e.holderIsDead(leaderRecord):
+			e.acquire(leaderItem.Version, lastTerm.Term, termVersion)
 		default:
-			if rec.Node == e.self.Node && e.env.Now()-e.told > tellAgain {
-				e.told = e.env.Now()
-				slog.Error("another process leads under this node's name", "name", rec.Node, "its address", rec.Addr, "ours", e.self.Addr)
+			if leaderRecord.Node == e.self.Node && e.env.Now()-e.duplicateReportedAt > duplicateReportInterval {
+				e.duplicateReportedAt = e.env.Now()
+				slog.Error("another process leads under this node's name", "name", leaderRecord.Node, "its address", leaderRecord.Addr, "ours", e.self.Addr)
 			}
-			e.leader = rec.Node
-			e.watch(l.Revision)
+			e.leader = leaderRecord.Node
+			e.watch(list.Revision)
 		}
 	})
 }
 
-// tellAgain is how often a second process under our name is told of.
-const tellAgain = 30 * clock.Second
-
-// succeeds reports whether the process that holds the key is surely dead because this
-// one runs: it bore our name and took requests where we do, and two live processes cannot
-// hold one address. A name alone proves nothing: by an operator's mistake two machines
-// may bear it, and taking the key from a live leader would leave two that both answer
-// users, each sure of its lease. Such a key is waited for like anybody else's. Versions
-// before this one wrote no address; their processes end before ours begins.
-func (e *Elector) succeeds(rec Record) bool {
-	return rec.Node == e.self.Node && e.self.Addr != "" && (rec.Addr == e.self.Addr || rec.Addr == "")
+// duplicateReportInterval is the minimum time between two log lines about another process
+// that leads under this node's name.
+const duplicateReportInterval = 30 * clock.Second
+
+// holderIsDead reports whether the process that holds the leader key cannot be alive while
+// this one runs: it has the same node name and the same address, and two live processes
+// cannot listen on one address. The name alone proves nothing: two machines may be given
+// the same name by mistake, and taking the key from a live leader would leave two leaders
+// that both answer users, each with a lease that it considers valid. Such a key must expire
+// like that of any other node. Versions before this one stored no address; an upgrade stops
+// their process before it starts the new one.
+func (e *Elector) holderIsDead(holder Record) bool {
+	return holder.Node == e.self.Node && e.self.Addr != "" && (holder.Addr == e.self.Addr || holder.Addr == "")
 }
 
-// run tries to win: version is the leader key's, 0 when there is none.
-func (e *Elector) run(version, term, termVersion uint64) {
-	sent := e.env.Now()
-	e.store.Grant(int64(e.ttl/clock.Millisecond), func(o store.Outcome, lease uint64) {
-		e.contact(o)
-		if o != store.OK || e.leading {
-			e.retry(pause)
+// acquire grants a lease and tries to write the leader key with it. keyVersion and
+// termVersion are the versions of the leader key and the term key, 0 if a key is absent.
+func (e *Elector) acquire(keyVersion, term, termVersion uint64) {
+	sentAt := e.env.Now()
+	e.store.Grant(int64(e.ttl/clock.Millisecond), func(outcome store.Outcome, leaseID uint64) {
+		e.noteResponse(outcome)
+		if outcome != store.OK || e.leading {
+			e.campaignAfter(retryDelay)
 			return
 		}
 		rec := e.self
 		rec.Term = term + 1
 		txn := &wire.Txn{
-			If: []wire.Guard{{Key: Key, Version: version}, {Key: TermKey, Version: termVersion}},
+			If: []wire.Guard{{Key: Key, Version: keyVersion}, {Key: TermKey, Version: termVersion}},
 			Then: []wire.Change{
-				{PutKey: Key, Value: wire.Encode(&rec), Lease: lease},
+				{PutKey: Key, Value: wire.Encode(&rec), Lease: leaseID},
 				{PutKey: TermKey, Value: wire.Encode(&termRecord{rec.Term})},
 			},
 		}
-		e.store.Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
-			e.contact(o)
+		e.store.Txn(txn, func(outcome store.Outcome, answer *wire.TxnAnswer) {
+			e.noteResponse(outcome)
 			switch {
 			case e.leading:
-			case o == store.OK:
-				e.elected(rec, a.Revision, lease, e.safe(sent))
-			case o == store.Failed:
-				e.store.Revoke(lease, func(store.Outcome) {})
+			case outcome == store.OK:
+				e.becomeLeader(rec, answer.Revision, leaseID, e.safeDeadline(sentAt))
+			case outcome == store.Failed:
+				e.store.Revoke(leaseID, func(store.Outcome) {})
 				e.campaign()
 			default:
-				e.retry(pause)
+				e.campaignAfter(retryDelay)
 			}
 		})
 	})
 }
 
-// safe is the latest instant at which a lease granted or renewed by a request
-// sent at the given time surely lives: the drift of the clocks is 0.05%.
-func (e *Elector) safe(sent clock.Micros) clock.Micros {
-	return sent + e.ttl - e.ttl/500 - 20*clock.Millisecond
+// safeDeadline returns the latest time at which a lease that was granted or renewed by a
+// request sent at sentAt is certain to be valid. Clocks drift by up to 0.05%, which the
+// margin of 0.2% of the TTL and 20 ms covers.
+func (e *Elector) safeDeadline(sentAt clock.Micros) clock.Micros {
+	return sentAt + e.ttl - e.ttl/500 - 20*clock.Millisecond
 }
 
-func (e *Elector) elected(rec Record, version, lease uint64, deadline clock.Micros) {
-	e.leading, e.term, e.version, e.lease, e.deadline = true, rec.Term, version, lease, deadline
+// becomeLeader records a won election, starts to renew the lease and notifies the owner.
+func (e *Elector) becomeLeader(rec Record, keyVersion, leaseID uint64, leaseDeadline clock.Micros) {
+	e.leading, e.term, e.keyVersion, e.leaseID, e.leaseDeadline = true, rec.Term, keyVersion, leaseID, leaseDeadline
 	e.self.FenceCount = rec.FenceCount
 	e.leader = e.self.Node
 	slog.Info("elected", "term", e.term)
 	e.renew(e.term)
-	e.hooks.OnElected(e.term)
+	e.callbacks.OnElected(e.term)
 }
 
+// renew keeps renewing the lease until the given term ends. Renewals that succeed are sent
+// a quarter of the TTL apart.
 func (e *Elector) renew(term uint64) {
 	if !e.leading || e.term != term {
 		return
 	}
-	sent := e.env.Now()
-	e.store.Renew(e.lease, func(o store.Outcome) {
-		e.contact(o)
+	sentAt := e.env.Now()
+	e.store.Renew(e.leaseID, func(outcome store.Outcome) {
+		e.noteResponse(outcome)
 		if !e.leading || e.term != term {
 			return
 		}
-		switch o {
+		switch outcome {
 		case store.OK:
-			e.deadline = max(e.deadline, e.safe(sent))
-			e.env.After(max(e.ttl/4-(e.env.Now()-sent), 0), func() { e.renew(term) })
+			e.leaseDeadline = max(e.leaseDeadline, e.safeDeadline(sentAt))
+			e.env.After(max(e.ttl/4-(e.env.Now()-sentAt), 0), func() { e.renew(term) })
 		case store.Failed:
-			e.lose("lease ended")
+			e.loseLeadership("lease expired")
 		default:
-			e.env.After(pause, func() { e.renew(term) })
+			e.env.After(retryDelay, func() { e.renew(term) })
 		}
 	})
 }
 
-func (e *Elector) lose(why string) {
+// loseLeadership ends the term, notifies the owner and campaigns again.
+func (e *Elector) loseLeadership(reason string) {
 	if !e.leading {
 		return
 	}
-	slog.Info("lost the lead", "term", e.term, "why", why)
-	e.leading, e.deadline, e.leader = false, 0, ""
-	e.hooks.OnLeadershipLost()
+	slog.Info("leadership lost", "term", e.term, "why", reason)
+	e.leading, e.leaseDeadline, e.leader = false, 0, ""
+	e.callbacks.OnLeadershipLost()
 	e.campaign()
 }
 
-// Yield steps down because a higher term exists.
-func (e *Elector) StepDown() { e.lose("a higher term exists") }
+// StepDown ends the term because a higher one exists.
+func (e *Elector) StepDown() { e.loseLeadership("a higher term exists") }
 
-// Resign gives the lead up and stays out of elections for a while.
-func (e *Elector) Resign(why string, abstain clock.Micros) {
+// Resign ends the term, revokes the lease and does not campaign for abstainFor.
+func (e *Elector) Resign(reason string, abstainFor clock.Micros) {
 	if !e.leading {
 		return
 	}
-	e.abstain = e.env.Now() + abstain
-	e.store.Revoke(e.lease, func(store.Outcome) {})
-	e.lose(why)
+	e.abstainUntil = e.env.Now() + abstainFor
+	e.store.Revoke(e.leaseID, func(store.Outcome) {})
+	e.loseLeadership(reason)
 }
 
-// watch waits for a change of the election's keys.
-func (e *Elector) watch(since uint64) {
+// watch waits for a change of the election's keys after the given revision and then
+// campaigns.
+func (e *Elector) watch(revision uint64) {
 	if e.watching || e.leading {
 		return
 	}
 	e.watching = true
-	e.store.Watch(Prefix, since, 10_000, func(o store.Outcome, a *wire.WatchAnswer) {
+	e.store.Watch(Prefix, revision, 10_000, func(outcome store.Outcome, answer *wire.WatchAnswer) {
 		e.watching = false
-		e.contact(o)
-		if o == store.OK && len(a.Events) == 0 {
-			e.watch(a.Revision)
+		e.noteResponse(outcome)
+		if outcome == store.OK && len(answer.Events) == 0 {
+			e.watch(answer.Revision)
 			return
 		}
-		if o != store.OK {
-			e.retry(pause)
+		if outcome != store.OK {
+			e.campaignAfter(retryDelay)
 			return
 		}
 		e.campaign()
 	})
 }
 
-// Recheck reads the leader key after a guard on it failed: ok means that it is
-// still ours and Guard is fresh.
+// VerifyLeadership reads the leader key after a guard on it failed. done(true) means that
+// this process still holds the key and that Guard returns its current version; done(false)
+// means that the term has ended.
 func (e *Elector) VerifyLeadership(done func(ok bool)) {
 	term := e.term
-	e.store.Get(Key, func(o store.Outcome, it *wire.Item) {
-		e.contact(o)
+	e.store.Get(Key, func(outcome store.Outcome, item *wire.Item) {
+		e.noteResponse(outcome)
 		if !e.leading || e.term != term {
 			done(false)
 			return
 		}
 		var rec Record
 		switch {
-		case o == store.OK && msgpack.Unmarshal(it.Value, &rec) == nil &&
+		case outcome == store.OK && msgpack.Unmarshal(item.Value, &rec) == nil &&
 			rec.Incarnation == e.self.Incarnation && rec.Term == term:
-			e.version = it.Version
+			e.keyVersion = item.Version
 			done(true)
-		case o == store.OK, o == store.Failed:
-			e.lose("another leader")
+		case outcome == store.OK, outcome == store.Failed:
+			e.loseLeadership("leader key missing or held by another process")
 			done(false)
 		default:
-			e.env.After(pause, func() { e.VerifyLeadership(done) })
+			e.env.After(retryDelay, func() { e.VerifyLeadership(done) })
 		}
 	})
 }
 
-// Fence rewrites the leader key, so that no transaction sent before can still
-// be applied. It is needed whenever a transaction's outcome is unknown.
+// Fence rewrites the leader key, which changes its version, so that no transaction sent
+// before can still be applied. It must be called whenever the outcome of a transaction is
+// unknown. done(false) means that the term has ended.
 func (e *Elector) Fence(done func(ok bool)) {
-	term, before := e.term, e.version
+	term, versionBefore := e.term, e.keyVersion
 	if !e.leading {
 		done(false)
 		return
@@ -330,28 +355,28 @@
 	e.self.FenceCount++
 	rec.FenceCount = e.self.FenceCount
 	txn := &wire.Txn{If: []wire.Guard{e.Guard()},
-		Then: []wire.Change{{PutKey: Key, Value: wire.Encode(&rec), Lease: e.lease}}}
-	again := func() {
+		Then: []wire.Change{{PutKey: Key, Value: wire.Encode(&rec), Lease: e.leaseID}}}
+	verifyAndRetry := func() {
 		e.VerifyLeadership(func(ok bool) {
-			if ok && e.version == before {
-				e.env.After(pause, func() { e.Fence(done) })
+			if ok && e.keyVersion == versionBefore {
+				e.env.After(retryDelay, func() { e.Fence(done) })
 				return
 			}
 			done(ok)
 		})
 	}
-	e.store.Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
-		e.contact(o)
+	e.store.Txn(txn, func(outcome store.Outcome, answer *wire.TxnAnswer) {
+		e.noteResponse(outcome)
 		switch {
 		case !e.leading || e.term != term:
 			done(false)
-		case o == store.OK:
-			e.version = a.Revision
+		case outcome == store.OK:
+			e.keyVersion = answer.Revision
 			done(true)
-		case o == store.Refused:
-			e.env.After(pause, again)
+		case outcome == store.Refused:
+			e.env.After(retryDelay, verifyAndRetry)
 		default:
-			again()
+			verifyAndRetry()
 		}
 	})
 }
