--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -1,81 +1,86 @@
 package relay
 
-// Bounds of what is on its way to one controller.
+// BatchLimits bounds the batches that are sent to one controller.
 type BatchLimits struct {
-	MaxItems    int // of a batch
-	MaxBytes    int // of a batch, unless a single item is larger
-	MaxInFlight int // batches
-	MaxQueued   int // items that wait for their batch
+	MaxItems    int // items in a batch
+	MaxBytes    int // bytes in a batch; a larger item forms a batch alone
+	MaxInFlight int // batches without an answer
+	MaxQueued   int // items that wait for a batch
 }
 
-// Batcher collects items for one controller. A batch is sent a short time after its first
-// item, or as soon as it is full; while as many as allowed are unanswered, items wait.
+// Batcher collects items for one controller and forms batches of them in the order in which
+// they were added. While BatchLimits.MaxInFlight batches are unanswered, items stay queued.
+// The caller decides when to send: a short time after the first item, or once Full reports
+// true.
 type Batcher[T any] struct {
-	bounds   BatchLimits
-	waiting  []entry[T]
-	bytes    int // of those
-	inFlight int
+	limits      BatchLimits
+	queued      []entry[T]
+	queuedBytes int // total size of the queued items
+	inFlight    int
 }
 
+// entry is a queued item.
 type entry[T any] struct {
-	item  T
-	size  int
-	since Micros
+	item     T
+	size     int // bytes
+	queuedAt Micros
 }
 
-// NewBatcher makes a batcher.
-func NewBatcher[T any](b BatchLimits) *Batcher[T] { return &Batcher[T]{bounds: b} }
+// NewBatcher returns an empty batcher.
+func NewBatcher[T any](limits BatchLimits) *Batcher[T] { return &Batcher[T]{limits: limits} }
 
-// Len is how many items wait.
-func (b *Batcher[T]) Len() int { return len(b.waiting) }
+// Len returns the number of queued items.
+func (b *Batcher[T]) Len() int { return len(b.queued) }
 
-// InFlight is how many batches are unanswered.
+// InFlight returns the number of batches without an answer.
 func (b *Batcher[T]) InFlight() int { return b.inFlight }
 
-// Add has an item wait for its batch; it reports false when too many wait.
+// Add queues an item of the given size in bytes. It reports false, and does not queue the
+// item, if MaxQueued items are queued already.
 func (b *Batcher[T]) Add(item T, size int, now Micros) bool {
-	if len(b.waiting) >= b.bounds.MaxQueued {
+	if len(b.queued) >= b.limits.MaxQueued {
 		return false
 	}
-	b.waiting = append(b.waiting, entry[T]{item, size, now})
-	b.bytes += size
+	b.queued = append(b.queued, entry[T]{item, size, now})
+	b.queuedBytes += size
 	return true
 }
 
-// Full reports whether what waits makes a whole batch.
+// Full reports whether the queued items fill a batch.
 func (b *Batcher[T]) Full() bool {
-	return len(b.waiting) >= b.bounds.MaxItems || b.bytes >= b.bounds.MaxBytes
+	return len(b.queued) >= b.limits.MaxItems || b.queuedBytes >= b.limits.MaxBytes
 }
 
-// Next takes out the next batch; nil if none may be sent now.
+// Next removes the next batch from the queue and counts it as in flight. It returns nil if
+// nothing is queued or if MaxInFlight batches are in flight.
 func (b *Batcher[T]) Next() []T {
-	if len(b.waiting) == 0 || b.inFlight >= b.bounds.MaxInFlight {
+	if len(b.queued) == 0 || b.inFlight >= b.limits.MaxInFlight {
 		return nil
 	}
 	var batch []T
 	size := 0
-	for _, e := range b.waiting {
-		if len(batch) == b.bounds.MaxItems || len(batch) > 0 && size+e.size > b.bounds.MaxBytes {
+	for _, e := range b.queued {
+		if len(batch) == b.limits.MaxItems || len(batch) > 0 && size+e.size > b.limits.MaxBytes {
 			break
 		}
 		batch, size = append(batch, e.item), size+e.size
 	}
-	b.waiting = b.waiting[len(batch):]
-	b.bytes -= size
+	b.queued = b.queued[len(batch):]
+	b.queuedBytes -= size
 	b.inFlight++
 	return batch
 }
 
-// Done notes that a batch was answered or given up.
+// Done records that a batch in flight was answered or given up.
 func (b *Batcher[T]) Done() { b.inFlight-- }
 
-// Expire takes out the items that have waited since before the instant.
-func (b *Batcher[T]) Expire(before Micros) []T {
-	var old []T
-	for len(b.waiting) > 0 && b.waiting[0].since < before {
-		old = append(old, b.waiting[0].item)
-		b.bytes -= b.waiting[0].size
-		b.waiting = b.waiting[1:]
+// Expire removes and returns the items that were queued before the cutoff.
+func (b *Batcher[T]) Expire(cutoff Micros) []T {
+	var expired []T
+	for len(b.queued) > 0 && b.queued[0].queuedAt < cutoff {
+		expired = append(expired, b.queued[0].item)
+		b.queuedBytes -= b.queued[0].size
+		b.queued = b.queued[1:]
 	}
-	return old
+	return expired
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,7 +11,7 @@
 	"lilacthread/internal/clock"
 )
 
-func names(n int) []string {
+func nodeNames(n int) []string {
 	var out []string
 	for i := range n {
 		out = append(out, fmt.Sprintf("node-%d", i))
@@ -19,60 +19,61 @@
 	return out
 }
 
-// TestOnlyItsPartMoves: when a member leaves, or is back, no worker of another one moves.
-func TestOnlyItsPartMoves(t *testing.T) {
+// TestOnlyWorkersOfChangedMemberMove checks that a member that leaves or returns moves no
+// worker of another member.
+func TestOnlyWorkersOfChangedMemberMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members := names(rapid.IntRange(2, 12).Draw(t, "members"))
-		gone := rapid.SampledFrom(members).Draw(t, "gone")
+		members := nodeNames(rapid.IntRange(2, 12).Draw(t, "members"))
+		removed := rapid.SampledFrom(members).Draw(t, "removed")
 		before := Table{Members: members}
-		after := Table{Members: slices.DeleteFunc(slices.Clone(members), func(m string) bool { return m == gone })}
+		after := Table{Members: slices.DeleteFunc(slices.Clone(members), func(m string) bool { return m == removed })}
 		for i := range 300 {
 			machine := fmt.Sprintf("m-%06d", i)
 			a, b := before.RelayFor(machine), after.RelayFor(machine)
-			if a != gone && a != b {
+			if a != removed && a != b {
 				t.Fatalf("%s moves from %s to %s", machine, a, b)
 			}
 		}
 	})
 }
 
-// TestEvenLoad: members carry about the same number of workers.
+// TestEvenLoad checks that members relay about the same number of workers.
 func TestEvenLoad(t *testing.T) {
-	table, count := Table{Members: names(5)}, map[string]int{}
+	table, count := Table{Members: nodeNames(5)}, map[string]int{}
 	for i := range 3100 {
 		count[table.RelayFor(fmt.Sprintf("m-%06d", i))]++
 	}
 	for name, n := range count {
 		if math.Abs(float64(n)-620) > 620*0.15 {
-			t.Errorf("%s carries %d of 3100", name, n)
+			t.Errorf("%s relays %d of 3100 workers", name, n)
 		}
 	}
 }
 
-// view has every candidate heard just now but for those named, which fell silent.
-func view(now Micros, silent map[string]Micros, all ...string) []Candidate {
+// candidatesSeen returns candidates that were all last seen now, except those in silentSince.
+func candidatesSeen(now Micros, silentSince map[string]Micros, all ...string) []Candidate {
 	var out []Candidate
 	for _, name := range all {
-		heard := now
-		if at, ok := silent[name]; ok {
-			heard = at
+		lastSeen := now
+		if at, ok := silentSince[name]; ok {
+			lastSeen = at
 		}
-		out = append(out, Candidate{Name: name, LastSeen: heard})
+		out = append(out, Candidate{Name: name, LastSeen: lastSeen})
 	}
 	return out
 }
 
-// TestMembershipDoesNotFlap: a controller that comes and goes every few seconds moves no
-// workers each time; one that stays away leaves, and is back after a while.
+// TestMembershipDoesNotFlap checks that a controller that is seen for only one second in
+// four is removed once and does not move workers each time it returns.
 func TestMembershipDoesNotFlap(t *testing.T) {
 	m, changes := NewMembership(1, 0), 0
-	silent := map[string]Micros{}
+	silentSince := map[string]Micros{}
 	for now := Micros(0); now < 300*clock.Second; now += clock.Second / 2 {
-		delete(silent, "node-1")
-		if now > 20*clock.Second && now/clock.Second%4 < 3 { // heard one second of four
-			silent["node-1"] = now/(4*clock.Second)*(4*clock.Second) - clock.Second
+		delete(silentSince, "node-1")
+		if now > 20*clock.Second && now/clock.Second%4 < 3 { // seen for one second in four
+			silentSince["node-1"] = now/(4*clock.Second)*(4*clock.Second) - clock.Second
 		}
-		if m.Update(now, "self", 100, 50, view(now, silent, names(3)...)) {
+		if m.Update(now, "self", 100, 50, candidatesSeen(now, silentSince, nodeNames(3)...)) {
 			changes++
 		}
 	}
@@ -81,16 +82,16 @@
 	}
 }
 
-// TestMembersLeaveAndJoin covers silence, connections that run short, too few members and
-// too few workers.
+// TestMembersLeaveAndJoin covers silent controllers, controllers that run out of connections,
+// too few members and too few workers.
 func TestMembersLeaveAndJoin(t *testing.T) {
 	m, now := NewMembership(1, 0), Micros(0)
-	all := names(4)
-	judge := func(workers int, change func([]Candidate)) []string {
+	all := nodeNames(4)
+	updatedMembers := func(workers int, change func([]Candidate)) []string {
 		now += 20 * clock.Second
-		for range 3 { // who joins must have been heard for a while
-			now += joinAfter
-			list := view(now, nil, all...)
+		for range 3 { // a controller joins only after joinDelay
+			now += joinDelay
+			list := candidatesSeen(now, nil, all...)
 			if change != nil {
 				change(list)
 			}
@@ -99,36 +100,37 @@
 		return m.Table().Members
 	}
 	steps := []struct {
-		what    string
+		name    string
 		workers int
 		change  func([]Candidate)
 		want    []string
 	}{
-		{"all heard", 100, nil, all},
+		{"all seen", 100, nil, all},
 		{"one silent", 100, func(c []Candidate) { c[2].LastSeen = 0 }, []string{"node-0", "node-1", "node-3"}},
-		{"back", 100, nil, all},
-		{"connections short", 100, func(c []Candidate) { c[0].ConnectionUsage = 0.8 }, all[1:]},
-		{"still short", 100, func(c []Candidate) { c[0].ConnectionUsage = 0.7 }, all[1:]},
-		{"short no more", 100, nil, all},
+		{"the silent one returns", 100, nil, all},
+		{"one runs out of connections", 100, func(c []Candidate) { c[0].ConnectionUsage = 0.8 }, all[1:]},
+		{"usage falls, but not below lowConnectionUsage", 100, func(c []Candidate) { c[0].ConnectionUsage = 0.7 }, all[1:]},
+		{"usage is low again", 100, nil, all},
 		{"one left", 100, func(c []Candidate) { c[0].LastSeen, c[1].LastSeen, c[2].LastSeen = 0, 0, 0 }, []string{"node-3", "self"}},
-		{"nobody left", 100, func(c []Candidate) {
+		{"none left", 100, func(c []Candidate) {
 			for i := range c {
 				c[i].LastSeen = 0
 			}
 		}, nil},
-		{"fewer workers, but not by much", 45, nil, all},
-		{"few workers", 30, nil, nil},
-		{"more, but not enough", 45, nil, nil},
+		{"fewer workers, but above the lower bound", 45, nil, all},
+		{"workers below the lower bound", 30, nil, nil},
+		{"more workers, but below the upper bound", 45, nil, nil},
 	}
-	for _, s := range steps {
-		if got := judge(s.workers, s.change); !slices.Equal(got, s.want) {
-			t.Errorf("%s: %v, want %v", s.what, got, s.want)
+	for _, step := range steps {
+		if got := updatedMembers(step.workers, step.change); !slices.Equal(got, step.want) {
+			t.Errorf("%s: %v, want %v", step.name, got, step.want)
 		}
 	}
 }
 
-// TestBatches holds batches to their bounds, in order and without loss.
-func TestBatches(t *testing.T) {
+// TestBatcherLimits checks that batches stay within their limits and that items are neither
+// lost nor reordered.
+func TestBatcherLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBatcher[int](BatchLimits{MaxItems: 5, MaxBytes: 100, MaxInFlight: 2, MaxQueued: 20})
 		added, taken := 0, 0
@@ -139,7 +141,7 @@
 				if ok := b.Add(added, rapid.IntRange(1, 150).Draw(t, "size"), 0); ok {
 					added++
 				} else if waiting < 20 {
-					t.Fatalf("refused with %d waiting", waiting)
+					t.Fatalf("an item is refused with %d queued", waiting)
 				}
 			case 2:
 				batch := b.Next()
@@ -158,7 +160,7 @@
 				}
 			}
 			if added-taken != b.Len() {
-				t.Fatalf("%d added, %d taken, %d wait", added, taken, b.Len())
+				t.Fatalf("%d added, %d taken, %d queued", added, taken, b.Len())
 			}
 		}
 	})
--- a/internal/relay/table.go
+++ b/internal/relay/table.go
@@ -1,6 +1,6 @@
-// Package relay decides which controllers carry the connections of which workers, and
-// batches what goes between a controller and the leader for them. It is pure: no I/O and
-// no clock of its own.
+// Package relay decides which controllers relay the reports of which workers to the leader,
+// and forms the batches that a relaying controller and the leader exchange. It does no I/O
+// and reads no clock: package carrier sends the batches.
 package relay
 
 import (
@@ -12,37 +12,38 @@
 	"lilacthread/internal/clock"
 )
 
-// Micros is the project's unit of time.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Table names the controllers that relay workers' reports. The leader makes it; every
-// controller works out from it which of them a worker should report to.
+// Table lists the controllers that relay workers' reports. The leader publishes it, and
+// every controller derives from it to which controller a worker should report.
 type Table struct {
-	Term, Number uint64
-	Members      []string // none: workers report to the leader
+	Term, Number uint64   // Number increases with each change in a term
+	Members      []string // names of controllers; if empty, workers report to the leader
 }
 
-// InForce reports whether there is anybody to relay.
+// Active reports whether any controller relays reports.
 func (t *Table) Active() bool { return len(t.Members) > 0 }
 
-// Newer reports whether the table replaces an older one.
-func (t *Table) Newer(than *Table) bool {
-	return cmp.Or(cmp.Compare(t.Term, than.Term), cmp.Compare(t.Number, than.Number)) > 0
+// Newer reports whether the table replaces the other one.
+func (t *Table) Newer(other *Table) bool {
+	return cmp.Or(cmp.Compare(t.Term, other.Term), cmp.Compare(t.Number, other.Number)) > 0
 }
 
-// Carrier is the member that carries a worker's connection: the one with the highest
-// score, by rendezvous hashing. When a member joins or leaves, only the workers that it
-// carries move.
+// RelayFor returns the member that relays the reports of the worker on a machine, or "" if
+// there are no members. It is chosen by rendezvous hashing, so when a member joins or
+// leaves, only the workers of that member move.
 func (t *Table) RelayFor(machine string) string {
-	best, most := "", uint64(0)
+	best, bestScore := "", uint64(0)
 	for _, member := range t.Members {
-		if s := score(member, machine); best == "" || s > most {
-			best, most = member, s
+		if memberScore := score(member, machine); best == "" || memberScore > bestScore {
+			best, bestScore = member, memberScore
 		}
 	}
 	return best
 }
 
+// score returns the rendezvous hash of a member and a machine.
 func score(member, machine string) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -52,57 +53,62 @@
 	return h.Sum64()
 }
 
-// Candidate is a controller as the leader sees it.
+// Candidate is the leader's view of a controller that may become a member.
 type Candidate struct {
 	Name            string
-	LastSeen        Micros  // last
-	ConnectionUsage float64 // share of its connections that is in use
+	LastSeen        Micros  // when its last message was received
+	ConnectionUsage float64 // share of its connections in use, 0 to 1
 }
 
 // Limits of the membership.
 const (
-	// leaveAfter is how long a member may be silent: it greets every second.
-	leaveAfter = 5 * clock.Second / 2
-	// joinAfter is how long a controller is heard without a gap before it joins, so that
-	// one that comes and goes does not move workers each time.
-	joinAfter = 5 * clock.Second
-	// joinEvery bounds how often a member joins: each moves its part of the workers.
-	joinEvery = 10 * clock.Second
-	// Members beyond the first share of their connections take no more workers, and do
-	// again below the second.
-	fullFrom, fullUntil = 0.75, 0.6
-	// fewest is how many members there must be besides the leader for it to carry none.
-	fewest = 2
+	// leaveTimeout is how long a member may be silent before it is removed. Controllers
+	// send a greeting every second.
+	leaveTimeout = 5 * clock.Second / 2
+	// joinDelay is how long a controller must be seen without a gap before it joins, so
+	// that an unstable controller does not move workers each time it returns.
+	joinDelay = 5 * clock.Second
+	// joinInterval is the minimum time between two joins, each of which moves the new
+	// member's part of the workers.
+	joinInterval = 10 * clock.Second
+	// A controller leaves the table when its connection usage reaches highConnectionUsage
+	// and may return when the usage falls below lowConnectionUsage.
+	highConnectionUsage, lowConnectionUsage = 0.75, 0.6
+	// The leader itself becomes a member if the number of other members is at least one but
+	// less than minMembers.
+	minMembers = 2
 )
 
-// Membership is the leader's view of who relays, in its term.
+// Membership maintains the relay table of a leader for one term.
 type Membership struct {
-	table  Table
-	on     bool
-	joined Micros            // when the latest member joined
-	since  map[string]Micros // since when each candidate is heard without a gap
-	full   map[string]bool
+	table           Table
+	enabled         bool
+	lastJoinAt      Micros            // when the last member joined
+	seenSince       map[string]Micros // by candidate: the start of the period in which it is seen without a gap
+	connectionsFull map[string]bool
 }
 
-// NewMembership begins a term. Those who are heard then need not wait to join.
+// NewMembership returns the membership of a new term, without members. Controllers that are
+// seen when the first table is made join without a delay.
 func NewMembership(term uint64, now Micros) *Membership {
-	return &Membership{table: Table{Term: term}, joined: now - joinEvery, since: map[string]Micros{}, full: map[string]bool{}}
+	return &Membership{table: Table{Term: term}, lastJoinAt: now - joinInterval, seenSince: map[string]Micros{}, connectionsFull: map[string]bool{}}
 }
 
-// Table is the one in force.
+// Table returns the current table.
 func (m *Membership) Table() Table { return m.table }
 
-// Judge makes a new table if it has to change; it reports whether it has. workers is how
-// many there are, from how many is how many make relaying worth it.
-func (m *Membership) Update(now Micros, self string, workers, from int, candidates []Candidate) bool {
-	if workers >= from {
-		m.on = true
-	} else if workers < from*4/5 {
-		m.on = false
+// Update recomputes the table and reports whether it changed. self is the leader's own name
+// and workers the number of workers. Relaying is switched on once there are minWorkers
+// workers, and off when fewer than four fifths of minWorkers remain.
+func (m *Membership) Update(now Micros, self string, workers, minWorkers int, candidates []Candidate) bool {
+	if workers >= minWorkers {
+		m.enabled = true
+	} else if workers < minWorkers*4/5 {
+		m.enabled = false
 	}
 	var members []string
-	if m.on {
-		members = m.members(now, self, candidates)
+	if m.enabled {
+		members = m.selectMembers(now, self, candidates)
 	}
 	if slices.Equal(members, m.table.Members) {
 		return false
@@ -112,25 +118,26 @@
 	return true
 }
 
-func (m *Membership) members(now Micros, self string, candidates []Candidate) []string {
+// selectMembers returns the names of the candidates that are to be members, in sorted order.
+func (m *Membership) selectMembers(now Micros, self string, candidates []Candidate) []string {
 	var members []string
-	first := len(m.table.Members) == 0
-	for _, c := range candidates {
-		if !m.present(c, now) {
+	tableEmpty := len(m.table.Members) == 0
+	for _, candidate := range candidates {
+		if !m.eligible(candidate, now) {
 			continue
 		}
-		known := slices.Contains(m.table.Members, c.Name)
-		if !known && !first {
-			if now-m.since[c.Name] < joinAfter || now-m.joined < joinEvery {
+		isMember := slices.Contains(m.table.Members, candidate.Name)
+		if !isMember && !tableEmpty {
+			if now-m.seenSince[candidate.Name] < joinDelay || now-m.lastJoinAt < joinInterval {
 				continue
 			}
-			m.joined = now
+			m.lastJoinAt = now
 		}
-		members = append(members, c.Name)
+		members = append(members, candidate.Name)
 	}
-	if len(members) < fewest {
+	if len(members) < minMembers {
 		if len(members) == 0 {
-			return nil // the leader alone takes the reports as ever
+			return nil // without relays, all workers report to the leader
 		}
 		members = append(members, self)
 	}
@@ -138,20 +145,21 @@
 	return members
 }
 
-// present reports whether a candidate is heard and has connections left.
-func (m *Membership) present(c Candidate, now Micros) bool {
-	if now-c.LastSeen > leaveAfter {
-		delete(m.since, c.Name)
+// eligible reports whether a candidate was seen within leaveTimeout and has connections to
+// spare.
+func (m *Membership) eligible(c Candidate, now Micros) bool {
+	if now-c.LastSeen > leaveTimeout {
+		delete(m.seenSince, c.Name)
 		return false
 	}
-	if _, known := m.since[c.Name]; !known {
-		m.since[c.Name] = now
+	if _, known := m.seenSince[c.Name]; !known {
+		m.seenSince[c.Name] = now
 	}
 	switch {
-	case c.ConnectionUsage >= fullFrom:
-		m.full[c.Name] = true
-	case c.ConnectionUsage < fullUntil:
-		delete(m.full, c.Name)
+	case c.ConnectionUsage >= highConnectionUsage:
+		m.connectionsFull[c.Name] = true
+	case c.ConnectionUsage < lowConnectionUsage:
+		delete(m.connectionsFull, c.Name)
 	}
-	return !m.full[c.Name]
+	return !m.connectionsFull[c.Name]
 }
