--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -1,7 +1,10 @@
-// Package carrier lets controllers that do not lead carry workers' connections: a Relay
-// hands their reports on to the leader in batches and sends the leader's orders to them; a
-// Router is the leader's side of it. The leader decides and answers every report as ever.
-// Both run on the owner goroutine and do no I/O of their own.
+// Package carrier lets controllers that do not lead hold workers' connections. On a relaying
+// controller, a Relay forwards workers' reports to the leader in batches and sends the
+// leader's command batches to the workers. On the leader, a Router receives those reports and
+// chooses the controller through which a command batch is sent. The package makes no
+// decision on a report: the leader does, as for a worker that reports to it directly. Relay
+// and Router run on the owner goroutine and do no I/O themselves. Package relay decides which
+// controller relays for which worker.
 package carrier
 
 import (
@@ -12,41 +15,45 @@
 	"lilacthread/wire/fb"
 )
 
-// Micros is the project's unit of time.
+// Micros is a time or a duration in microseconds.
 type Micros = clock.Micros
 
-// Answer is the reply to a worker's report.
+// ReportAnswer is the answer to a worker's report.
 type ReportAnswer struct {
-	Code   int
+	Code   int // HTTP status
 	Body   wire.ReportAnswer
-	Leader string // with 421: where to report
+	Leader string // with status 421: the controller to report to
 }
 
-// Host is the controller that carries.
+// Host is the controller that a Relay or a Router is part of.
 type Host interface {
 	Now() Micros
 	After(d Micros, f func())
-	// Message begins a message to another controller.
+	// NewMessage returns a message to another controller with the common fields set.
 	NewMessage(kind fb.Kind) *peer.Msg
-	// Ask sends it; done gets nil when no answer came in time.
+	// Call sends a message to a controller. done gets the answer, or nil if none arrives
+	// within the timeout.
 	Call(node string, m *peer.Msg, timeout Micros, done func(*peer.Msg))
-	// Order sends commands to the worker at addr; see controller.Env.
+	// SendOrders sends a command batch to the worker at addr; see controller.Env.
 	SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report))
-	// Leader is the controller that leads as far as is known, or "".
+	// Leader returns the name of the controller that leads as far as is known, or "".
 	Leader() string
-	// Reaches reports whether another controller was heard of late and relays.
+	// Reachable reports whether another controller sent a message recently and supports
+	// relaying.
 	Reachable(node string) bool
 }
 
-// Codes between controllers, beside those that a worker gets.
+// Codes of the answers to relayed reports. They go to the relay only: the worker receives
+// 200 or 503.
 const (
-	codeNeedFullReport = 409 // the leader needs the whole report
-	codeNotLeader      = 421 // another node leads, or none
+	codeNeedFullReport = 409 // the leader lacks the report that the item refers to
+	codeNotLeader      = 421 // another node leads, or none does
 	codeMalformed      = 400
 	codeBusy           = 503
 )
 
-// NotLeader answers a batch of reports at a node that does not lead.
+// NotLeaderAnswers returns the answers of a node that does not lead to a batch with the
+// given number of reports.
 func NotLeaderAnswers(reports int) []peer.RelayedAnswer {
 	answers := make([]peer.RelayedAnswer, reports)
 	for i := range answers {
@@ -55,38 +62,42 @@
 	return answers
 }
 
-// Times of a relayed message. A worker drops answers later than 4 s after its report.
+// Timeouts of relayed messages. A worker ignores an answer that arrives more than 4 s after
+// its report.
 const (
-	batchDelay = 10 * clock.Millisecond // of the first item of a batch
-	// answerWithin is how long the leader's answer to a batch is awaited.
+	// batchDelay is how long the first item of a batch waits for further items.
+	batchDelay = 10 * clock.Millisecond
+	// answerTimeout is how long a relay waits for the leader's answer to a batch of reports.
 	answerTimeout = 5 * clock.Second / 2
-	// retryWithin is how old a report may be to be sent again, to another leader.
+	// maxRetryAge is the maximum age at which a report is sent again, to another leader.
 	maxRetryAge = clock.Second
-	// waitAtMost is how long an item may wait for its batch.
+	// maxQueueTime is how long an item may be queued before it expires.
 	maxQueueTime = clock.Second
-	// receivedWithin is how long a batch of orders, or of results, is counted as in flight
-	// without an answer.
+	// ackTimeout is how long a batch of command batches, or of their results, counts as in
+	// flight without an answer.
 	ackTimeout = 2 * clock.Second
-	// OrderWithin is how long the result of an order through another controller is
-	// awaited: what waits for its batch, the order's own time and the way back.
+	// OrderTimeout is how long the leader waits for the result of a command batch sent
+	// through another controller: the queue time at the leader, 2 s for the worker's
+	// answer, and the queue time of the result at the relay.
 	OrderTimeout = maxQueueTime + 2*clock.Second + maxQueueTime
 )
 
-// batchBounds are those of batches to one controller; a frame holds 256 KB, a report 64 KB at most.
-func batchLimits(waiting int) BatchLimits {
-	return BatchLimits{MaxItems: 512, MaxBytes: 96 << 10, MaxInFlight: 4, MaxQueued: waiting}
+// batchLimits returns the limits of the batches to one controller. They keep a batch within
+// a frame: a frame holds at most 256 KiB, and a report has at most 64 KiB.
+func batchLimits(maxQueued int) BatchLimits {
+	return BatchLimits{MaxItems: 512, MaxBytes: 96 << 10, MaxInFlight: 4, MaxQueued: maxQueued}
 }
 
-// Counts are a controller's counters since its start.
+// Counters counts the events of a relay since its process started.
 type Counters struct {
 	Relayed       uint64 // reports sent to the leader
-	Repeated      uint64 // of these, without their tasks: nothing was new
-	Batches       uint64
-	Unanswered    uint64 // batches
-	Redirected    uint64 // workers sent to the controller that carries them
-	Shed          uint64 // reports refused because too many wait
-	Orders        uint64 // sent to workers for the leader
-	RefusedOrders uint64 // orders that this node had no connection for
-	Malformed     uint64 // items of a batch that could not be read
-	BatchLatency  Micros // of the latest batch, until it was answered
+	Repeated      uint64 // of Relayed: reports sent without their body because nothing changed
+	Batches       uint64 // batches of reports sent to the leader
+	Unanswered    uint64 // batches of reports without a valid answer
+	Redirected    uint64 // redirects of a worker to the controller that should relay for it
+	Shed          uint64 // reports refused because too many were queued
+	Orders        uint64 // command batches sent to workers for the leader
+	RefusedOrders uint64 // command batches refused because too many were in flight
+	Malformed     uint64 // items of a batch that could not be decoded
+	BatchLatency  Micros // time until the latest batch of reports was answered or timed out
 }
--- a/internal/carrier/queue.go
+++ b/internal/carrier/queue.go
@@ -6,24 +6,25 @@
 	"lilacthread/wire/fb"
 )
 
-// Bounds of batches.
+// BatchLimits bounds the batches that are sent to one controller.
 type BatchLimits = relay.BatchLimits
 
-// queue sends what is collected for one controller.
+// queue collects items for one controller and sends them in batches.
 type queue[T any] struct {
-	host    Host
-	batcher *relay.Batcher[T]
-	planned bool
+	host           Host
+	batcher        *relay.Batcher[T]
+	flushScheduled bool
 	// send sends a batch and calls done once it is answered or given up.
 	send func(items []T, done func())
-	// drop is told of items that waited too long and were not sent.
+	// onExpired is called for each item that was queued for longer than maxQueueTime and
+	// is not sent.
 	onExpired func(item T)
 }
 
-// newOneWay makes a queue whose batches are acknowledged and no more: fill puts one into a
-// message of the kind given.
-func newOneWayQueue[T any](host Host, to string, waiting int, kind fb.Kind, fill func(*peer.Msg, []T), drop func(T)) *queue[T] {
-	return &queue[T]{host: host, batcher: relay.NewBatcher[T](batchLimits(waiting)), onExpired: drop,
+// newOneWayQueue returns a queue to a controller whose batches are only acknowledged: the
+// answer carries no data. fill puts a batch into a message of the given kind.
+func newOneWayQueue[T any](host Host, to string, maxQueued int, kind fb.Kind, fill func(*peer.Msg, []T), onExpired func(T)) *queue[T] {
+	return &queue[T]{host: host, batcher: relay.NewBatcher[T](batchLimits(maxQueued)), onExpired: onExpired,
 		send: func(items []T, done func()) {
 			m := host.NewMessage(kind)
 			fill(m, items)
@@ -31,7 +32,8 @@
 		}}
 }
 
-// add has an item wait for its batch; it reports false when too many wait.
+// add queues an item of the given size in bytes. It reports false, and does not queue the
+// item, if too many are queued already.
 func (q *queue[T]) add(item T, size int) bool {
 	if !q.batcher.Add(item, size, q.host.Now()) {
 		return false
@@ -39,24 +41,24 @@
 	if q.batcher.Full() {
 		q.flush()
 	} else {
-		q.flushIn(batchDelay)
+		q.scheduleFlush(batchDelay)
 	}
 	return true
 }
 
-// flushIn plans a flush, unless one is planned.
-func (q *queue[T]) flushIn(d Micros) {
-	if q.planned {
+// scheduleFlush schedules a flush after the delay, unless one is scheduled already.
+func (q *queue[T]) scheduleFlush(delay Micros) {
+	if q.flushScheduled {
 		return
 	}
-	q.planned = true
-	q.host.After(d, func() {
-		q.planned = false
+	q.flushScheduled = true
+	q.host.After(delay, func() {
+		q.flushScheduled = false
 		q.flush()
 	})
 }
 
-// flush sends what may be sent now.
+// flush drops the expired items and sends all batches that the limits permit.
 func (q *queue[T]) flush() {
 	for _, item := range q.batcher.Expire(q.host.Now() - maxQueueTime) {
 		q.onExpired(item)
@@ -71,7 +73,7 @@
 			q.flush()
 		})
 	}
-	if q.batcher.Len() > 0 { // they may have to be dropped before a batch is answered
-		q.flushIn(maxQueueTime / 4)
+	if q.batcher.Len() > 0 { // queued items may expire before a batch is answered
+		q.scheduleFlush(maxQueueTime / 4)
 	}
 }
--- a/internal/carrier/relay.go
+++ b/internal/carrier/relay.go
@@ -12,185 +12,200 @@
 	"lilacthread/wire/fb"
 )
 
-// Relay is the side of the controller that carries workers' connections.
+// Relay is the part of a relaying controller: it forwards the reports of the workers that
+// are connected to it, redirects workers that belong to another controller, and sends the
+// leader's command batches to workers.
 type Relay struct {
-	host    Host
-	self    string
-	lease   Micros // of a worker
-	orders  int    // that may be under way at once
-	table   relay.Table
-	told    Micros // when the table was last confirmed
-	reports *queue[*pending]
-	results map[string]*queue[peer.OrderResult] // by the leader that ordered
-	workers map[string]*worker
-	sending int // orders under way
-	moves   float64
-	moved   Micros
+	host             Host
+	self             string
+	lease            Micros // duration of a worker's lease
+	maxOrders        int    // maximum of ordersInFlight
+	table            relay.Table
+	confirmedAt      Micros // when a leader last sent or confirmed the table
+	reportQueue      *queue[*pendingReport]
+	resultQueues     map[string]*queue[peer.OrderResult] // by the leader that sent the command batches
+	workers          map[string]*workerState
+	ordersInFlight   int     // command batches sent to workers and not finished
+	redirectTokens   float64 // token bucket that limits redirects; see allowRedirect
+	tokensRefilledAt Micros
 	Counters
 }
 
-// worker is what a controller knows of a worker that reports to it.
-type worker struct {
-	heard Micros
-	sent  Micros // when it was last sent to another controller; 0: never
-	to    string // which
-	kept  Micros // since when it is relayed here though another should carry it; 0: it is not
-	// answered is its latest report that the leader answered through this node.
-	answered *wire.Report
-	term     uint64 // of that leader
+// workerState holds what a controller knows about a worker that reports to it.
+type workerState struct {
+	lastReportAt Micros
+	redirectedAt Micros // when the worker was last redirected to another controller; 0 if never
+	redirectedTo string // the controller of the last redirect
+	keptSince    Micros // since when its reports are forwarded here although another controller is responsible; 0 if they are not
+	// lastAnswered is the worker's latest report that the leader answered through this
+	// node; nil if the leader may not have it any more.
+	lastAnswered *wire.Report
+	answeredTerm uint64 // term of that leader
 }
 
-// pending is a report whose answer a worker waits for.
-type pending struct {
-	report *wire.Report
-	since  Micros
-	whole  bool // the leader asked for all of it
-	item   peer.RelayedReport
-	reply  func(ReportAnswer)
+// pendingReport is a report whose answer a worker waits for.
+type pendingReport struct {
+	report        *wire.Report
+	receivedAt    Micros
+	fullRequested bool // the leader asked for the full report
+	item          peer.RelayedReport
+	reply         func(ReportAnswer)
 }
 
 // Limits of a relay.
 const (
-	// tableLife is how long a table holds without being confirmed by a leader.
-	tableLife = 5 * clock.Second
-	// keepFor is how long a worker that did not find its controller is relayed elsewhere
-	// before it tries again.
-	keepFor = 30 * clock.Second
-	// movesPerSecond is the part of its workers that a controller sends elsewhere a second,
-	// so that a change of the table does not bring all at once to another.
-	movesPerSecond = 0.1
-	movesAtLeast   = 4
+	// tableTimeout is how long a table stays valid without confirmation by a leader.
+	tableTimeout = 5 * clock.Second
+	// keepDuration is how long this node forwards the reports of a worker that could not
+	// reach the responsible controller before it redirects the worker again.
+	keepDuration = 30 * clock.Second
+	// redirectSharePerSecond is the share of its workers that a controller may redirect per
+	// second, so that a change of the table does not move all of them to another controller
+	// at once. minRedirectsPerSecond is the lower bound of the resulting number.
+	redirectSharePerSecond = 0.1
+	minRedirectsPerSecond  = 4
 )
 
-// NewRelay makes a relay for at most so many waiting reports and orders under way.
-func NewRelay(host Host, self string, lease Micros, waiting, orders int) *Relay {
-	r := &Relay{host: host, self: self, lease: lease, orders: orders, told: -clock.Forever,
-		results: map[string]*queue[peer.OrderResult]{}, workers: map[string]*worker{}}
-	r.reports = &queue[*pending]{host: host, batcher: relay.NewBatcher[*pending](batchLimits(waiting)), send: r.send,
-		onExpired: func(p *pending) { p.reply(ReportAnswer{Code: codeBusy}) }}
+// NewRelay returns a relay of the node self for workers with the given lease duration. At
+// most maxQueued reports are queued and maxOrders command batches are in flight.
+func NewRelay(host Host, self string, lease Micros, maxQueued, maxOrders int) *Relay {
+	r := &Relay{host: host, self: self, lease: lease, maxOrders: maxOrders, confirmedAt: -clock.Forever,
+		resultQueues: map[string]*queue[peer.OrderResult]{}, workers: map[string]*workerState{}}
+	r.reportQueue = &queue[*pendingReport]{host: host, batcher: relay.NewBatcher[*pendingReport](batchLimits(maxQueued)), send: r.sendBatch,
+		onExpired: func(p *pendingReport) { p.reply(ReportAnswer{Code: codeBusy}) }}
 	return r
 }
 
-// Put takes over the table that a leader tells, or confirms; it reports whether it changed.
-func (r *Relay) ApplyTable(t relay.Table) bool {
-	if t.Newer(&r.table) {
-		changed := !slices.Equal(t.Members, r.table.Members)
-		r.table, r.told = t, r.host.Now()
+// ApplyTable adopts the table if it is newer than the present one, and renews the present
+// one if it is the same. It reports whether the members changed.
+func (r *Relay) ApplyTable(table relay.Table) bool {
+	if table.Newer(&r.table) {
+		changed := !slices.Equal(table.Members, r.table.Members)
+		r.table, r.confirmedAt = table, r.host.Now()
 		return changed
 	}
-	if t.Term == r.table.Term && t.Number == r.table.Number {
-		r.told = r.host.Now()
+	if table.Term == r.table.Term && table.Number == r.table.Number {
+		r.confirmedAt = r.host.Now()
 	}
 	return false
 }
 
-// InForce reports whether workers' reports are relayed, as far as this node knows.
-func (r *Relay) Active() bool { return r.table.Active() && r.host.Now()-r.told <= tableLife }
+// Active reports whether workers' reports are relayed, as far as this node knows.
+func (r *Relay) Active() bool { return r.table.Active() && r.host.Now()-r.confirmedAt <= tableTimeout }
 
-// Table is the latest that was told.
+// Table returns the latest table, valid or not.
 func (r *Relay) Table() relay.Table { return r.table }
 
-// Workers is how many workers report to this node.
+// WorkerCount returns the number of workers that reported to this node within half a lease
+// and were not redirected since.
 func (r *Relay) WorkerCount() int {
 	n := 0
 	for _, w := range r.workers {
-		if r.host.Now()-w.heard < r.lease/2 && w.sent < w.heard {
+		if r.host.Now()-w.lastReportAt < r.lease/2 && w.redirectedAt < w.lastReportAt {
 			n++
 		}
 	}
 	return n
 }
 
-// Waiting is how many reports wait for their batch.
-func (r *Relay) QueuedReports() int { return r.reports.batcher.Len() }
+// QueuedReports returns the number of reports that wait for a batch.
+func (r *Relay) QueuedReports() int { return r.reportQueue.batcher.Len() }
 
-// Tidy forgets workers that have not reported for long.
+// PruneWorkers forgets the workers that have not reported for two leases.
 func (r *Relay) PruneWorkers() {
 	now := r.host.Now()
 	for id, w := range r.workers {
-		if now-w.heard > 2*r.lease {
+		if now-w.lastReportAt > 2*r.lease {
 			delete(r.workers, id)
 		}
 	}
 }
 
-// Redirect is the controller that a worker should report to instead, or "".
+// RedirectTarget returns the controller to which the worker that sent the report should
+// report instead, or "" if this node is to forward the report.
 func (r *Relay) RedirectTarget(report *wire.Report) string {
 	now := r.host.Now()
 	w := r.workers[report.Machine]
 	if w == nil {
-		w = new(worker)
+		w = new(workerState)
 		r.workers[report.Machine] = w
 	}
-	stranger := w.heard == 0 || now-w.heard > r.lease
-	w.heard = now
-	to := r.table.RelayFor(report.Machine)
-	if to == r.self {
-		w.kept = 0
+	newHere := w.lastReportAt == 0 || now-w.lastReportAt > r.lease
+	w.lastReportAt = now
+	target := r.table.RelayFor(report.Machine)
+	if target == r.self {
+		w.keptSince = 0
 		return ""
 	}
-	if w.kept == 0 && (stranger && report.Token >= r.table.Term || w.to == to && w.sent > 0 && now-w.sent < r.lease) {
-		w.kept = now // it comes from there, or was sent there and is back: it does not reach it
+	if w.keptSince == 0 && (newHere && report.Token >= r.table.Term || w.redirectedTo == target && w.redirectedAt > 0 && now-w.redirectedAt < r.lease) {
+		// The worker was answered elsewhere in this term and is new here, or has returned
+		// after a redirect: it probably cannot reach the target.
+		w.keptSince = now
 	}
-	if !r.host.Reachable(to) || w.kept > 0 && now-w.kept < keepFor || !r.mayMove(now) {
+	if !r.host.Reachable(target) || w.keptSince > 0 && now-w.keptSince < keepDuration || !r.allowRedirect(now) {
 		return ""
 	}
-	w.sent, w.to, w.kept = now, to, 0
+	w.redirectedAt, w.redirectedTo, w.keptSince = now, target, 0
 	r.Redirected++
-	return to
+	return target
 }
 
-// mayMove keeps how many workers are sent elsewhere within bounds.
-func (r *Relay) mayMove(now Micros) bool {
-	most := max(movesPerSecond*float64(len(r.workers)), movesAtLeast)
-	r.moves = min(r.moves+most*(now-r.moved).Seconds(), most)
-	r.moved = now
-	if r.moves < 1 {
+// allowRedirect takes a token for one redirect; it reports false if none is left. At
+// most one second's worth of tokens accumulates.
+func (r *Relay) allowRedirect(now Micros) bool {
+	limit := max(redirectSharePerSecond*float64(len(r.workers)), minRedirectsPerSecond)
+	r.redirectTokens = min(r.redirectTokens+limit*(now-r.tokensRefilledAt).Seconds(), limit)
+	r.tokensRefilledAt = now
+	if r.redirectTokens < 1 {
 		return false
 	}
-	r.moves--
+	r.redirectTokens--
 	return true
 }
 
-// Take hands a worker's report on to the leader, and the answer back.
+// Forward forwards a worker's report to the leader. reply gets the leader's answer, or code
+// 503 if no leader decided the report.
 func (r *Relay) Forward(report *wire.Report, reply func(ReportAnswer)) {
-	r.add(&pending{report: report, since: r.host.Now(), reply: reply})
+	r.enqueue(&pendingReport{report: report, receivedAt: r.host.Now(), reply: reply})
 }
 
-func (r *Relay) add(p *pending) {
-	p.item = r.item(p)
-	if !r.reports.add(p, p.item.Size()) {
+// enqueue queues a report for the next batch and refuses it if too many are queued.
+func (r *Relay) enqueue(p *pendingReport) {
+	p.item = r.buildItem(p)
+	if !r.reportQueue.add(p, p.item.Size()) {
 		r.Shed++
 		p.reply(ReportAnswer{Code: codeBusy})
 	}
 }
 
-// item renders a report: without its tasks if the leader has them from the one before.
-func (r *Relay) item(p *pending) peer.RelayedReport {
+// buildItem encodes a report. If it differs from the last answered one only in its number,
+// the item refers to that report instead of including the body.
+func (r *Relay) buildItem(p *pendingReport) peer.RelayedReport {
 	report := p.report
 	item := peer.RelayedReport{Machine: report.Machine, Session: report.Session, Seq: report.Seq, Token: report.Token}
-	if w := r.workers[report.Machine]; !p.whole && w != nil && repeats(report, w.answered) && report.Token == w.term {
-		item.BaseSeq = w.answered.Seq
+	if w := r.workers[report.Machine]; !p.fullRequested && w != nil && onlyConfirmsLiveness(report, w.lastAnswered) && report.Token == w.answeredTerm {
+		item.BaseSeq = w.lastAnswered.Seq
 		return item
 	}
 	item.Body = wire.Encode(report)
 	return item
 }
 
-// repeats reports whether a report says nothing new but that its worker lives.
-func repeats(r, before *wire.Report) bool {
-	return before != nil && r.Session == before.Session && r.Seq > before.Seq && r.Addr == before.Addr &&
-		r.Type == before.Type && r.Zone == before.Zone && r.Spot == before.Spot &&
-		r.ReclaimNoticeSeconds == nil && before.ReclaimNoticeSeconds == nil && slices.Equal(r.Tasks, before.Tasks)
+// onlyConfirmsLiveness reports whether a report contains nothing new compared with a
+// previous one, except that the worker is alive.
+func onlyConfirmsLiveness(report, previous *wire.Report) bool {
+	return previous != nil && report.Session == previous.Session && report.Seq > previous.Seq && report.Addr == previous.Addr &&
+		report.Type == previous.Type && report.Zone == previous.Zone && report.Spot == previous.Spot &&
+		report.ReclaimNoticeSeconds == nil && previous.ReclaimNoticeSeconds == nil && slices.Equal(report.Tasks, previous.Tasks)
 }
 
-// send asks the leader about a batch of reports.
-func (r *Relay) send(batch []*pending, done func()) {
+// sendBatch sends a batch of reports to the leader and passes its answers to the workers.
+func (r *Relay) sendBatch(batch []*pendingReport, done func()) {
 	leader := r.host.Leader()
 	if leader == "" || leader == r.self || !r.host.Reachable(leader) {
 		r.host.After(0, func() {
 			done()
-			r.again(batch, leader)
+			r.retryOrRefuse(batch, leader)
 		})
 		return
 	}
@@ -203,105 +218,108 @@
 	}
 	r.Batches++
 	r.Relayed += uint64(len(batch))
-	asked := r.host.Now()
-	r.host.Call(leader, m, answerTimeout, func(a *peer.Msg) {
-		r.BatchLatency = r.host.Now() - asked
+	sentAt := r.host.Now()
+	r.host.Call(leader, m, answerTimeout, func(answer *peer.Msg) {
+		r.BatchLatency = r.host.Now() - sentAt
 		done()
-		if a == nil || len(a.ReportAnswers) != len(batch) {
+		if answer == nil || len(answer.ReportAnswers) != len(batch) {
 			r.Counters.Unanswered++
-			r.again(batch, leader)
+			r.retryOrRefuse(batch, leader)
 			return
 		}
 		for i, p := range batch {
-			r.answer(p, &a.ReportAnswers[i], leader)
+			r.handleAnswer(p, &answer.ReportAnswers[i], leader)
 		}
 	})
 }
 
-// again sends reports once more that were not decided: to another leader, if there is one
-// by now, or while there is none yet. The others are sent away: the worker may reach a
+// retryOrRefuse handles reports that the given leader did not decide. Reports that are at
+// most maxRetryAge old are sent again if there was no leader or if it has changed, unless
+// this node leads now. The others are refused, because the worker may reach another
 // controller that reaches the leader.
-func (r *Relay) again(batch []*pending, leader string) {
+func (r *Relay) retryOrRefuse(batch []*pendingReport, leader string) {
 	now := r.host.Now()
 	for _, p := range batch {
-		if now-p.since <= maxRetryAge && (leader == "" || r.host.Leader() != leader) && r.host.Leader() != r.self {
-			r.host.After(maxRetryAge/10, func() { r.add(p) })
+		if now-p.receivedAt <= maxRetryAge && (leader == "" || r.host.Leader() != leader) && r.host.Leader() != r.self {
+			r.host.After(maxRetryAge/10, func() { r.enqueue(p) })
 			continue
 		}
 		if w := r.workers[p.report.Machine]; w != nil {
-			w.answered = nil
+			w.lastAnswered = nil
 		}
 		p.reply(ReportAnswer{Code: codeBusy})
 	}
 }
 
-// answer gives a worker the leader's answer.
-func (r *Relay) answer(p *pending, a *peer.RelayedAnswer, leader string) {
+// handleAnswer passes the leader's answer to the worker, or repeats the report if the leader
+// needs it in full or does not lead.
+func (r *Relay) handleAnswer(p *pendingReport, answer *peer.RelayedAnswer, leader string) {
 	w := r.workers[p.report.Machine]
-	switch a.Code {
+	switch answer.Code {
 	case codeNeedFullReport:
-		if !p.whole {
-			p.whole = true
-			r.add(p)
+		if !p.fullRequested {
+			p.fullRequested = true
+			r.enqueue(p)
 			return
 		}
 	case codeNotLeader:
-		r.again([]*pending{p}, leader)
+		r.retryOrRefuse([]*pendingReport{p}, leader)
 		return
 	case 200:
-		answer := ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: a.Token, Commands: []wire.Command{}}}
-		if a.Body != nil && wire.Decode(a.Body, &answer.Body) != nil {
+		reply := ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: answer.Token, Commands: []wire.Command{}}}
+		if answer.Body != nil && wire.Decode(answer.Body, &reply.Body) != nil {
 			r.Malformed++
 			break
 		}
 		if w != nil {
-			w.answered, w.term = p.report, a.Token
+			w.lastAnswered, w.answeredTerm = p.report, answer.Token
 		}
-		p.reply(answer)
+		p.reply(reply)
 		return
 	}
 	if w != nil {
-		w.answered = nil
+		w.lastAnswered = nil
 	}
 	p.reply(ReportAnswer{Code: codeBusy})
 }
 
-// OnOrders sends the orders of a leader to their workers. Each is sent at once or not at
-// all; what became of it goes back in batches.
-func (r *Relay) HandleOrders(from string, orders []peer.Order) {
-	for _, o := range orders {
+// HandleOrders sends the command batches of a leader to their workers. Each is sent at once
+// or refused; the results are returned to the leader in batches.
+func (r *Relay) HandleOrders(leader string, orders []peer.Order) {
+	for _, order := range orders {
 		var body wire.Orders
-		if o.Addr == "" || wire.Decode(o.Body, &body) != nil {
+		if order.Addr == "" || wire.Decode(order.Body, &body) != nil {
 			r.Malformed++
-			slog.Info("malformed order", "from", from)
-			r.result(from, peer.OrderResult{ID: o.ID, Outcome: uint8(store.Refused)})
+			slog.Info("malformed command batch refused", "from", leader)
+			r.queueResult(leader, peer.OrderResult{ID: order.ID, Outcome: uint8(store.Refused)})
 			continue
 		}
-		if r.sending >= r.orders {
+		if r.ordersInFlight >= r.maxOrders {
 			r.RefusedOrders++
-			r.result(from, peer.OrderResult{ID: o.ID, Outcome: uint8(store.Refused)})
+			r.queueResult(leader, peer.OrderResult{ID: order.ID, Outcome: uint8(store.Refused)})
 			continue
 		}
-		r.sending++
+		r.ordersInFlight++
 		r.Orders++
-		r.host.SendOrders(o.Addr, &body, func(outcome store.Outcome, report *wire.Report) {
-			r.sending--
-			result := peer.OrderResult{ID: o.ID, Outcome: uint8(outcome)}
+		r.host.SendOrders(order.Addr, &body, func(outcome store.Outcome, report *wire.Report) {
+			r.ordersInFlight--
+			result := peer.OrderResult{ID: order.ID, Outcome: uint8(outcome)}
 			if report != nil {
 				result.Body = wire.Encode(report)
 			}
-			r.result(from, result)
+			r.queueResult(leader, result)
 		})
 	}
 }
 
-// result sends what became of an order back. If it is lost the leader does not know.
-func (r *Relay) result(to string, result peer.OrderResult) {
-	q := r.results[to]
+// queueResult queues the result of a command batch for the leader. If the result is lost,
+// the outcome stays unknown to the leader.
+func (r *Relay) queueResult(leader string, result peer.OrderResult) {
+	q := r.resultQueues[leader]
 	if q == nil {
-		q = newOneWayQueue(r.host, to, 4*r.orders, fb.KindResults,
+		q = newOneWayQueue(r.host, leader, 4*r.maxOrders, fb.KindResults,
 			func(m *peer.Msg, items []peer.OrderResult) { m.OrderResults = items }, func(peer.OrderResult) {})
-		r.results[to] = q
+		r.resultQueues[leader] = q
 	}
 	q.add(result, result.Size())
 }
