--- a/internal/peer/admission.go
+++ b/internal/peer/admission.go
@@ -7,6 +7,7 @@
 	"lilacthread/wire/fb"
 )
 
+// encodeNotice writes an admission notice and returns its offset, or 0 if n is nil.
 func encodeNotice(b *flatbuffers.Builder, n *admit.Notice) flatbuffers.UOffsetT {
 	if n == nil {
 		return 0
@@ -21,7 +22,7 @@
 	for i := len(n.Refusals) - 1; i >= 0; i-- {
 		b.PrependUint32(n.Refusals[i].Hash)
 	}
-	told := b.EndVector(len(n.Refusals))
+	hashes := b.EndVector(len(n.Refusals))
 	fb.NoticeStartAsksVector(b, len(n.Refusals))
 	for i := len(n.Refusals) - 1; i >= 0; i-- {
 		fb.CreateAsk(b, n.Refusals[i].Account, n.Refusals[i].CPUs)
@@ -30,11 +31,12 @@
 	fb.NoticeStart(b)
 	fb.NoticeAddDigest(b, n.Digest)
 	fb.NoticeAddAccounts(b, accounts)
-	fb.NoticeAddTold(b, told)
+	fb.NoticeAddTold(b, hashes)
 	fb.NoticeAddAsks(b, asks)
 	return fb.NoticeEnd(b)
 }
 
+// decodeNotice returns the admission notice of a message, or nil if there is none.
 func decodeNotice(t *fb.Notice) *admit.Notice {
 	if t == nil {
 		return nil
@@ -47,16 +49,17 @@
 	}
 	var ask fb.Ask
 	for i := range checkVectorLength(t.ToldLength()) {
-		told := admit.Refusal{Hash: t.Told(i)}
-		if i < t.AsksLength() { // versions before this one say nothing of it
+		refusal := admit.Refusal{Hash: t.Told(i)}
+		if i < t.AsksLength() { // older versions send no asks
 			t.Asks(&ask, i)
-			told.Account, told.CPUs = ask.Account(), ask.Cpus()
+			refusal.Account, refusal.CPUs = ask.Account(), ask.Cpus()
 		}
-		n.Refusals = append(n.Refusals, told)
+		n.Refusals = append(n.Refusals, refusal)
 	}
 	return n
 }
 
+// encodeAdmissionTable writes an admission table and returns its offset, or 0 if t is nil.
 func encodeAdmissionTable(b *flatbuffers.Builder, t *admit.Table) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
@@ -77,6 +80,7 @@
 	return fb.AdmissionEnd(b)
 }
 
+// decodeAdmissionTable returns the admission table of a message, or nil if there is none.
 func decodeAdmissionTable(f *fb.Admission) *admit.Table {
 	if f == nil {
 		return nil
@@ -92,11 +96,12 @@
 	return t
 }
 
-// bounded refuses a vector that is longer than any frame: its length is not to be
-// trusted before its elements were read.
+// checkVectorLength returns n, the length of a vector in a frame, and panics if no frame can
+// hold such a vector. The length comes from the sender, so memory must not be allocated for
+// it unchecked.
 func checkVectorLength(n int) int {
 	if n < 0 || n > MaxFrameBytes {
-		panic(errInvalidFrame) // as the library does; see Decode
+		panic(errInvalidFrame) // Decode recovers from it, as from a panic of the library
 	}
 	return n
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,163 +10,173 @@
 	"time"
 )
 
-// Links talks to the other controllers: one connection to each, redialled when
-// it breaks or goes quiet, requests paired with answers by number.
+// Links sends requests to the other controllers over one TCP connection to each. A
+// connection is dialed again when it breaks or when requests on it time out. Answers are
+// matched to requests by message ID.
 type Links struct {
-	post  func(func())
-	links map[string]*link
+	post   func(func())
+	byName map[string]*link
 }
 
+// link is the connection to one peer and its outstanding requests.
 type link struct {
 	name, addr string
-	out        chan []byte
+	outgoing   chan []byte
 	mu         sync.Mutex
-	next       uint64
-	waiting    map[uint64]func(*Msg)
+	lastID     uint64
+	pending    map[uint64]func(*Msg)
 	conn       net.Conn
-	misses     int
+	timeouts   int
 }
 
-// NewLinks makes links to the peers given by name and address.
+// NewLinks starts a link to each peer; peers maps names to addresses. post runs a function on
+// the owner goroutine.
 func NewLinks(peers map[string]string, post func(func())) *Links {
-	l := &Links{post: post, links: map[string]*link{}}
+	l := &Links{post: post, byName: map[string]*link{}}
 	for name, addr := range peers {
-		k := &link{name: name, addr: addr, out: make(chan []byte, 64), waiting: map[uint64]func(*Msg){}}
-		l.links[name] = k
-		go l.run(k)
+		peerLink := &link{name: name, addr: addr, outgoing: make(chan []byte, 64), pending: map[uint64]func(*Msg){}}
+		l.byName[name] = peerLink
+		go l.run(peerLink)
 	}
 	return l
 }
 
-// Ask sends m to a peer; done gets the answer, or nil after the timeout.
+// Call sends m to a peer. done gets the answer, or nil after the timeout or if the peer is
+// not known. It runs on the owner goroutine.
 func (l *Links) Call(name string, m *Msg, timeout time.Duration, done func(*Msg)) {
-	k := l.links[name]
-	if k == nil {
+	peerLink := l.byName[name]
+	if peerLink == nil {
 		l.post(func() { done(nil) })
 		return
 	}
-	k.mu.Lock()
-	k.next++
-	id := k.next
-	k.waiting[id] = done
-	k.mu.Unlock()
+	peerLink.mu.Lock()
+	peerLink.lastID++
+	id := peerLink.lastID
+	peerLink.pending[id] = done
+	peerLink.mu.Unlock()
 	m.ID = id
 	select {
-	case k.out <- m.Encode():
-	default: // the peer is not taking anything
+	case peerLink.outgoing <- m.Encode():
+	default: // the queue is full: the request times out
 	}
 	time.AfterFunc(timeout, func() {
-		k.mu.Lock()
-		f := k.waiting[id]
-		delete(k.waiting, id)
-		if f != nil {
-			if k.misses++; k.misses >= 2 && k.conn != nil {
-				k.conn.Close() // quiet: a cut holds its packets back
+		peerLink.mu.Lock()
+		callback := peerLink.pending[id]
+		delete(peerLink.pending, id)
+		if callback != nil {
+			if peerLink.timeouts++; peerLink.timeouts >= 2 && peerLink.conn != nil {
+				peerLink.conn.Close() // a network partition may hold back its packets
 			}
 		}
-		k.mu.Unlock()
-		if f != nil {
-			l.post(func() { f(nil) })
+		peerLink.mu.Unlock()
+		if callback != nil {
+			l.post(func() { callback(nil) })
 		}
 	})
 }
 
-func (l *Links) run(k *link) {
+// run keeps the connection to one peer open.
+func (l *Links) run(peerLink *link) {
 	for {
-		conn, err := net.DialTimeout("tcp", k.addr, time.Second)
+		conn, err := net.DialTimeout("tcp", peerLink.addr, time.Second)
 		if err != nil {
 			time.Sleep(500 * time.Millisecond)
-			k.drain()
+			peerLink.drain()
 			continue
 		}
-		k.mu.Lock()
-		k.conn, k.misses = conn, 0
-		k.mu.Unlock()
-		broken := make(chan struct{})
+		peerLink.mu.Lock()
+		peerLink.conn, peerLink.timeouts = conn, 0
+		peerLink.mu.Unlock()
+		closed := make(chan struct{})
 		go func() {
-			l.read(k, conn)
-			close(broken)
+			l.readAnswers(peerLink, conn)
+			close(closed)
 		}()
-		k.write(conn, broken)
+		peerLink.writeFrames(conn, closed)
 		conn.Close()
-		<-broken
-		k.mu.Lock()
-		k.conn = nil
-		k.mu.Unlock()
+		<-closed
+		peerLink.mu.Lock()
+		peerLink.conn = nil
+		peerLink.mu.Unlock()
 	}
 }
 
-// drain throws away frames whose askers have given up or soon will.
-func (k *link) drain() {
+// drain discards the queued frames of a peer that cannot be reached: their requests have
+// timed out or soon will.
+func (l *link) drain() {
 	for {
 		select {
-		case <-k.out:
+		case <-l.outgoing:
 		default:
 			return
 		}
 	}
 }
 
-func (k *link) write(conn net.Conn, broken chan struct{}) {
+// writeFrames sends queued frames until a write fails or closed is closed.
+func (l *link) writeFrames(conn net.Conn, closed chan struct{}) {
 	for {
 		select {
-		case frame := <-k.out:
+		case frame := <-l.outgoing:
 			conn.SetWriteDeadline(time.Now().Add(2 * time.Second))
 			if WriteFrame(conn, frame) != nil {
 				return
 			}
-		case <-broken:
+		case <-closed:
 			return
 		}
 	}
 }
 
-func (l *Links) read(k *link, conn net.Conn) {
+// readAnswers passes answers to the callbacks of their requests until a read fails.
+func (l *Links) readAnswers(peerLink *link, conn net.Conn) {
 	for {
 		m, err := ReadFrame(conn)
 		if err != nil {
 			if err != io.EOF {
-				slog.Debug("peer link", "peer", k.name, "err", err)
+				slog.Debug("reading from peer failed", "peer", peerLink.name, "err", err)
 			}
 			return
 		}
-		k.mu.Lock()
-		f := k.waiting[m.ID]
-		delete(k.waiting, m.ID)
-		k.misses = 0
-		k.mu.Unlock()
-		if f != nil {
-			l.post(func() { f(m) })
+		peerLink.mu.Lock()
+		callback := peerLink.pending[m.ID]
+		delete(peerLink.pending, m.ID)
+		peerLink.timeouts = 0
+		peerLink.mu.Unlock()
+		if callback != nil {
+			l.post(func() { callback(m) })
 		}
 	}
 }
 
-// WriteFrame writes one frame.
+// WriteFrame writes a frame after its length, which takes four bytes in big-endian order.
 func WriteFrame(w io.Writer, frame []byte) error {
 	buf := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(frame)), uint32(len(frame)))
 	_, err := w.Write(append(buf, frame...))
 	return err
 }
 
-// ReadFrame reads one frame.
+// ReadFrame reads and decodes a frame that WriteFrame wrote. It fails if the frame is longer
+// than MaxFrameBytes.
 func ReadFrame(r io.Reader) (*Msg, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > MaxFrameBytes {
+	length := binary.BigEndian.Uint32(header[:])
+	if length > MaxFrameBytes {
 		return nil, errInvalidFrame
 	}
-	frame := make([]byte, n)
+	frame := make([]byte, length)
 	if _, err := io.ReadFull(r, frame); err != nil {
 		return nil, err
 	}
 	return Decode(frame)
 }
 
-// Serve answers the peers that connect to ln. Handle runs on the connection's
-// goroutine and calls reply at most once, from any goroutine.
+// Serve accepts connections of peers on ln and passes their messages to handle, until the
+// listener fails. handle runs on the connection's goroutine; it calls reply at most once,
+// from any goroutine.
 func Serve(ln net.Listener, handle func(m *Msg, reply func(*Msg))) error {
 	for {
 		conn, err := ln.Accept()
@@ -180,14 +190,14 @@
 				m, err := ReadFrame(conn)
 				if err != nil {
 					if errors.Is(err, errInvalidFrame) {
-						slog.Info("malformed or oversized frame of a peer, its connection is closed", "from", conn.RemoteAddr())
+						slog.Info("peer connection closed: malformed or oversized frame", "from", conn.RemoteAddr())
 					}
 					return
 				}
-				handle(m, func(a *Msg) {
-					a.ID = m.ID
-					frame := a.Encode()
-					go func() { // the owner never waits for a peer's socket
+				handle(m, func(answer *Msg) {
+					answer.ID = m.ID
+					frame := answer.Encode()
+					go func() { // the caller of reply, the owner goroutine, must not wait for a socket
 						mu.Lock()
 						defer mu.Unlock()
 						conn.SetWriteDeadline(time.Now().Add(2 * time.Second))
--- a/internal/peer/msg.go
+++ b/internal/peer/msg.go
@@ -1,5 +1,6 @@
-// Package peer carries messages between controllers: FlatBuffers behind a
-// length, over TCP.
+// Package peer transports messages between controllers over TCP. Each frame is a FlatBuffers
+// message (schema wire/peer.fbs) that follows its length. The package does not interpret the
+// messages: the controller does.
 package peer
 
 import (
@@ -12,44 +13,45 @@
 	"lilacthread/wire/fb"
 )
 
-// Msg is a message between controllers.
+// Msg is a message between controllers. It has the fields of all kinds; those that a kind
+// does not use are zero.
 type Msg struct {
 	ID               uint64
 	Kind             fb.Kind
-	Node             string
-	Term             uint64
-	StateOK          bool
-	ReportingWorkers uint32
-	Job              string
-	Body             []byte
-	Code             int
+	Node             string // name of the sender
+	Term             uint64 // the term in which the sender leads, or 0
+	StateOK          bool   // the sender reaches the state service
+	ReportingWorkers uint32 // workers that recently tried to report to the sender
+	Job              string // with a question about a job: its ID
+	Body             []byte // a submission, a worker's report or its answer, in MessagePack
+	Code             int    // with an answer: an HTTP status
 	Phase            string
 	Done             int
 	Running          int
-	MaxFormatLevel   int // the sender's highest format level; 0 from version 0.1
-	FormatLevel      int // the format level in force
+	MaxFormatLevel   int // the highest format level that the sender reads and writes; 0 from version 0.1
+	FormatLevel      int // the format level in force, as far as the sender knows
 
-	AdmissionNotice *admit.Notice // with a greeting; nil from versions without admission
-	AdmissionTable  *admit.Table  // with a leader's answer to one
+	AdmissionNotice *admit.Notice // with a greeting; nil from versions without admission control
+	AdmissionTable  *admit.Table  // with a leader's answer to a greeting
 	RetryAfter      int           // with a refusal, in seconds
-	InMemoryOnly    bool          // with a question for a job: answer from memory or not at all
+	InMemoryOnly    bool          // with a question about a job: answer from memory or not at all
 
 	Incarnation uint64 // of the sender's process; 0 from versions without it
 
-	RelayedReports          []RelayedReport // of a batch of workers' reports
-	ReportAnswers           []RelayedAnswer // to one, in its order
-	Orders                  []Order         // of a batch of orders to workers
-	OrderResults            []OrderResult   // of orders, in any order
+	RelayedReports          []RelayedReport // a batch of workers' reports for the leader
+	ReportAnswers           []RelayedAnswer // the answers to a batch of reports, in its order
+	Orders                  []Order         // command batches that the receiver is to send to workers
+	OrderResults            []OrderResult   // results of command batches, in any order
 	RelayTable              *relay.Table    // with a leader's answer to a greeting
-	ConnectionUsagePermille int             // with a greeting: thousandths of the sender's connections in use
+	ConnectionUsagePermille int             // with a greeting: the part of the sender's connections that is in use, in thousandths
 }
 
-// MaxFrame bounds a frame.
+// MaxFrameBytes is the maximum length of a frame.
 const MaxFrameBytes = 256 << 10
 
 var errInvalidFrame = errors.New("peer: invalid frame")
 
-// Encode renders m.
+// Encode returns the message as a frame.
 func (m *Msg) Encode() []byte {
 	b := flatbuffers.NewBuilder(256 + len(m.Body))
 	node, job, phase := b.CreateString(m.Node), b.CreateString(m.Job), b.CreateString(m.Phase)
@@ -58,7 +60,7 @@
 		body = b.CreateByteVector(m.Body)
 	}
 	notice, table := encodeNotice(b, m.AdmissionNotice), encodeAdmissionTable(b, m.AdmissionTable)
-	relayed := m.encodeRelay(b)
+	relayed := m.encodeRelayFields(b)
 	fb.MessageStart(b)
 	fb.MessageAddId(b, m.ID)
 	fb.MessageAddKind(b, m.Kind)
@@ -76,19 +78,19 @@
 	fb.MessageAddRunning(b, uint32(m.Running))
 	fb.MessageAddSpeaks(b, byte(m.MaxFormatLevel))
 	fb.MessageAddLevel(b, byte(m.FormatLevel))
-	fb.MessageAddNotice(b, notice) // 0: none
+	fb.MessageAddNotice(b, notice) // offset 0 leaves the field out
 	fb.MessageAddAdmission(b, table)
 	fb.MessageAddRetryAfter(b, byte(m.RetryAfter))
 	fb.MessageAddInMemory(b, m.InMemoryOnly)
 	fb.MessageAddIncarnation(b, m.Incarnation)
-	relayed.add(b)
+	relayed.addToMessage(b)
 	fb.MessageAddSockets(b, uint16(m.ConnectionUsagePermille))
 	b.Finish(fb.MessageEnd(b))
 	return b.FinishedBytes()
 }
 
-// Decode reads a frame. FlatBuffers for Go has no verifier, so a frame that
-// points outside itself panics inside the library; that is caught here.
+// Decode returns the message in a frame. FlatBuffers for Go has no verifier, so the library
+// panics on a frame with offsets that point outside it; Decode recovers and returns an error.
 func Decode(frame []byte) (m *Msg, err error) {
 	defer func() {
 		if recover() != nil {
@@ -106,7 +108,7 @@
 		MaxFormatLevel: int(t.Speaks()), FormatLevel: int(t.Level()), RetryAfter: int(t.RetryAfter()), InMemoryOnly: t.InMemory(), Incarnation: t.Incarnation(),
 		AdmissionNotice: decodeNotice(t.Notice(nil)), AdmissionTable: decodeAdmissionTable(t.Admission(nil)), ConnectionUsagePermille: int(t.Sockets()),
 	}
-	m.decodeRelay(t)
+	m.decodeRelayFields(t)
 	if body := t.BodyBytes(); body != nil {
 		m.Body = append([]byte(nil), body...)
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -10,7 +10,8 @@
 	"lilacthread/wire/fb"
 )
 
-func sample() *Msg {
+// sampleMessage returns a message with every field set except Incarnation.
+func sampleMessage() *Msg {
 	return &Msg{ID: 7, Kind: fb.KindStatus, Node: "n", Term: 3, StateOK: true, ReportingWorkers: 2, Job: "req-000001",
 		Body: []byte{1, 2}, Code: 200, Phase: "done", Done: 4, Running: 5, MaxFormatLevel: 2, FormatLevel: 1,
 		RetryAfter: 9, InMemoryOnly: true,
@@ -24,9 +25,11 @@
 		RelayTable:     &relay.Table{Term: 3, Number: 2, Members: []string{"a", "b"}}, ConnectionUsagePermille: 300}
 }
 
+// TestFrame checks that a message survives encoding and decoding, and that invalid frames are
+// refused.
 func TestFrame(t *testing.T) {
 	var buf bytes.Buffer
-	want := sample()
+	want := sampleMessage()
 	if err := WriteFrame(&buf, want.Encode()); err != nil {
 		t.Fatal(err)
 	}
@@ -45,11 +48,12 @@
 	}
 }
 
+// FuzzDecode checks that Decode neither panics nor accepts an unknown kind.
 func FuzzDecode(f *testing.F) {
-	f.Add(sample().Encode())
+	f.Add(sampleMessage().Encode())
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		if m, err := Decode(frame); err == nil && m.Kind > fb.KindResults {
-			t.Fatal("unknown kind let through")
+			t.Fatal("Decode accepted an unknown kind")
 		}
 	})
 }
