--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -43,8 +43,8 @@
 	Reachable(node string) bool
 }
 
-// Codes of the answers to relayed reports. They go to the relay only: the worker receives
-// 200 or 503.
+// Codes of the leader's answers to relayed reports, besides 200. The relay handles 409 and
+// 421 itself; the worker receives 200 or codeBusy.
 const (
 	codeNeedFullReport = 409 // the leader lacks the report that the item refers to
 	codeNotLeader      = 421 // another node leads, or none does
@@ -69,7 +69,7 @@
 	batchDelay = 10 * clock.Millisecond
 	// answerTimeout is how long a relay waits for the leader's answer to a batch of reports.
 	answerTimeout = 5 * clock.Second / 2
-	// maxRetryAge is the maximum age at which a report is sent again, to another leader.
+	// maxRetryAge is the maximum age of a report that is sent again, to another leader.
 	maxRetryAge = clock.Second
 	// maxQueueTime is how long an item may be queued before it expires.
 	maxQueueTime = clock.Second
--- a/internal/carrier/relay.go
+++ b/internal/carrier/relay.go
@@ -12,7 +12,7 @@
 	"lilacthread/wire/fb"
 )
 
-// Relay is the part of a relaying controller: it forwards the reports of the workers that
+// Relay is the relaying controller's part: it forwards the reports of the workers that
 // are connected to it, redirects workers that belong to another controller, and sends the
 // leader's command batches to workers.
 type Relay struct {
@@ -76,8 +76,8 @@
 	return r
 }
 
-// ApplyTable adopts the table if it is newer than the present one, and renews the present
-// one if it is the same. It reports whether the members changed.
+// ApplyTable adopts the table if it is newer than the present one, or confirms the present
+// one if both are the same. It reports whether the members changed.
 func (r *Relay) ApplyTable(table relay.Table) bool {
 	if table.Newer(&r.table) {
 		changed := !slices.Equal(table.Members, r.table.Members)
@@ -153,8 +153,8 @@
 // allowRedirect takes a token for one redirect; it reports false if none is left. At
 // most one second's worth of tokens accumulates.
 func (r *Relay) allowRedirect(now Micros) bool {
-	limit := max(redirectSharePerSecond*float64(len(r.workers)), minRedirectsPerSecond)
-	r.redirectTokens = min(r.redirectTokens+limit*(now-r.tokensRefilledAt).Seconds(), limit)
+	redirectsPerSecond := max(redirectSharePerSecond*float64(len(r.workers)), minRedirectsPerSecond)
+	r.redirectTokens = min(r.redirectTokens+redirectsPerSecond*(now-r.tokensRefilledAt).Seconds(), redirectsPerSecond)
 	r.tokensRefilledAt = now
 	if r.redirectTokens < 1 {
 		return false
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -18,15 +18,15 @@
 	byName map[string]*link
 }
 
-// link is the connection to one peer and its outstanding requests.
+// link holds the connection to one peer and its outstanding requests.
 type link struct {
 	name, addr string
 	outgoing   chan []byte
-	mu         sync.Mutex
+	mu         sync.Mutex // guards the fields below
 	lastID     uint64
-	pending    map[uint64]func(*Msg)
-	conn       net.Conn
-	timeouts   int
+	pending    map[uint64]func(*Msg) // callbacks of the outstanding requests, by message ID
+	conn       net.Conn              // nil while disconnected
+	timeouts   int                   // requests that timed out since the last answer
 }
 
 // NewLinks starts a link to each peer; peers maps names to addresses. post runs a function on
@@ -42,7 +42,7 @@
 }
 
 // Call sends m to a peer. done gets the answer, or nil after the timeout or if the peer is
-// not known. It runs on the owner goroutine.
+// not known; it runs on the owner goroutine.
 func (l *Links) Call(name string, m *Msg, timeout time.Duration, done func(*Msg)) {
 	peerLink := l.byName[name]
 	if peerLink == nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// WriteFrame writes a frame after its length, which takes four bytes in big-endian order.
+// WriteFrame writes the length of a frame as four big-endian bytes, and then the frame.
 func WriteFrame(w io.Writer, frame []byte) error {
 	buf := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(frame)), uint32(len(frame)))
 	_, err := w.Write(append(buf, frame...))
@@ -197,7 +197,7 @@
 				handle(m, func(answer *Msg) {
 					answer.ID = m.ID
 					frame := answer.Encode()
-					go func() { // the caller of reply, the owner goroutine, must not wait for a socket
+					go func() { // the caller of reply may be the owner goroutine, which must not wait for a socket
 						mu.Lock()
 						defer mu.Unlock()
 						conn.SetWriteDeadline(time.Now().Add(2 * time.Second))
--- a/internal/peer/msg.go
+++ b/internal/peer/msg.go
@@ -16,7 +16,7 @@
 // Msg is a message between controllers. It has the fields of all kinds; those that a kind
 // does not use are zero.
 type Msg struct {
-	ID               uint64
+	ID               uint64 // matches an answer to its request
 	Kind             fb.Kind
 	Node             string // name of the sender
 	Term             uint64 // the term in which the sender leads, or 0
@@ -25,14 +25,14 @@
 	Job              string // with a question about a job: its ID
 	Body             []byte // a submission, a worker's report or its answer, in MessagePack
 	Code             int    // with an answer: an HTTP status
-	Phase            string
-	Done             int
-	Running          int
-	MaxFormatLevel   int // the highest format level that the sender reads and writes; 0 from version 0.1
-	FormatLevel      int // the format level in force, as far as the sender knows
+	Phase            string // with an answer about a job, as Done and Running: its phase
+	Done             int    // tasks done
+	Running          int    // tasks running
+	MaxFormatLevel   int    // the highest format level that the sender reads and writes; 0 from version 0.1
+	FormatLevel      int    // the format level in force, as far as the sender knows
 
-	AdmissionNotice *admit.Notice // with a greeting; nil from versions without admission control
-	AdmissionTable  *admit.Table  // with a leader's answer to a greeting
+	AdmissionNotice *admit.Notice // with a Hello message; nil from versions without admission control
+	AdmissionTable  *admit.Table  // with a leader's answer to a Hello message
 	RetryAfter      int           // with a refusal, in seconds
 	InMemoryOnly    bool          // with a question about a job: answer from memory or not at all
 
@@ -42,8 +42,8 @@
 	ReportAnswers           []RelayedAnswer // the answers to a batch of reports, in its order
 	Orders                  []Order         // command batches that the receiver is to send to workers
 	OrderResults            []OrderResult   // results of command batches, in any order
-	RelayTable              *relay.Table    // with a leader's answer to a greeting
-	ConnectionUsagePermille int             // with a greeting: the part of the sender's connections that is in use, in thousandths
+	RelayTable              *relay.Table    // with a leader's answer to a Hello message
+	ConnectionUsagePermille int             // with a Hello message: the part of the sender's connections that is in use, in thousandths
 }
 
 // MaxFrameBytes is the maximum length of a frame.
--- a/internal/relay/table.go
+++ b/internal/relay/table.go
@@ -63,7 +63,7 @@
 // Limits of the membership.
 const (
 	// leaveTimeout is how long a member may be silent before it is removed. Controllers
-	// send a greeting every second.
+	// send a Hello message every second.
 	leaveTimeout = 5 * clock.Second / 2
 	// joinDelay is how long a controller must be seen without a gap before it joins, so
 	// that an unstable controller does not move workers each time it returns.
