--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -73,7 +73,7 @@
 	maxRetryAge = clock.Second
 	// maxQueueTime is how long an item may be queued before it expires.
 	maxQueueTime = clock.Second
-	// ackTimeout is how long a batch of command batches, or of their results, counts as in
+	// ackTimeout is how long a message with command batches, or with results, counts as in
 	// flight without an answer.
 	ackTimeout = 2 * clock.Second
 	// OrderTimeout is how long the leader waits for the result of a command batch sent
--- a/internal/carrier/router.go
+++ b/internal/carrier/router.go
@@ -162,7 +162,8 @@
 	return q
 }
 
-// finishOrder passes on the outcome of a command batch, unless it has one already.
+// finishOrder reports the outcome of a command batch to its callback, unless an outcome was
+// reported before.
 func (r *Router) finishOrder(id uint64, outcome store.Outcome, report *wire.Report) {
 	order := r.pendingOrders[id]
 	if order == nil {
