--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,22 +1,25 @@
-// Package wire holds every format that lilacthread speaks: the MessagePack
-// bodies of users, workers, cloud and state service. The protocol's own words
-// appear here as tags only; code uses the field's usual terms.
+// Package wire defines the messages exchanged with users, workers, the cloud and the
+// state service, with their MessagePack encoding and validation. The names of the protocol
+// appear only as struct tags; identifiers use the usual terms of cluster scheduling. The
+// package makes no calls: the clients are in other packages. Messages between controllers
+// are defined in peer.fbs; package peer encodes them.
 package wire
 
 // Limits of the protocol.
 const (
-	MaxBody  = 64 << 10
-	MaxTasks = 100_000
+	MaxBody  = 64 << 10 // bytes of a request body
+	MaxTasks = 100_000  // tasks of a job
 )
 
-// Kinds of job.
+// Kinds of jobs.
 const (
 	KindArray   = "array"
 	KindGang    = "ensemble"
 	KindService = "daemon"
 )
 
-// Job is a submission, as a user sends it.
+// Job is a job as a user submits it. CPUs, GPUs and MemoryGB are those of one task;
+// Estimate, CheckpointInterval, SaveDuration and Deadline are in seconds.
 type Job struct {
 	ID                 string   `msgpack:"uid"`
 	Class              string   `msgpack:"skein"`
@@ -29,19 +32,19 @@
 	MemoryGB           float64  `msgpack:"mem_gb"`
 	Image              string   `msgpack:"pattern"`
 	ImageGB            float64  `msgpack:"pull_gb"`
-	Types              []string `msgpack:"looms"`
-	Zone               string   `msgpack:"bolt,omitempty"`
-	OneZone            bool     `msgpack:"together"`
-	Spread             bool     `msgpack:"apart"`
-	Spot               bool     `msgpack:"remnant"`
-	Estimate           float64  `msgpack:"expect_s"`
-	CheckpointInterval float64  `msgpack:"knot_s"`
-	SaveDuration       float64  `msgpack:"tie_s"`
-	Deadline           *float64 `msgpack:"due_s"`
-	DependsOn          []string `msgpack:"awaits,omitempty"` // jobs that must be done first
+	Types              []string `msgpack:"looms"`            // allowed machine types; empty for all
+	Zone               string   `msgpack:"bolt,omitempty"`   // the only allowed zone; empty for all
+	OneZone            bool     `msgpack:"together"`         // all tasks run in the same zone
+	Spread             bool     `msgpack:"apart"`            // at most half of the tasks run in one zone
+	Spot               bool     `msgpack:"remnant"`          // spot machines are allowed
+	Estimate           float64  `msgpack:"expect_s"`         // estimated run time of a task
+	CheckpointInterval float64  `msgpack:"knot_s"`           // 0: the tasks write no checkpoints
+	SaveDuration       float64  `msgpack:"tie_s"`            // time that a task needs to save its state when it is stopped
+	Deadline           *float64 `msgpack:"due_s"`            // time after the submission; nil for none
+	DependsOn          []string `msgpack:"awaits,omitempty"` // jobs that must be done before this job starts
 }
 
-// Phases of a job, as users see them.
+// Phases of a job in JobStatus.
 const (
 	PhaseQueued    = "queued"
 	PhaseRunning   = "running"
@@ -49,25 +52,25 @@
 	PhaseCancelled = "aborted"
 )
 
-// JobStatus answers submissions, queries and cancellations.
+// JobStatus is the answer to submissions, status queries and cancellations.
 type JobStatus struct {
 	ID      string `msgpack:"uid"`
 	Phase   string `msgpack:"phase"`
-	Done    int    `msgpack:"done"`
-	Running int    `msgpack:"running"`
+	Done    int    `msgpack:"done"`    // number of tasks
+	Running int    `msgpack:"running"` // number of tasks
 }
 
-// Problem is the body of an answer that refuses something.
+// Problem is the body of an error response.
 type Problem struct {
 	Error string `msgpack:"error"`
 }
 
 // States of a task on a machine.
 const (
-	TaskFetching = "fetching"
-	TaskWaiting  = "gathering"
+	TaskFetching = "fetching"  // the machine fetches the image
+	TaskWaiting  = "gathering" // the task waits for the other tasks of its gang
 	TaskRunning  = "running"
-	TaskSaving   = "saving"
+	TaskSaving   = "saving" // the task saves its state before it stops
 	TaskExited   = "exited"
 )
 
@@ -75,24 +78,26 @@
 const (
 	CauseDone           = "done"
 	CauseStopped        = "halted"
-	CausePeersLost      = "peers"
-	CauseGangIncomplete = "incomplete"
+	CausePeersLost      = "peers"      // other tasks of the gang ended
+	CauseGangIncomplete = "incomplete" // the gang was not complete in time
 	CauseError          = "error"
-	CauseNoCapacity     = "no_room"
-	CauseBusy           = "busy"
-	CauseUnknown        = "no_such"
+	CauseNoCapacity     = "no_room" // the task does not fit on the machine
+	CauseBusy           = "busy"    // another attempt of the task is on the machine
+	CauseUnknown        = "no_such" // the job is unknown
 )
 
-// TaskReport is one task in a worker's report.
+// TaskReport is the state of one task in a worker's report.
 type TaskReport struct {
 	Task    string `msgpack:"stitch"`
 	Attempt uint64 `msgpack:"try"`
 	State   string `msgpack:"phase"`
 	Cause   string `msgpack:"cause"`
-	Saved   bool   `msgpack:"stored"`
+	Saved   bool   `msgpack:"stored"` // the task saved its state before it stopped
 }
 
-// Report is what a worker says of itself.
+// Report is a worker's periodic report of its machine and its tasks. The session is new
+// with each start of the worker, Seq counts the reports of a session, and Token is the
+// highest fencing token that the worker has received.
 type Report struct {
 	Machine              string       `msgpack:"spindle"`
 	Addr                 string       `msgpack:"endpoint"`
@@ -102,7 +107,7 @@
 	Session              uint64       `msgpack:"spin"`
 	Seq                  uint64       `msgpack:"tick"`
 	Token                uint64       `msgpack:"baton"`
-	ReclaimNoticeSeconds *float64     `msgpack:"warn_s"`
+	ReclaimNoticeSeconds *float64     `msgpack:"warn_s"` // time until the cloud reclaims the spot machine; nil if it is not reclaimed
 	Tasks                []TaskReport `msgpack:"stitches"`
 }
 
@@ -113,53 +118,54 @@
 	OpForget = "reap"
 )
 
-// Command tells a worker what to do with one task.
+// Command is an operation of a worker on one attempt of a task.
 type Command struct {
 	Op           string   `msgpack:"verb"`
 	Task         string   `msgpack:"stitch"`
 	Attempt      uint64   `msgpack:"try"`
-	GraceSeconds *float64 `msgpack:"ease_s,omitempty"`
+	GraceSeconds *float64 `msgpack:"ease_s,omitempty"` // time that a stopped task has to save its state
 }
 
-// ReportAnswer answers a worker's report.
+// ReportAnswer is the leader's answer to a worker's report.
 type ReportAnswer struct {
 	Token    uint64    `msgpack:"baton"`
 	Commands []Command `msgpack:"orders"`
 }
 
-// Orders are commands sent straight to a worker; it executes them only if both
-// its session and its highest token match.
+// Orders is a command batch sent directly to a worker. The worker executes it only if its
+// session and its highest token match those of the batch.
 type Orders struct {
 	Token    uint64    `msgpack:"baton"`
 	Session  uint64    `msgpack:"spin"`
 	Commands []Command `msgpack:"orders"`
 }
 
-// Redirect sends a worker to the node in charge.
+// Redirect names the node that a worker is to report to.
 type Redirect struct {
-	ReportTo string `msgpack:"foreman,omitempty"`
+	ReportTo string `msgpack:"foreman,omitempty"` // address; empty if unknown
 }
 
-// MachineType is an entry of the cloud's catalogue.
+// MachineType is an entry of the cloud's catalog.
 type MachineType struct {
 	Name      string   `msgpack:"name"`
 	CPUs      float64  `msgpack:"cores"`
 	GPUs      float64  `msgpack:"accelerators"`
 	MemoryGB  float64  `msgpack:"mem_gb"`
 	CacheGB   float64  `msgpack:"cache_gb"`
-	FetchRate float64  `msgpack:"pull_gb_per_s"`
+	FetchRate float64  `msgpack:"pull_gb_per_s"` // GB per second
 	Price     float64  `msgpack:"rate"`
 	SpotPrice float64  `msgpack:"spot_price"`
-	BootTime  float64  `msgpack:"ready_s"`
+	BootTime  float64  `msgpack:"ready_s"` // seconds
 	Zones     []string `msgpack:"bolts"`
 }
 
-// Catalog lists what the cloud rents.
+// Catalog lists the machine types that the cloud rents.
 type Catalog struct {
 	Types []MachineType `msgpack:"looms"`
 }
 
-// RentRequest rents machines; Request names it for ever.
+// RentRequest rents Count machines. RequestID identifies the request permanently, so that
+// a repeated request rents no further machines.
 type RentRequest struct {
 	RequestID string `msgpack:"bid"`
 	Type      string `msgpack:"loom"`
@@ -168,7 +174,7 @@
 	Count     int    `msgpack:"number"`
 }
 
-// MachineNames names machines, in answers to rentals and in releases.
+// MachineIDs lists machines, in answers to rentals and in releases.
 type MachineIDs struct {
 	Machines []string `msgpack:"spindles"`
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if err := Decode([]byte{0x91, 0xc0}, &Report{}); err != ErrNotMap {
-		t.Errorf("a list: %v", err)
+		t.Errorf("decoding an array: %v, want %v", err, ErrNotMap)
 	}
 }
 
@@ -86,17 +86,17 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		j, err := DecodeJob(body)
 		if id := SubmittedID(body); err == nil && id != j.ID || id != "" && !ValidID(id) {
-			t.Fatalf("submitted as %q, decoded as %+v", id, j)
+			t.Fatalf("SubmittedID returned %q, DecodeJob returned %+v", id, j)
 		}
 		if err != nil {
 			return
 		}
 		if n := JSONSize(body); n < len(body)/2 {
-			t.Fatalf("%d bytes counted as %d", len(body), n)
+			t.Fatalf("JSONSize of %d bytes: %d", len(body), n)
 		}
 		again, err := DecodeJob(Encode(j))
 		if err != nil || again.ID != j.ID || again.Tasks != j.Tasks || !slices.Equal(again.DependsOn, j.DependsOn) {
-			t.Fatalf("%+v does not survive: %v", j, err)
+			t.Fatalf("%+v is not the same after encoding and decoding: %v", j, err)
 		}
 	})
 }
@@ -105,13 +105,13 @@
 	f.Add(Encode(&Report{Machine: "m-1", Type: "t", Session: 1, Tasks: []TaskReport{{Task: "req-000001/0"}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if r, err := DecodeReport(body); err == nil && r.Machine == "" {
-			t.Fatal("a report of nobody")
+			t.Fatal("accepted a report without a machine")
 		}
 	})
 }
 
-// TestJSONSize compares with the JSON that the sizes are counted in: no white
-// space, decimal numbers with a point.
+// TestJSONSize compares sizes with literal JSON: no white space, floating-point numbers
+// with a decimal point.
 func TestJSONSize(t *testing.T) {
 	for _, c := range []struct {
 		value any
@@ -157,6 +157,6 @@
 	}
 	plain, _ := DecodeJob(encode(t, submission()))
 	if bytes.Contains(Encode(plain), []byte("awaits")) {
-		t.Error("a job that awaits nothing is not written as before")
+		t.Error("the encoding of a job without dependencies has the field awaits, which older versions do not write")
 	}
 }
