--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,5 @@
-// Package cloud is the client of the cloud's interface.
+// Package cloud is the client of the cloud's API, which rents, releases and lists machines.
+// It does not retry and does not limit the request rate; the caller does.
 package cloud
 
 import (
@@ -14,44 +15,45 @@
 	"lilacthread/wire"
 )
 
-// HTTP is the cloud over the network; post runs a function on the owner
-// goroutine.
+// HTTPClient calls the cloud's API over HTTP. It calls post to run the completion functions
+// on the owner goroutine.
 type HTTPClient struct {
 	client *rpc.Client
 	post   func(func())
 }
 
-// NewHTTP makes a client of the cloud at addr.
+// NewHTTPClient returns a client of the cloud at addr (host:port).
 func NewHTTPClient(addr string, post func(func())) *HTTPClient {
 	return &HTTPClient{client: rpc.New(addr), post: post}
 }
 
-const timeout = 5 * time.Second
+const requestTimeout = 5 * time.Second
 
-func call[T any](h *HTTPClient, method, path string, in any, done func(store.Outcome, *T)) {
+// call sends a request in the background and maps the response to an Outcome.
+func call[T any](h *HTTPClient, method, path string, request any, done func(store.Outcome, *T)) {
 	go func() {
-		out := new(T)
-		status, raw, _, err := h.client.Call(method, path, in, out, timeout)
-		o := store.Unknown
+		answer := new(T)
+		status, body, _, err := h.client.Call(method, path, request, answer, requestTimeout)
+		outcome := store.Unknown
 		switch {
 		case errors.Is(err, rpc.ErrNotSent):
-			o = store.Refused
+			outcome = store.Refused
 		case err != nil:
 		case status == http.StatusOK:
-			o = store.OK
+			outcome = store.OK
 		case status == http.StatusServiceUnavailable:
-			o = store.Refused
-			var p wire.Problem
-			if wire.Decode(raw, &p) == nil && p.Error == "no capacity" {
-				o = store.Failed
+			outcome = store.Refused
+			var problem wire.Problem
+			if wire.Decode(body, &problem) == nil && problem.Error == "no capacity" {
+				outcome = store.Failed
 			}
 		case status >= 400 && status < 500:
-			o = store.Refused
+			outcome = store.Refused
 		}
-		if o != store.OK {
-			slog.Debug("cloud", "path", path, "status", status, "err", err)
+		if outcome != store.OK {
+			slog.Debug("cloud request failed", "path", path, "status", status, "err", err)
 		}
-		h.post(func() { done(o, out) })
+		h.post(func() { done(outcome, answer) })
 	}()
 }
 
@@ -60,23 +62,24 @@
 	call(h, http.MethodGet, "/catalog", nil, done)
 }
 
-// Rent rents machines.
-func (h *HTTPClient) Rent(r *wire.RentRequest, done func(store.Outcome, []string)) {
-	call(h, http.MethodPost, "/machines", r, func(o store.Outcome, n *wire.MachineIDs) { done(o, n.Machines) })
+// Rent rents machines and passes their ids to done. The outcome is Failed if the cloud has
+// no capacity of the requested type and zone.
+func (h *HTTPClient) Rent(request *wire.RentRequest, done func(store.Outcome, []string)) {
+	call(h, http.MethodPost, "/machines", request, func(outcome store.Outcome, answer *wire.MachineIDs) { done(outcome, answer.Machines) })
 }
 
-// Release returns machines.
+// Release releases machines to the cloud.
 func (h *HTTPClient) Release(ids []string, done func(store.Outcome)) {
-	type none struct{}
+	type emptyAnswer struct{}
 	call(h, http.MethodPost, "/machines/release", &wire.MachineIDs{Machines: ids},
-		func(o store.Outcome, _ *none) { done(o) })
+		func(outcome store.Outcome, _ *emptyAnswer) { done(outcome) })
 }
 
-// List reads a page of machines.
+// List reads a page of at most limit rented machines that follow after.
 func (h *HTTPClient) List(after string, limit int, done func(store.Outcome, *wire.MachineList)) {
-	q := url.Values{"limit": {strconv.Itoa(limit)}}
+	query := url.Values{"limit": {strconv.Itoa(limit)}}
 	if after != "" {
-		q.Set("since", after)
+		query.Set("since", after)
 	}
-	call(h, http.MethodGet, "/machines?"+q.Encode(), nil, done)
+	call(h, http.MethodGet, "/machines?"+query.Encode(), nil, done)
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,5 +1,6 @@
-// Package rpc makes MessagePack calls over HTTP/1.1 for the clients of the
-// state service, the cloud and the users' command line.
+// Package rpc sends MessagePack requests over HTTP/1.1 for the clients of the state
+// service, the cloud, the workers and the users' interface. It does not retry. Messages
+// between controllers use package peer instead.
 package rpc
 
 import (
@@ -14,15 +15,15 @@
 	"lilacthread/wire"
 )
 
-// Client calls one server.
+// Client sends requests to one server.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
-// New makes a client of the server at addr (host and port).
+// New returns a client of the server at addr (host:port) that reuses connections.
 func New(addr string) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{
+	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 			MaxIdleConnsPerHost: 16,
@@ -33,53 +34,54 @@
 	}}
 }
 
-// NewOnce makes a client that uses a connection for one call only.
+// NewSingleUse returns a client that makes a new connection for each call.
 func NewSingleUse(addr string) *Client {
 	c := New(addr)
-	c.http.Transport.(*http.Transport).DisableKeepAlives = true
+	c.httpClient.Transport.(*http.Transport).DisableKeepAlives = true
 	return c
 }
 
-// Close closes the connections that are not in use.
-func (c *Client) Close() { c.http.CloseIdleConnections() }
+// Close closes idle connections.
+func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// ErrNotSent means that no connection was made, so nothing was executed.
+// ErrNotSent means that the request was not sent, so the server executed nothing.
 var ErrNotSent = errors.New("not sent")
 
-// maxAnswer bounds answers; those of a watch have no limit of their own.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds the size of an answer. The protocol sets no limit for answers to a watch.
+const maxAnswerBytes = 16 << 20
 
-// Call sends in (nil: no body) and decodes the answer into out if the status
-// is 200 or 201. The status is 0 when no valid answer came.
-func (c *Client) Call(method, path string, in, out any, timeout time.Duration) (int, []byte, http.Header, error) {
+// Call sends message, or no body if message is nil. If the status is 200 or 201 and answer
+// is not nil, it decodes the response into answer. It returns the status, the body and the
+// header of the response; the status is 0 if there was no valid response.
+func (c *Client) Call(method, path string, message, answer any, timeout time.Duration) (int, []byte, http.Header, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var body io.Reader
-	if in != nil {
-		body = bytes.NewReader(wire.Encode(in))
+	if message != nil {
+		body = bytes.NewReader(wire.Encode(message))
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return 0, nil, nil, errors.Join(ErrNotSent, err)
 	}
 	req.Header.Set("Content-Type", "application/msgpack")
-	res, err := c.http.Do(req)
+	res, err := c.httpClient.Do(req)
 	if err != nil {
-		var op *net.OpError
-		if errors.As(err, &op) && op.Op == "dial" {
+		var opErr *net.OpError
+		if errors.As(err, &opErr) && opErr.Op == "dial" {
 			err = errors.Join(ErrNotSent, err)
 		}
 		return 0, nil, nil, err
 	}
 	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	answerBody, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	if out != nil && (res.StatusCode == http.StatusOK || res.StatusCode == http.StatusCreated) {
-		if err := wire.Decode(raw, out); err != nil {
-			return 0, raw, nil, err
+	if answer != nil && (res.StatusCode == http.StatusOK || res.StatusCode == http.StatusCreated) {
+		if err := wire.Decode(answerBody, answer); err != nil {
+			return 0, answerBody, nil, err
 		}
 	}
-	return res.StatusCode, raw, res.Header, nil
+	return res.StatusCode, answerBody, res.Header, nil
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -18,85 +18,89 @@
 	"lilacthread/wire"
 )
 
-// cutOff is the world of a node that reaches nobody.
-type cutOff struct{}
+// unreachableEnv is the environment of a node that reaches neither peers, workers, the state service
+// nor the cloud.
+type unreachableEnv struct{}
 
-func (cutOff) Now() clock.Micros                                                { return 0 }
-func (cutOff) Wall() clock.Micros                                               { return 0 }
-func (cutOff) After(clock.Micros, func())                                       {}
-func (cutOff) Call(_ string, _ *peer.Msg, _ clock.Micros, done func(*peer.Msg)) { done(nil) }
-func (cutOff) SendOrders(_ string, _ *wire.Orders, done func(store.Outcome, *wire.Report)) {
+func (unreachableEnv) Now() clock.Micros                                                { return 0 }
+func (unreachableEnv) Wall() clock.Micros                                               { return 0 }
+func (unreachableEnv) After(clock.Micros, func())                                       {}
+func (unreachableEnv) Call(_ string, _ *peer.Msg, _ clock.Micros, done func(*peer.Msg)) { done(nil) }
+func (unreachableEnv) SendOrders(_ string, _ *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	done(store.Refused, nil)
 }
-func (cutOff) ConnectionUsage() float64 { return 0 }
-func (cutOff) State() store.Service     { return noState{} }
-func (cutOff) Cloud() controller.Cloud  { return noCloud{} }
+func (unreachableEnv) ConnectionUsage() float64 { return 0 }
+func (unreachableEnv) State() store.Service     { return unreachableState{} }
+func (unreachableEnv) Cloud() controller.Cloud  { return unreachableCloud{} }
 
-type noState struct{}
+type unreachableState struct{}
 
-func (noState) List(_, _ string, _ int, done func(store.Outcome, *wire.ItemList)) {
+func (unreachableState) List(_, _ string, _ int, done func(store.Outcome, *wire.ItemList)) {
 	done(store.Refused, &wire.ItemList{})
 }
-func (noState) Get(_ string, done func(store.Outcome, *wire.Item)) { done(store.Refused, &wire.Item{}) }
-func (noState) Txn(_ *wire.Txn, done func(store.Outcome, *wire.TxnAnswer)) {
+func (unreachableState) Get(_ string, done func(store.Outcome, *wire.Item)) {
+	done(store.Refused, &wire.Item{})
+}
+func (unreachableState) Txn(_ *wire.Txn, done func(store.Outcome, *wire.TxnAnswer)) {
 	done(store.Refused, &wire.TxnAnswer{})
 }
-func (noState) Grant(_ int64, done func(store.Outcome, uint64)) { done(store.Refused, 0) }
-func (noState) Renew(_ uint64, done func(store.Outcome))        { done(store.Refused) }
-func (noState) Revoke(_ uint64, done func(store.Outcome))       { done(store.Refused) }
-func (noState) Watch(string, uint64, int64, func(store.Outcome, *wire.WatchAnswer)) {
+func (unreachableState) Grant(_ int64, done func(store.Outcome, uint64)) { done(store.Refused, 0) }
+func (unreachableState) Renew(_ uint64, done func(store.Outcome))        { done(store.Refused) }
+func (unreachableState) Revoke(_ uint64, done func(store.Outcome))       { done(store.Refused) }
+func (unreachableState) Watch(string, uint64, int64, func(store.Outcome, *wire.WatchAnswer)) {
 }
 
-type noCloud struct{}
+type unreachableCloud struct{}
 
-func (noCloud) Catalog(done func(store.Outcome, *wire.Catalog)) { done(store.Refused, nil) }
-func (noCloud) Rent(_ *wire.RentRequest, done func(store.Outcome, []string)) {
+func (unreachableCloud) Catalog(done func(store.Outcome, *wire.Catalog)) { done(store.Refused, nil) }
+func (unreachableCloud) Rent(_ *wire.RentRequest, done func(store.Outcome, []string)) {
 	done(store.Refused, nil)
 }
-func (noCloud) Release(_ []string, done func(store.Outcome)) { done(store.Refused) }
-func (noCloud) List(_ string, _ int, done func(store.Outcome, *wire.MachineList)) {
+func (unreachableCloud) Release(_ []string, done func(store.Outcome)) { done(store.Refused) }
+func (unreachableCloud) List(_ string, _ int, done func(store.Outcome, *wire.MachineList)) {
 	done(store.Refused, nil)
 }
 
-// TestWorkersMakeRoom: beyond their part of the sockets, workers are answered and their
-// connections closed, so that a fleet larger than the node's sockets leaves room for users.
-func TestWorkersMakeRoom(t *testing.T) {
-	s := New(&owner{}, 10)
+// TestWorkerConnectionsClosed checks that above the workers' share of the connection limit, worker
+// connections are closed after the answer. Otherwise a fleet with more machines than the node
+// has connections would leave none for users.
+func TestWorkerConnectionsClosed(t *testing.T) {
+	s := New(&testOwner{}, 10)
 	for open, want := range map[int64]string{5: "", 7: "close"} {
 		s.openConns.Store(open)
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/checkin", strings.NewReader("x")))
 		if got := w.Header().Get("Connection"); got != want {
-			t.Errorf("%d of 10 sockets: Connection %q, want %q", open, got, want)
+			t.Errorf("%d of 10 connections open: header Connection is %q, want %q", open, got, want)
 		}
 	}
 }
 
-type owner struct {
+type testOwner struct {
 	mu   sync.Mutex
 	core *controller.Core
 }
 
-func (o *owner) Post(f func()) {
+func (o *testOwner) Post(f func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	f()
 }
 
-func (o *owner) Core() *controller.Core { return o.core }
+func (o *testOwner) Core() *controller.Core { return o.core }
 
-func newOwner() *owner {
+func newTestOwner() *testOwner {
 	cfg := &config.Config{Name: "n0"}
 	cfg.Params.State.RPS, cfg.Params.State.WriteRPS, cfg.Params.Cloud.RPS = 100, 100, 1
-	o := &owner{core: controller.New(cutOff{}, cfg, policy.Default(), 1)}
+	o := &testOwner{core: controller.New(unreachableEnv{}, cfg, policy.Default(), 1)}
 	o.Post(o.core.Start)
 	return o
 }
 
-// TestShedsUsersFirst shows that with few sockets left users are turned away
-// at once while workers still reach the owner.
-func TestShedsUsersFirst(t *testing.T) {
-	s := New(newOwner(), 10)
+// TestUsersRefusedFirst checks that with few connections left, requests of users are refused at
+// once while reports of workers still reach the controller.
+func TestUsersRefusedFirst(t *testing.T) {
+	s := New(newTestOwner(), 10)
 	s.openConns.Store(9)
 	for path, want := range map[string]string{"/v2/runs/nobody": "1", "/checkin": ""} {
 		w := httptest.NewRecorder()
@@ -114,12 +118,14 @@
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v2/runs/nobody", nil))
 	if w.Code != 404 {
-		t.Errorf("below the limit: %d", w.Code)
+		t.Errorf("below the limit: status %d, want 404", w.Code)
 	}
 }
 
-func TestEdge(t *testing.T) {
-	srv := httptest.NewServer(New(newOwner(), 100))
+// TestResponses checks the status, the Retry-After header and the encoding of the answers of a
+// node that reaches no other service, also to malformed requests.
+func TestResponses(t *testing.T) {
+	srv := httptest.NewServer(New(newTestOwner(), 100))
 	defer srv.Close()
 	job := string(wire.Encode(&wire.Job{ID: "req-000001", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal",
 		Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"}))
@@ -139,7 +145,8 @@
 		{"GET", "/ready", "", 503, false},
 		{"POST", "/v2/runs", "", 400, false},
 		{"POST", "/v2/runs", "{}", 400, false},
-		// What lacks a field is 400 unless the job is known, which this node can't find out.
+		// A submission that lacks a field is answered 400 unless the job was accepted before,
+		// which this node can't find out.
 		{"POST", "/v2/runs", "\x81\xa3uid\xaareq-000001", 503, true},
 		{"POST", "/v2/runs", "\x81\xa3uid\xa5job-1", 400, false},
 		{"POST", "/v2/runs", job + "x", 400, false},
@@ -147,7 +154,8 @@
 		{"POST", "/v2/runs", job + strings.Repeat("x", wire.MaxBody), 400, false},
 		{"POST", "/checkin", "\x80", 400, false},
 		{"POST", "/checkin", "\xdf\xff\xff\xff\xff", 400, false},
-		// Nothing can be known or done here: told at once, with when to come back.
+		// The node can neither look up nor accept a job: it answers at once. Users get a
+		// Retry-After header.
 		{"POST", "/v2/runs", job, 503, true},
 		{"GET", "/v2/runs/req-000001", "", 503, true},
 		{"POST", "/v2/runs/req-000001/cancel", "", 503, true},
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,4 +1,5 @@
-// Package worker is the client of the workers' own interface.
+// Package worker is the client of the workers' HTTP interface, through which a controller
+// sends command batches directly. Workers' reports arrive through package server.
 package worker
 
 import (
@@ -11,39 +12,41 @@
 	"lilacthread/wire"
 )
 
-// HTTP sends orders over the network, each on a connection of its own: one that
-// could not be made proves that nothing was executed. Post runs a function on
-// the owner goroutine.
+// HTTPClient sends command batches to workers over HTTP. Each batch uses a new connection,
+// so that a failure to connect proves that nothing was executed. It calls post to run the
+// completion functions on the owner goroutine.
 type HTTPClient struct{ post func(func()) }
 
-// NewHTTP makes a client of all workers.
+// NewHTTPClient returns a client for all workers.
 func NewHTTPClient(post func(func())) *HTTPClient { return &HTTPClient{post: post} }
 
-const timeout = 2 * time.Second
+const ordersTimeout = 2 * time.Second
 
-// Order sends commands to the worker at addr.
+// SendOrders sends a command batch to the worker at addr (host:port). The outcome is Failed
+// if the worker executed nothing because its session or token differs. With OK and Failed,
+// done also gets the worker's report, or nil if the report can't be decoded.
 func (h *HTTPClient) SendOrders(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	go func() {
 		client := rpc.NewSingleUse(addr)
-		status, raw, _, err := client.Call(http.MethodPost, "/orders", orders, nil, timeout)
-		o := store.Unknown
+		status, body, _, err := client.Call(http.MethodPost, "/orders", orders, nil, ordersTimeout)
+		outcome := store.Unknown
 		var report *wire.Report
 		switch {
 		case errors.Is(err, rpc.ErrNotSent):
-			o = store.Refused
+			outcome = store.Refused
 		case err != nil:
 		case status == http.StatusOK:
-			o = store.OK
+			outcome = store.OK
 		case status == http.StatusConflict:
-			o = store.Failed
+			outcome = store.Failed
 		case status == http.StatusBadRequest:
-			o = store.Refused
+			outcome = store.Refused
 		}
-		if o == store.OK || o == store.Failed {
-			if report, err = wire.DecodeReport(raw); err != nil {
+		if outcome == store.OK || outcome == store.Failed {
+			if report, err = wire.DecodeReport(body); err != nil {
 				report = nil
 			}
 		}
-		h.post(func() { done(o, report) })
+		h.post(func() { done(outcome, report) })
 	}()
 }
