--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads and checks the platform's settings file.
+// Package config reads and validates the platform's settings file (JSON) and derives limits
+// of the controller from it. The operators' own settings are in package policy.
 package config
 
 import (
@@ -12,14 +13,15 @@
 	"lilacthread/internal/clock"
 )
 
-// Peer is another controller.
+// Peer is another controller of the deployment.
 type Peer struct {
 	Name string `json:"host_name"`
 	Zone string `json:"location"`
 	Addr string `json:"endpoint"`
 }
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team holds the guaranteed and the maximum resources of a team; 0 means no guarantee or no
+// limit.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -28,7 +30,9 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is one aim of the users.
+// Objective is a service-level objective. Kind says what is measured and which of the other
+// fields apply: the class of jobs, the time in seconds, the share of the jobs that have to
+// meet it, and a factor that the controller does not use.
 type Objective struct {
 	Kind   string  `json:"kind"`
 	Class  string  `json:"class"`
@@ -37,9 +41,10 @@
 	Times  float64 `json:"times"`
 }
 
-// State is the limits of the state service. Next, if given, holds those that
-// it will have from some moment after an upgrade; a limit that is missing there
-// stays as it is.
+// StateLimits are the limits of the state service: requests and writes per second, the size
+// of a value in KiB and the operations of a transaction. Next holds the limits after an
+// upgrade of the service, whose time is not known; a limit that is missing in Next does not
+// change.
 type StateLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -53,7 +58,7 @@
 	} `json:"next"`
 }
 
-// Lowest is the smaller of the present and the next limits, each for itself.
+// Lowest returns, for each limit, the smaller one of the current and the next value.
 func (s StateLimits) Lowest() StateLimits {
 	if n := s.Next; n != nil {
 		lower(&s.RPS, n.RPS)
@@ -65,16 +70,18 @@
 	return s
 }
 
-func lower[T int | float64](have, next *T) {
+// lower sets current to next if next is given and smaller.
+func lower[T int | float64](current, next *T) {
 	if next != nil {
-		*have = min(*have, *next)
+		*current = min(*current, *next)
 	}
 }
 
-// ValueBytes is the size of the largest value.
+// ValueBytes returns the greatest size of a value in bytes.
 func (s StateLimits) ValueBytes() int { return int(s.ValueKB * 1024) }
 
-// Config is the platform's settings file.
+// Config is the content of the platform's settings file. The struct tags give the names of
+// the settings, whose suffixes are their units.
 type Config struct {
 	Name       string `json:"host_name"`
 	Zone       string `json:"location"`
@@ -111,7 +118,7 @@
 	} `json:"params"`
 }
 
-// Load reads the file at path and checks it.
+// Load reads and validates the settings file at path.
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -120,7 +127,7 @@
 	return Parse(raw)
 }
 
-// Parse reads settings; the error names the first field that is wrong.
+// Parse decodes and validates settings. An error names the first field that is invalid.
 func Parse(raw []byte) (*Config, error) {
 	c := new(Config)
 	if err := json.Unmarshal(raw, c); err != nil {
@@ -132,10 +139,11 @@
 	return c, nil
 }
 
+// check validates the settings.
 func (c *Config) check() error {
-	p := &c.Params
-	texts := []struct{ name, value string }{{"host_name", c.Name}, {"location", c.Zone}}
-	for _, t := range texts {
+	params := &c.Params
+	required := []struct{ name, value string }{{"host_name", c.Name}, {"location", c.Zone}}
+	for _, t := range required {
 		if t.value == "" {
 			return fmt.Errorf("%s: missing", t.name)
 		}
@@ -146,13 +154,13 @@
 	}
 	for i, peer := range c.Peers {
 		if peer.Name == "" || peer.Name == c.Name {
-			return fmt.Errorf("peers[%d].host_name: %q is missing or this node's own", i, peer.Name)
+			return fmt.Errorf("peers[%d].host_name: %q is empty or the name of this node", i, peer.Name)
 		}
 		addrs = append(addrs, struct{ name, value string }{fmt.Sprintf("peers[%d].endpoint", i), peer.Addr})
 	}
 	for _, a := range addrs {
 		if _, err := netip.ParseAddrPort(a.value); err != nil {
-			return fmt.Errorf("%s: %q is not an address and port", a.name, a.value)
+			return fmt.Errorf("%s: %q is not an IP address and port", a.name, a.value)
 		}
 	}
 	type number struct {
@@ -160,24 +168,24 @@
 		value, min, max float64
 	}
 	numbers := []number{
-		{"params.size", float64(p.Size), 1, 99},
-		{"params.workers.report_s", p.Workers.Report, 0.05, 600},
-		{"params.workers.lease_s", p.Workers.Lease, 1, 3600},
-		{"params.workers.gang_wait_s", p.Workers.GangWait, 0, 86400},
-		{"params.workers.gang_peer_s", p.Workers.GangPeer, 0, 3600},
-		{"params.workers.cancel_s", p.Workers.Cancel, p.Workers.Lease, 86400},
-		{"params.state.rps", p.State.RPS, 1, 1e6},
-		{"params.state.write_rps", p.State.WriteRPS, 1, 1e6},
-		{"params.state.value_kb", p.State.ValueKB, 1, 1024},
-		{"params.state.txn_ops", float64(p.State.TxnOps), 4, 10000},
-		{"params.cloud.rps", p.Cloud.RPS, 0.01, 1e6},
-		{"params.cloud.list_lag_s", p.Cloud.ListLag, 0, 3600},
-		{"params.resources.cpu_share", p.Resources.CPUShare, 0.01, 1024},
-		{"params.resources.memory_mb", p.Resources.MemoryMB, 32, 1 << 24},
-		{"params.resources.fd_limit", float64(p.Resources.FDLimit), 64, 1 << 24},
-		{"params.clock_error_ms", p.ClockError, 0, 1e7},
+		{"params.size", float64(params.Size), 1, 99},
+		{"params.workers.report_s", params.Workers.Report, 0.05, 600},
+		{"params.workers.lease_s", params.Workers.Lease, 1, 3600},
+		{"params.workers.gang_wait_s", params.Workers.GangWait, 0, 86400},
+		{"params.workers.gang_peer_s", params.Workers.GangPeer, 0, 3600},
+		{"params.workers.cancel_s", params.Workers.Cancel, params.Workers.Lease, 86400},
+		{"params.state.rps", params.State.RPS, 1, 1e6},
+		{"params.state.write_rps", params.State.WriteRPS, 1, 1e6},
+		{"params.state.value_kb", params.State.ValueKB, 1, 1024},
+		{"params.state.txn_ops", float64(params.State.TxnOps), 4, 10000},
+		{"params.cloud.rps", params.Cloud.RPS, 0.01, 1e6},
+		{"params.cloud.list_lag_s", params.Cloud.ListLag, 0, 3600},
+		{"params.resources.cpu_share", params.Resources.CPUShare, 0.01, 1024},
+		{"params.resources.memory_mb", params.Resources.MemoryMB, 32, 1 << 24},
+		{"params.resources.fd_limit", float64(params.Resources.FDLimit), 64, 1 << 24},
+		{"params.clock_error_ms", params.ClockError, 0, 1e7},
 	}
-	for i, t := range p.Teams {
+	for i, t := range params.Teams {
 		name := fmt.Sprintf("params.teams[%d]", i)
 		if t.Name == "" {
 			return fmt.Errorf("%s.name: missing", name)
@@ -189,11 +197,11 @@
 			numbers = append(numbers, number{name + f.name, f.value, 0, 1e9})
 		}
 	}
-	for i, o := range p.Objectives {
+	for i, o := range params.Objectives {
 		name := fmt.Sprintf("params.objectives[%d].", i)
 		numbers = append(numbers, number{name + "within_s", o.Within, 0, 1e7}, number{name + "share", o.Share, 0, 1})
 	}
-	if n := p.State.Next; n != nil {
+	if n := params.State.Next; n != nil {
 		next := func(name string, v *float64, min, max float64) {
 			if v != nil {
 				numbers = append(numbers, number{"params.state.next." + name, *v, min, max})
@@ -212,16 +220,16 @@
 			return fmt.Errorf("%s: %v is not between %v and %v", n.name, n.value, n.min, n.max)
 		}
 	}
-	if len(p.Zones) == 0 {
+	if len(params.Zones) == 0 {
 		return fmt.Errorf("params.zones: missing")
 	}
-	if len(p.Teams) == 0 {
+	if len(params.Teams) == 0 {
 		return fmt.Errorf("params.teams: missing")
 	}
 	return nil
 }
 
-// Classes lists the classes of jobs that the objectives name.
+// Classes returns the classes of jobs that the objectives name, without repetitions.
 func (c *Config) Classes() []string {
 	var out []string
 	for _, o := range c.Params.Objectives {
@@ -232,18 +240,18 @@
 	return out
 }
 
-// ReportEvery is the workers' report interval.
+// ReportInterval returns the time between two reports of a worker.
 func (c *Config) ReportInterval() clock.Micros { return clock.FromSeconds(c.Params.Workers.Report) }
 
-// WorkerLease is the lease of a worker.
+// WorkerLease returns the duration of a worker's lease.
 func (c *Config) WorkerLease() clock.Micros { return clock.FromSeconds(c.Params.Workers.Lease) }
 
-// OrderLimit is how many orders to workers may be under way at once; so many
-// sockets are kept for them.
+// MaxCommandBatches returns how many command batches to workers may be in flight. As many
+// file descriptors are reserved for their connections.
 func (c *Config) MaxCommandBatches() int { return max(c.Params.Resources.FDLimit/16, 8) }
 
-// OwnAddr is the address that only a process on this machine can listen at, and so only
-// one at a time; empty if the settings name no machine (0.0.0.0).
+// HostAddr returns the listening address if it is specific to this machine, so that only one
+// live process can listen on it. It is empty if the settings name no host (0.0.0.0).
 func (c *Config) HostAddr() string {
 	if a, err := netip.ParseAddrPort(c.Listen); err != nil || a.Addr().IsUnspecified() {
 		return ""
@@ -251,19 +259,20 @@
 	return c.Listen
 }
 
-// Reserved is how many sockets are kept back for the state service and the cloud, whose
-// clients keep 16 open each, and for the peers, two each way.
+// ReservedConns returns how many file descriptors are reserved for the clients of the state
+// service and the cloud, which keep up to 16 connections each, for up to two connections in
+// each direction per peer, and for the other files of the process.
 func (c *Config) ReservedConns() int { return 44 + 4*len(c.Peers) }
 
-// Served is how many connections of users and workers a node takes.
+// MaxClientConns returns how many connections of users and workers a node accepts.
 func (c *Config) MaxClientConns() int {
 	return c.Params.Resources.FDLimit - c.MaxCommandBatches() - c.ReservedConns()
 }
 
-// MaxWaiting is how many submissions may wait at a node for the state service: what it
-// takes in four seconds, after which users ask again.
+// MaxQueuedSubmissions returns how many submissions may wait at a node for the state
+// service: as many as it can write in four seconds, after which users retry.
 func (c *Config) MaxQueuedSubmissions() int { return max(int(4*c.Params.State.WriteRPS), 200) }
 
-// MaxFinals is how many final states a node remembers; all are in the state service. They
-// take a fiftieth of its memory or so.
+// MaxFinalStates returns how many final job states a node caches; all of them are stored in
+// the state service. The cache takes about a fiftieth of the node's memory.
 func (c *Config) MaxFinalStates() int { return max(int(64*c.Params.Resources.MemoryMB), 1000) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,7 @@
-// Package node runs a controller on real sockets: it owns the goroutine on
-// which all scheduling state lives.
+// Package node runs a controller as a process: it connects package controller to the
+// network, the clocks and the clients of the state service, the cloud and the workers. All
+// controller state belongs to one goroutine, the owner goroutine; the other goroutines
+// pass functions to it with Node.Post. The package makes no scheduling decisions.
 package node
 
 import (
@@ -21,61 +23,62 @@
 	"lilacthread/wire"
 )
 
-// Node is one running controller.
+// Node is one running controller. It implements controller.Env and server.Owner.
 type Node struct {
-	start time.Time
-	mu    sync.Mutex // guards queue
-	queue []func()
-	wake  chan struct{}
-	core  *controller.Core
-	state *store.HTTPClient
-	cloud *cloud.HTTPClient
-	links *peer.Links
-	work  *worker.HTTPClient
-	serve *server.Server
+	start       time.Time
+	mu          sync.Mutex // guards queue
+	queue       []func()
+	wake        chan struct{}
+	core        *controller.Core
+	stateClient *store.HTTPClient
+	cloudClient *cloud.HTTPClient
+	peerLinks   *peer.Links
+	workers     *worker.HTTPClient
+	httpServer  *server.Server
 }
 
-// Run serves until a listener fails.
+// Run starts a controller and serves until a listener fails. The calling goroutine becomes
+// the owner goroutine.
 func Run(cfg *config.Config, pol *policy.Policy) error {
 	n := &Node{wake: make(chan struct{}, 1), start: time.Now()}
-	peers := map[string]string{}
+	peerAddrs := map[string]string{}
 	for _, p := range cfg.Peers {
-		peers[p.Name] = p.Addr
+		peerAddrs[p.Name] = p.Addr
 	}
-	ln, err := net.Listen("tcp4", cfg.Listen)
+	listener, err := net.Listen("tcp4", cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	peerLn, err := net.Listen("tcp4", cfg.PeerListen)
+	peerListener, err := net.Listen("tcp4", cfg.PeerListen)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	n.state = store.NewHTTPClient(cfg.Endpoints.State, n.Post)
-	n.cloud = cloud.NewHTTPClient(cfg.Endpoints.Cloud, n.Post)
-	n.links = peer.NewLinks(peers, n.Post)
-	n.work = worker.NewHTTPClient(n.Post)
-	n.serve = server.New(n, cfg.MaxClientConns())
+	n.stateClient = store.NewHTTPClient(cfg.Endpoints.State, n.Post)
+	n.cloudClient = cloud.NewHTTPClient(cfg.Endpoints.Cloud, n.Post)
+	n.peerLinks = peer.NewLinks(peerAddrs, n.Post)
+	n.workers = worker.NewHTTPClient(n.Post)
+	n.httpServer = server.New(n, cfg.MaxClientConns())
 	n.core = controller.New(n, cfg, pol, rand.Uint64())
-	failed := make(chan error, 2)
+	serveErrors := make(chan error, 2)
 	go func() {
-		failed <- peer.Serve(peerLn, func(m *peer.Msg, reply func(*peer.Msg)) {
+		serveErrors <- peer.Serve(peerListener, func(m *peer.Msg, reply func(*peer.Msg)) {
 			n.Post(func() { n.core.HandlePeerMessage(m, reply) })
 		})
 	}()
-	go func() { failed <- n.serve.Serve(ln) }()
+	go func() { serveErrors <- n.httpServer.Serve(listener) }()
 	n.Post(n.core.Start)
 	for {
 		select {
 		case <-n.wake:
 			n.drain()
-		case err := <-failed:
+		case err := <-serveErrors:
 			return err
 		}
 	}
 }
 
-// Post runs f on the owner goroutine. It never blocks, so the owner may call
-// it too.
+// Post queues f to run on the owner goroutine. It never blocks, so the owner goroutine may
+// call it too.
 func (n *Node) Post(f func()) {
 	n.mu.Lock()
 	n.queue = append(n.queue, f)
@@ -86,7 +89,7 @@
 	}
 }
 
-// drain runs what has been posted.
+// drain runs the queued functions until the queue is empty.
 func (n *Node) drain() {
 	for {
 		n.mu.Lock()
@@ -102,35 +105,35 @@
 	}
 }
 
-// Core is the controller; only the owner goroutine may use it.
+// Core returns the controller. Only the owner goroutine may use it.
 func (n *Node) Core() *controller.Core { return n.core }
 
-// Now is the steady clock.
+// Now returns the time since the start of the node on the monotonic clock.
 func (n *Node) Now() clock.Micros { return clock.Micros(time.Since(n.start).Microseconds()) }
 
-// Wall is the time of day.
+// Wall returns the wall-clock time since the Unix epoch.
 func (n *Node) Wall() clock.Micros { return clock.Micros(time.Now().UnixMicro()) }
 
-// After runs f on the owner goroutine after d.
+// After runs f on the owner goroutine after the duration d.
 func (n *Node) After(d clock.Micros, f func()) {
 	time.AfterFunc(d.Duration(), func() { n.Post(f) })
 }
 
-// Ask sends a message to a peer.
+// Call sends a message to the named peer and passes the answer, or nil on timeout, to done.
 func (n *Node) Call(name string, m *peer.Msg, timeout clock.Micros, done func(*peer.Msg)) {
-	n.links.Call(name, m, timeout.Duration(), done)
+	n.peerLinks.Call(name, m, timeout.Duration(), done)
 }
 
-// Order sends commands straight to a worker.
-func (n *Node) SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
-	n.work.SendOrders(addr, o, done)
+// SendOrders sends a command batch directly to the worker at addr.
+func (n *Node) SendOrders(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
+	n.workers.SendOrders(addr, orders, done)
 }
 
-// Sockets is the share of the connections for users and workers that is in use.
-func (n *Node) ConnectionUsage() float64 { return n.serve.ConnectionUsage() }
+// ConnectionUsage returns the share of the connections for users and workers that is in use.
+func (n *Node) ConnectionUsage() float64 { return n.httpServer.ConnectionUsage() }
 
-// State is the state service.
-func (n *Node) State() store.Service { return n.state }
+// State returns the client of the state service.
+func (n *Node) State() store.Service { return n.stateClient }
 
-// Cloud is the cloud.
-func (n *Node) Cloud() controller.Cloud { return n.cloud }
+// Cloud returns the client of the cloud.
+func (n *Node) Cloud() controller.Cloud { return n.cloudClient }
