--- a/deploy/admission.star
+++ b/deploy/admission.star
@@ -1,3 +1,3 @@
-# Admission under overload, switched on; see docs/admission.md. Any name of the
-# policy may be set here too.
+# Enables admission control under overload; see docs/admission.md. Other names of the policy
+# may be set here too.
 admission = True
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,5 +1,6 @@
-// Package deploy holds the files that switch on what is new: policy programs that are
-// built into the service, so that a start depends on no file but the settings.
+// Package deploy holds policy programs that enable optional features. They are embedded in
+// the binary, so that a start needs no file besides the settings. Package policy parses
+// them.
 package deploy
 
 import (
@@ -11,20 +12,21 @@
 //go:embed *.star
 var files embed.FS
 
-// Policy gives the program NAME.star, and the name under which it is reported.
+// Policy returns the policy program NAME.star and the file name that error messages use for
+// it.
 func Policy(name string) (file, program string, err error) {
 	file = name + ".star"
 	text, err := files.ReadFile(file)
 	if err != nil {
-		return "", "", fmt.Errorf("--with %s: there is no such file in deploy; known: %s", name, strings.Join(Names(), ", "))
+		return "", "", fmt.Errorf("--with %s: no such policy program; known: %s", name, strings.Join(Names(), ", "))
 	}
 	return "deploy/" + file, string(text), nil
 }
 
-// Names lists the programs.
+// Names returns the names of the policy programs.
 func Names() []string {
 	var names []string
-	entries, _ := files.ReadDir(".") // the embedded root can be read
+	entries, _ := files.ReadDir(".") // the root of an embed.FS is always readable
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".star"))
 	}
--- a/deploy/relay.star
+++ b/deploy/relay.star
@@ -1,4 +1,4 @@
-# Controllers that do not lead carry workers' connections where there are many workers; see
-# docs/relay.md. Any name of the policy may be set here too.
+# Enables relaying: with many workers, controllers that do not lead hold workers' connections
+# for the leader; see docs/relay.md. Other names of the policy may be set here too.
 relay = True
 relay_workers = 2000
--- a/internal/policy/default.star
+++ b/internal/policy/default.star
@@ -1,36 +1,36 @@
-# lilacthread's policy. A file given with --policy may set any of these again;
-# values are checked at start. Durations are in seconds.
+# Default policy of lilacthread. A file given with --policy may override any of these
+# settings; values are checked at start. Durations are in seconds.
 
-# Design of the two-tier paper, with DESIGN's starting values.
-cycle_s = 0.25            # at most this long from an event to a scheduling pass
-smoothing = 0.3           # weight of the latest run in an estimate
-use_window_s = 600.0      # decay of a team's use
-fetch_gb_per_s = 0.05     # fetch rate assumed before any was seen or listed
+# Scheduling.
+cycle_s = 0.25            # maximum delay from an event to the next scheduling pass
+smoothing = 0.3           # weight of the latest run in the moving average of run times and fetch rates
+use_window_s = 600.0      # time constant with which a team's past usage decays
+fetch_gb_per_s = 0.05     # fetch rate assumed until one is listed or measured
 
 # Leadership.
-leader_ttl_s = 3.0        # life of the leader key without a renewal
-margin_s = 0.5            # added to every lease bound, beyond clock drift
+leader_ttl_s = 3.0        # time to live of the leader key without a renewal
+margin_s = 0.5            # added to every lease bound, in addition to clock drift
 
 # Machines.
-idle_s = 10.0             # an idle machine is kept this long
-boot_factor = 3.0         # times the listed boot time before a boot is given up
-silent_reports = 4.0      # missed reports before a silent machine is returned
-headroom = 1.0            # times the services expected during one boot
-sick_errors = 2           # failures in a row before a machine is returned
-refused_s = 20.0          # a refused type, zone and kind is tried again after
-spot_wait_s = 5.0         # expected wait that justifies a spot machine
-move_period_s = 600.0     # a replica moves once in this time on average at most
-emptying = 0.05           # share of the machines, and two, that may empty at once
-begin_s = 150.0           # work that has not begun by then goes before all but production; 0: never
-patience_s = 60.0         # jobs this much younger may go first where their image is
+idle_s = 10.0             # an idle machine is released after this time
+boot_factor = 3.0         # a machine that is not up after this multiple of the listed boot time is released
+silent_reports = 4.0      # report intervals without a report before a machine is released
+headroom = 1.0            # capacity kept free, as a multiple of the services expected during one boot time
+sick_errors = 2           # consecutive task failures before a machine is drained
+refused_s = 20.0          # wait before a machine type, zone and kind without capacity is rented again
+spot_wait_s = 5.0         # a spot machine is rented if the wait exceeds half its boot time by this
+move_period_s = 600.0     # minimum average time between two moves of a service replica
+emptying = 0.05           # share of the machines, plus two machines, that may drain at the same time
+begin_s = 150.0           # work that has not started by then goes before all but production; 0: never
+patience_s = 60.0         # a job may go before jobs that are older by up to this, where its image is cached
 
 # Admission under overload.
-admission = False         # off: whoever is first in the queue's order goes first
-serve = 0.4               # part of each account's jobs that is served in time first
-class_serve = {}          # of a class: its part instead
-answer_s = 1.0            # a submission that would wait longer is told when to come back
-overload_s = 0.0          # overload begins when waiting work takes this long; 0: by the aims
+admission = False         # False: jobs start in queue order, without shares per account
+serve = 0.4               # share of each account's jobs that is served in time before all others
+class_serve = {}          # class name to the share that replaces serve for the class
+answer_s = 1.0            # a submission that would wait longer is refused with a time to retry
+overload_s = 0.0          # backlog of work at which overload begins; 0: derived from the objectives
 
 # Relaying of workers' reports.
-relay = False             # off: all workers report to the leader
-relay_workers = 2500      # from so many workers on, the other controllers carry their connections
+relay = False             # False: all workers report to the leader
+relay_workers = 2500      # number of workers from which other controllers hold workers' connections
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -7,6 +7,8 @@
 	"lilacthread/internal/clock"
 )
 
+// TestParse checks that programs override the defaults and each other, and that the error for
+// an invalid program names the setting, with the file and line of its assignment.
 func TestParse(t *testing.T) {
 	if p := Default(); p.Smoothing != 0.3 || p.LeaderTTL != 3*clock.Second {
 		t.Fatalf("%+v", p)
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if err := Decode([]byte{0x91, 0xc0}, &Report{}); err != ErrNotMap {
-		t.Errorf("decoding an array: %v, want %v", err, ErrNotMap)
+		t.Errorf("decoding an array: %v, want ErrNotMap", err)
 	}
 }
 
