--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -10,7 +10,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func submission() map[string]any {
+// validSubmission returns the fields of a valid submission.
+func validSubmission() map[string]any {
 	return map[string]any{"uid": "req-000412", "skein": "train", "crew": "vision", "weave": "array", "rank": "normal",
 		"stitches": 16, "cores": 8.0, "accelerators": 1.0, "mem_gb": 64.0, "pattern": "img-07", "pull_gb": 6.2,
 		"looms": []string{"g8"}, "bolt": nil, "together": true, "apart": false, "remnant": true,
@@ -26,41 +27,45 @@
 	return b
 }
 
+// TestDecodeJob checks that a valid submission is accepted and that invalid or missing fields
+// are refused with an error that names the field.
 func TestDecodeJob(t *testing.T) {
-	j, err := DecodeJob(encode(t, submission()))
-	if err != nil || j.Tasks != 16 || *j.Deadline != 900 || j.Types[0] != "g8" {
-		t.Fatalf("%+v, %v", j, err)
+	job, err := DecodeJob(encode(t, validSubmission()))
+	if err != nil || job.Tasks != 16 || *job.Deadline != 900 || job.Types[0] != "g8" {
+		t.Fatalf("%+v, %v", job, err)
 	}
-	bad := map[string]any{"uid": "job-1", "stitches": 0, "cores": -1.0, "mem_gb": math.NaN(), "expect_s": math.Inf(1),
+	invalidFields := map[string]any{"uid": "job-1", "stitches": 0, "cores": -1.0, "mem_gb": math.NaN(), "expect_s": math.Inf(1),
 		"weave": "heap", "rank": "top", "together": 1, "looms": "g8", "skein": nil, "knot_s": "x", "due_s": -5.0, "bolt": 4}
-	for field, v := range bad {
-		m := submission()
-		m[field] = v
-		if _, err := DecodeJob(encode(t, m)); err == nil || !strings.HasPrefix(err.Error(), field+":") {
+	for field, v := range invalidFields {
+		values := validSubmission()
+		values[field] = v
+		if _, err := DecodeJob(encode(t, values)); err == nil || !strings.HasPrefix(err.Error(), field+":") {
 			t.Errorf("%s=%v: %v", field, v, err)
 		}
 	}
 	for _, field := range []string{"uid", "skein", "crew", "weave", "rank", "stitches", "cores", "accelerators", "mem_gb",
 		"pattern", "pull_gb", "together", "apart", "remnant", "expect_s", "knot_s", "tie_s"} {
-		m := submission()
-		delete(m, field)
-		if _, err := DecodeJob(encode(t, m)); err == nil {
+		values := validSubmission()
+		delete(values, field)
+		if _, err := DecodeJob(encode(t, values)); err == nil {
 			t.Errorf("%s missing: accepted", field)
 		}
 	}
-	m := submission()
-	m["stitches"] = MaxTasks + 1
-	if _, err := DecodeJob(encode(t, m)); err == nil {
+	values := validSubmission()
+	values["stitches"] = MaxTasks + 1
+	if _, err := DecodeJob(encode(t, values)); err == nil {
 		t.Error("too many tasks accepted")
 	}
 }
 
+// TestCheckRefuses checks that incomplete and hostile bodies are refused before the library
+// allocates memory for their declared lengths or recurses into them.
 func TestCheckRefuses(t *testing.T) {
-	good := encode(t, submission())
+	valid := encode(t, validSubmission())
 	for name, body := range map[string][]byte{
 		"empty":           {},
-		"cut off":         good[:len(good)-1],
-		"trailing":        append(bytes.Clone(good), 0),
+		"cut off":         valid[:len(valid)-1],
+		"trailing":        append(bytes.Clone(valid), 0),
 		"huge map":        {0xdf, 0xff, 0xff, 0xff, 0xff},
 		"huge array":      {0xdd, 0xff, 0xff, 0xff, 0xff},
 		"huge text":       {0xdb, 0xff, 0xff, 0xff, 0xff, 'a'},
@@ -78,15 +83,17 @@
 	}
 }
 
+// FuzzDecodeJob checks that DecodeJob agrees with SubmittedID, that JSONSize is not far too
+// small, and that an accepted job is the same after encoding and decoding.
 func FuzzDecodeJob(f *testing.F) {
-	f.Add(encode(f, submission()))
-	awaits := submission()
+	f.Add(encode(f, validSubmission()))
+	awaits := validSubmission()
 	awaits["awaits"] = []string{"req-000001", "req-000002"}
 	f.Add(encode(f, awaits))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		j, err := DecodeJob(body)
-		if id := SubmittedID(body); err == nil && id != j.ID || id != "" && !ValidID(id) {
-			t.Fatalf("SubmittedID returned %q, DecodeJob returned %+v", id, j)
+		job, err := DecodeJob(body)
+		if id := SubmittedID(body); err == nil && id != job.ID || id != "" && !ValidID(id) {
+			t.Fatalf("SubmittedID returned %q, DecodeJob returned %+v", id, job)
 		}
 		if err != nil {
 			return
@@ -94,13 +101,14 @@
 		if n := JSONSize(body); n < len(body)/2 {
 			t.Fatalf("JSONSize of %d bytes: %d", len(body), n)
 		}
-		again, err := DecodeJob(Encode(j))
-		if err != nil || again.ID != j.ID || again.Tasks != j.Tasks || !slices.Equal(again.DependsOn, j.DependsOn) {
-			t.Fatalf("%+v is not the same after encoding and decoding: %v", j, err)
+		decoded, err := DecodeJob(Encode(job))
+		if err != nil || decoded.ID != job.ID || decoded.Tasks != job.Tasks || !slices.Equal(decoded.DependsOn, job.DependsOn) {
+			t.Fatalf("%+v is not the same after encoding and decoding: %v", job, err)
 		}
 	})
 }
 
+// FuzzDecodeReport checks that DecodeReport accepts no report without a machine.
 func FuzzDecodeReport(f *testing.F) {
 	f.Add(Encode(&Report{Machine: "m-1", Type: "t", Session: 1, Tasks: []TaskReport{{Task: "req-000001/0"}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -132,7 +140,9 @@
 	}
 }
 
-func TestAwaits(t *testing.T) {
+// TestDependencies checks the decoding of a job's dependencies, and that a job without dependencies
+// is encoded as by versions that don't know the field.
+func TestDependencies(t *testing.T) {
 	for _, c := range []struct {
 		awaits any
 		want   []string
@@ -142,21 +152,21 @@
 		{[]string{"req-000002", "x", "req-000002"}, []string{"req-000002", "x"}, false},
 		{"req-000002", nil, true}, {[]any{"req-000002", 3}, nil, true}, {map[string]any{}, nil, true},
 	} {
-		m := submission()
-		m["awaits"] = c.awaits
-		j, err := DecodeJob(encode(t, m))
+		values := validSubmission()
+		values["awaits"] = c.awaits
+		job, err := DecodeJob(encode(t, values))
 		if c.bad {
 			if err == nil || !strings.HasPrefix(err.Error(), "awaits:") {
 				t.Errorf("%v: %v", c.awaits, err)
 			}
 			continue
 		}
-		if err != nil || !slices.Equal(j.DependsOn, c.want) {
-			t.Errorf("%v: %v, %v", c.awaits, j, err)
+		if err != nil || !slices.Equal(job.DependsOn, c.want) {
+			t.Errorf("%v: %v, %v", c.awaits, job, err)
 		}
 	}
-	plain, _ := DecodeJob(encode(t, submission()))
-	if bytes.Contains(Encode(plain), []byte("awaits")) {
-		t.Error("the encoding of a job without dependencies has the field awaits, which older versions do not write")
+	independent, _ := DecodeJob(encode(t, validSubmission()))
+	if bytes.Contains(Encode(independent), []byte("awaits")) {
+		t.Error("a job without dependencies is encoded with the field awaits")
 	}
 }
