--- a/cmd/lilacthread/main.go
+++ b/cmd/lilacthread/main.go
@@ -186,7 +186,7 @@
 
 type admissionCmd struct {
 	serviceFlags
-	JSON bool `name:"json" help:"As JSON."`
+	JSON bool `name:"json" help:"Print as JSON."`
 }
 
 func (s *admissionCmd) Run() error {
@@ -243,7 +243,7 @@
 
 type relaysCmd struct {
 	serviceFlags
-	JSON bool `name:"json" help:"As JSON."`
+	JSON bool `name:"json" help:"Print as JSON."`
 }
 
 func (c *relaysCmd) Run() error {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -18,8 +18,8 @@
 	"lilacthread/wire"
 )
 
-// unreachableEnv is the environment of a node that reaches neither peers, workers, the state service
-// nor the cloud.
+// unreachableEnv is the environment of a node that reaches neither peers, workers, the state
+// service nor the cloud.
 type unreachableEnv struct{}
 
 func (unreachableEnv) Now() clock.Micros                                                { return 0 }
--- a/wire/state.go
+++ b/wire/state.go
@@ -2,7 +2,7 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// Item is a key of the state service with its value.
+// Item is a key of the state service with its value. Version is the revision of its last write.
 type Item struct {
 	Key     string             `msgpack:"path"`
 	Value   msgpack.RawMessage `msgpack:"value"`
@@ -45,7 +45,7 @@
 	FailedGuards []string `msgpack:"failed"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest requests a lease.
 type LeaseRequest struct {
 	TTL int64 `msgpack:"ttl_ms"` // milliseconds
 }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -95,9 +95,9 @@
 	Saved   bool   `msgpack:"stored"` // the task saved its state before it stopped
 }
 
-// Report is a worker's periodic report of its machine and its tasks. The session is new
-// with each start of the worker, Seq counts the reports of a session, and Token is the
-// highest fencing token that the worker has received.
+// Report is a worker's periodic report of its machine and its tasks. Session identifies a
+// run of the worker's process, Seq counts the reports of a session, and Token is the highest
+// fencing token that the worker has received.
 type Report struct {
 	Machine              string       `msgpack:"spindle"`
 	Addr                 string       `msgpack:"endpoint"`
