--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -93,26 +93,26 @@
 		State string `json:"state"`
 	} `json:"endpoints"`
 	Params struct {
-		Size       int         `json:"size"`
+		Size       int         `json:"size"` // number of controllers
 		Zones      []string    `json:"zones"`
 		Teams      []Team      `json:"teams"`
 		Objectives []Objective `json:"objectives"`
 		Workers    struct {
-			Report   float64 `json:"report_s"`
-			Lease    float64 `json:"lease_s"`
-			GangWait float64 `json:"gang_wait_s"`
-			GangPeer float64 `json:"gang_peer_s"`
-			Cancel   float64 `json:"cancel_s"`
+			Report   float64 `json:"report_s"`    // time between two reports of a worker
+			Lease    float64 `json:"lease_s"`     // duration of a worker's lease
+			GangWait float64 `json:"gang_wait_s"` // how long a task of a gang waits for the others to start
+			GangPeer float64 `json:"gang_peer_s"` // how soon the other tasks of a gang stop after one was lost
+			Cancel   float64 `json:"cancel_s"`    // how soon after a user was notified of a cancellation no task of the job may run
 		} `json:"workers"`
 		State StateLimits `json:"state"`
 		Cloud struct {
 			RPS     float64 `json:"rps"`
-			ListLag float64 `json:"list_lag_s"`
+			ListLag float64 `json:"list_lag_s"` // how far the list of machines may lag behind
 		} `json:"cloud"`
 		Resources struct {
-			CPUShare float64 `json:"cpu_share"`
+			CPUShare float64 `json:"cpu_share"` // CPUs of this controller
 			MemoryMB float64 `json:"memory_mb"`
-			FDLimit  int     `json:"fd_limit"`
+			FDLimit  int     `json:"fd_limit"` // file descriptors
 		} `json:"resources"`
 		ClockError float64 `json:"clock_error_ms"`
 	} `json:"params"`
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -26,18 +26,18 @@
 	MaxPassDelay        clock.Micros
 	Smoothing           float64
 	UsageWindow         clock.Micros
-	DefaultFetchRate    float64
+	DefaultFetchRate    float64 // GB per second
 	LeaderTTL           clock.Micros
 	LeaseMargin         clock.Micros
 	IdleTimeout         clock.Micros
 	BootTimeoutFactor   float64
-	MaxMissedReports    float64
+	MaxMissedReports    float64 // in report intervals
 	Headroom            float64
 	UnhealthyFailures   int
 	RentRetryDelay      clock.Micros
 	SpotWaitThreshold   clock.Micros
 	ReplicaMoveInterval clock.Micros
-	MaxDrainingShare    float64
+	MaxDrainingShare    float64 // of the machines
 	ImageLocalityWindow clock.Micros
 	StartWaitLimit      clock.Micros
 	Admission           admit.Settings
