--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -1,6 +1,8 @@
-// Package scale plays a deployment of thousands of workers on one machine in real time:
-// real controller processes against the stand-ins of package sim, whose hollow workers
-// share this process, and measures what each role takes.
+// Package scale runs a load test of a deployment of up to thousands of workers on one
+// machine in real time and measures the CPU time, memory, sockets and I/O of each controller.
+// The controllers are real processes. The state service, the cloud and the workers are
+// simulated by package sim within the process of the load test, and the workers run no real
+// tasks. The package does not test scenarios in virtual time; package sim does.
 package scale
 
 import (
@@ -14,43 +16,44 @@
 	"lilacthread/wire"
 )
 
-// Scenario is what a scale run plays, read from a small text file.
+// Scenario describes a load test. Parse reads it from a text file with one setting group or
+// phase per line. Its JSON form is a part of the report.
 type Scenario struct {
 	Controllers, Workers, Zones, Teams int
-	CPUShare, MemoryMB, Sockets        float64 // of a controller
-	Report, Lease, Cancel              float64 // seconds
-	StateRPS, WriteRPS                 float64
-	CPUs, Boot                         float64 // of a machine; seconds
-	ServiceCPUs                        float64 // of the replica that keeps each machine rented
+	CPUShare, MemoryMB, Sockets        float64 // limits of one controller; CPUShare is in cores
+	Report, Lease, Cancel              float64 // of a worker, in seconds: report interval, lease, cancellation limit
+	StateRPS, WriteRPS                 float64 // limits of the state service: requests and writes per second
+	CPUs, Boot                         float64 // of a machine: CPU count and boot time in seconds
+	ServiceCPUs                        float64 // CPUs of the service replica that keeps a machine in use
 	Phases                             []Phase
 }
 
-// Phase is a part of the run with a steady load.
+// Phase is a part of the run with a constant load. A fault, if any, begins with the phase.
 type Phase struct {
 	Name                string
 	Duration            time.Duration `json:"For"`
-	StartRate           float64       `json:"Starts"` // of tasks a second
-	TasksPerJob         float64       `json:"Tasks"`  // of a job
-	RunSeconds          float64       `json:"Run"`    // of a task, seconds
-	CPUsPerTask         float64       `json:"CPUs"`   // of a task
-	UrgentJobRate       float64       `json:"Urgent"` // urgent jobs of one task a second
-	Kill                string        // "", "leader", "follower" or "each" in turn: killed as the phase begins
-	RestartDelaySeconds float64       `json:"Back"` // and started again after so many seconds
-	MachinesLost        float64       `json:"Lose"` // machines that stop as the phase begins
-	ZoneCutSeconds      float64       `json:"Cut"`  // seconds for which the first zone's workers are cut off
+	StartRate           float64       `json:"Starts"` // tasks submitted per second, apart from urgent jobs
+	TasksPerJob         float64       `json:"Tasks"`
+	RunSeconds          float64       `json:"Run"` // run time of a task
+	CPUsPerTask         float64       `json:"CPUs"`
+	UrgentJobRate       float64       `json:"Urgent"` // urgent jobs per second, of one task each
+	Kill                string        // controllers to kill and restart: "", "leader", "follower" or "each", one after the other
+	RestartDelaySeconds float64       `json:"Back"` // time from the kill of a controller to its restart
+	MachinesLost        float64       `json:"Lose"` // number of machines that crash
+	ZoneCutSeconds      float64       `json:"Cut"`  // how long workers of the first zone are partitioned from all controllers
 }
 
-// troubled reports whether something fails in the phase, so that it shows no slope.
+// hasFault reports whether the phase injects a fault. The regression excludes such phases.
 func (p *Phase) hasFault() bool { return p.Kill != "" || p.MachinesLost > 0 || p.ZoneCutSeconds > 0 }
 
-// setting is a number of a scenario with what is allowed.
+// parameter is a numeric setting of a scenario with its allowed range.
 type parameter struct {
 	name     string
 	value    *float64
 	min, max float64
 }
 
-// Parse reads a scenario; an error names the line and what is allowed.
+// Parse reads a scenario. An error about one line gives its number and the allowed values.
 func Parse(text string) (*Scenario, error) {
 	s := &Scenario{}
 	for i, line := range strings.Split(text, "\n") {
@@ -65,15 +68,16 @@
 	}
 	switch {
 	case s.Controllers == 0 || s.Workers == 0:
-		return nil, fmt.Errorf("a line controllers and a line workers are needed")
+		return nil, fmt.Errorf("both a controllers line and a workers line are required")
 	case len(s.Phases) == 0:
-		return nil, fmt.Errorf("a line phase is needed")
+		return nil, fmt.Errorf("at least one phase line is required")
 	case s.StateRPS == 0:
-		return nil, fmt.Errorf("a line state is needed")
+		return nil, fmt.Errorf("a state line is required")
 	}
 	return s, nil
 }
 
+// parseLine reads the words of one line that is not empty.
 func (s *Scenario) parseLine(words []string) error {
 	switch words[0] {
 	case "controllers":
@@ -91,7 +95,7 @@
 			{"cpus", &s.CPUs, 1, 512}, {"boot", &s.Boot, 0.1, 300}, {"service-cpus", &s.ServiceCPUs, 0.5, 512}})
 		s.Workers, s.Zones, s.Teams = int(count), int(zones), int(teams)
 		if err == nil && s.ServiceCPUs <= s.CPUs/2 {
-			return fmt.Errorf("service-cpus=%v: more than half of cpus=%v, so that each machine keeps one", s.ServiceCPUs, s.CPUs)
+			return fmt.Errorf("service-cpus=%v: must be more than half of cpus=%v, so that each machine holds one replica", s.ServiceCPUs, s.CPUs)
 		}
 		return err
 	case "state":
@@ -99,12 +103,13 @@
 	case "phase":
 		return s.parsePhase(words[1:])
 	}
-	return fmt.Errorf("%s: not one of controllers, workers, state, phase", words[0])
+	return fmt.Errorf("unknown word %q: want one of controllers, workers, state, phase", words[0])
 }
 
+// parsePhase reads the words of a phase line that follow the word phase.
 func (s *Scenario) parsePhase(words []string) error {
 	if len(words) == 0 || strings.Contains(words[0], "=") {
-		return fmt.Errorf("phase: a name is needed")
+		return fmt.Errorf("phase: name is missing")
 	}
 	p := Phase{Name: words[0], TasksPerJob: 25, RunSeconds: 8, CPUsPerTask: 1.5, RestartDelaySeconds: 0.1}
 	seconds := 0.0
@@ -116,20 +121,20 @@
 		return ok
 	})
 	if !slices.Contains([]string{"", "leader", "follower", "each"}, p.Kill) {
-		return fmt.Errorf("kill=%s: not leader, follower or each", p.Kill)
+		return fmt.Errorf("kill=%s: want leader, follower or each", p.Kill)
 	}
 	err := parseParameters(assignments, []parameter{{"for", &seconds, 1, 600}, {"starts", &p.StartRate, 0, 10000}, {"tasks", &p.TasksPerJob, 1, 100000},
 		{"run", &p.RunSeconds, 0.5, 600}, {"cpus", &p.CPUsPerTask, 0.01, 512}, {"urgent", &p.UrgentJobRate, 0, 100}, {"back", &p.RestartDelaySeconds, 0, 60},
 		{"lose", &p.MachinesLost, 0, 5000}, {"cut", &p.ZoneCutSeconds, 0, 600}})
 	if err == nil && seconds == 0 {
-		err = fmt.Errorf("for=SECONDS is needed")
+		err = fmt.Errorf("phase: for=SECONDS is required")
 	}
 	p.Duration = time.Duration(seconds * float64(time.Second))
 	s.Phases = append(s.Phases, p)
 	return err
 }
 
-// assign reads words of the form name=number.
+// parseParameters reads words of the form name=number into the listed parameters.
 func parseParameters(words []string, parameters []parameter) error {
 	for _, word := range words {
 		name, text, _ := strings.Cut(word, "=")
@@ -139,18 +144,18 @@
 			for _, s := range parameters {
 				names = append(names, s.name)
 			}
-			return fmt.Errorf("%s: not one of %s", name, strings.Join(names, ", "))
+			return fmt.Errorf("unknown parameter %q: want one of %s", name, strings.Join(names, ", "))
 		}
 		v, err := strconv.ParseFloat(text, 64)
 		if s := parameters[i]; err != nil || !(v >= s.min && v <= s.max) {
-			return fmt.Errorf("%s: not a number from %v to %v", word, s.min, s.max)
+			return fmt.Errorf("%s: want a number from %v to %v", word, s.min, s.max)
 		}
 		*parameters[i].value = v
 	}
 	return nil
 }
 
-// apply puts the scenario into the settings of the deployment.
+// applyTo writes the scenario's settings into the configuration that all controllers share.
 func (s *Scenario) applyTo(c *config.Config) {
 	c.Params.Zones = nil
 	for i := range s.Zones {
@@ -167,9 +172,10 @@
 	resources.CPUShare, resources.MemoryMB, resources.FDLimit = s.CPUShare, s.MemoryMB, int(s.Sockets)
 }
 
+// teamName returns the name of the team with the given index.
 func teamName(i int) string { return fmt.Sprintf("team-%03d", i) }
 
-// machineType is what the cloud rents: as many as the scenario has workers.
+// machineType returns the only machine type of the simulated cloud.
 func (s *Scenario) machineType(zones []string) wire.MachineType {
 	return wire.MachineType{Name: "worker", CPUs: s.CPUs, MemoryGB: 4 * s.CPUs, CacheGB: 100, FetchRate: 100, Price: 1, SpotPrice: 0.3,
 		BootTime: s.Boot, Zones: zones}
