--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -13,63 +13,66 @@
 	"lilacthread/wire"
 )
 
-// Report is the outcome of a run.
+// Report is the outcome of a run. It is stored as JSON, whose field names differ from those in
+// Go where a tag says so.
 type Report struct {
 	Scenario      *Scenario
-	RampSeconds   float64 `json:"Ramp"` // seconds until the fleet was up
+	RampSeconds   float64 `json:"Ramp"` // time until 99% of the workers were in use
 	Phases        []Result
-	Waits         map[string]Quantiles // by priority: seconds from submission to the first start
-	AcceptLatency Quantiles            `json:"Submissions"` // seconds from submission to its acceptance, retries included
-	Refused       int                  // answers that told a user to come back
-	Unfinished    int                  // users whose jobs were not done in the end
-	Violations    []string             `json:"Broken"` // rules
+	Waits         map[string]Quantiles // by priority: seconds from a job's submission to its first task start
+	AcceptLatency Quantiles            `json:"Submissions"` // seconds from a job's first submission request to its acceptance, retries included
+	Refused       int                  // submission requests that were not accepted or got no answer
+	Unfinished    int                  // jobs not accepted or not done at the end of the run; services count until accepted
+	Violations    []string             `json:"Broken"` // broken rules and failed restarts of controllers
 }
 
-// Quantiles of a distribution.
+// Quantiles summarizes a distribution. Worst is its largest value.
 type Quantiles struct {
 	Count           int64
 	P50, P99, Worst float64
 }
 
+// newQuantiles returns the quantiles of a histogram, divided by unit.
 func newQuantiles(histogram *hdrhistogram.Histogram, unit float64) Quantiles {
 	return Quantiles{histogram.TotalCount(), float64(histogram.ValueAtQuantile(50)) / unit, float64(histogram.ValueAtQuantile(99)) / unit, float64(histogram.Max()) / unit}
 }
 
-// Result is what was measured in a phase.
+// Result holds the measurements of a phase. Rates are per second; counts cover the measured
+// part of the phase.
 type Result struct {
 	Phase             string
-	Seconds           float64
-	HasFault          bool    `json:"Troubled"` // something failed in it
-	JobRate           float64 `json:"Jobs"`     // submitted a second
-	StartRate         float64 `json:"Starts"`   // of tasks a second
-	RunningTasks      int     `json:"Running"`  // tasks, at the end
-	ReportRate        float64 `json:"Reports"`  // a second
-	RedirectedReports uint64  `json:"Redirected"`
-	FailedReports     uint64  `json:"Failed"` // reports without an answer that keeps the worker
-	LeasesLost        int
-	// Of a worker, a second; bodies only.
+	Seconds           float64 // duration of the measured part
+	HasFault          bool    `json:"Troubled"`   // the phase injected a fault
+	JobRate           float64 `json:"Jobs"`       // submitted jobs
+	StartRate         float64 `json:"Starts"`     // tasks started on workers
+	RunningTasks      int     `json:"Running"`    // at the end of the phase
+	ReportRate        float64 `json:"Reports"`    // workers' reports sent
+	RedirectedReports uint64  `json:"Redirected"` // answered with the name of another controller
+	FailedReports     uint64  `json:"Failed"`     // unanswered, or answered with neither success nor a redirect
+	LeasesLost        int     // leases that expired at workers with tasks
+	// Bytes per worker and second in the bodies of reports, answers and orders.
 	WorkerBytesPerSecond float64 `json:"WorkerBytes"`
 	Controllers          []PhaseUsage
-	Harness              PhaseUsage `json:"Stand"` // this process: hollow workers, state service, cloud and users
+	Harness              PhaseUsage `json:"Stand"` // this process: simulated workers, state service, cloud and users
 }
 
-// Share is what a process took in a phase.
+// PhaseUsage is the resource usage of a process in a phase.
 type PhaseUsage struct {
 	Name  string
-	Leads bool
-	Cores float64 // mean
-	// What the slopes of earlier runs say of it; 0: none were given.
+	Leads bool    // whether the controller leads at the end of the phase
+	Cores float64 // mean number of cores in use
+	// Cores that the fits of earlier runs predict; 0 if SetExpected was not called.
 	ExpectedCores float64 `json:"Expected"`
-	CPUWait       float64 `json:"Waited"` // mean cores that it was ready for and did not get
-	ResidentMB    float64 `json:"MB"`     // resident, at the end
-	Sockets       int     // at the end
-	KBps          float64 // read and written
+	CPUWait       float64 `json:"Waited"` // mean number of threads that were ready to run but had no core
+	ResidentMB    float64 `json:"MB"`     // resident memory at the end, in MiB
+	Sockets       int     // open at the end
+	KBps          float64 // KiB read and written per second
 }
 
-// sample is a look at all processes and counts at one moment.
+// sample holds the resource usage of all processes and the counters of the run at one time.
 type sample struct {
 	at            time.Time
-	processes     []Usage // of the controllers, then this one
+	processes     []Usage // of the controllers in order, then of this process
 	submittedJobs int
 	startedTasks  int
 	runningTasks  int
@@ -77,18 +80,20 @@
 	traffic       sim.Traffic
 }
 
+// add adds the cumulative values of other to u; memory and sockets stay unchanged.
 func (u *Usage) add(other Usage) {
 	u.CPU += other.CPU
 	u.CPUWait += other.CPUWait
 	u.IOBytes += other.IOBytes
 }
 
+// takeSample reads the resource usage of all processes and the counters of the run.
 func (d *deployment) takeSample() sample {
 	s := sample{at: time.Now(), submittedJobs: int(d.users.lastJobNumber.Load())}
 	for i, p := range d.procs {
 		u := Usage{}
 		if p != nil {
-			u, _ = readUsage(p.Process.Pid) // nothing is counted for one that just ended
+			u, _ = readUsage(p.Process.Pid) // zero if the process has just exited
 		}
 		u.add(d.earlierUsage[i])
 		s.processes = append(s.processes, u)
@@ -101,7 +106,7 @@
 	return s
 }
 
-// compare gives what happened between two looks.
+// phaseResult computes the result of a phase from the samples at its start and its end.
 func (d *deployment) phaseResult(p *Phase, before, after sample) Result {
 	seconds := after.at.Sub(before.at).Seconds()
 	r := Result{Phase: p.Name, Seconds: seconds, HasFault: p.hasFault(), JobRate: float64(after.submittedJobs-before.submittedJobs) / seconds, StartRate: float64(after.startedTasks-before.startedTasks) / seconds, RunningTasks: after.runningTasks,
@@ -125,7 +130,7 @@
 	return r
 }
 
-// line is the progress line of a phase that is over.
+// progressLine returns the progress line for a finished phase; * marks the leader.
 func (r *Result) progressLine() string {
 	text := fmt.Sprintf("%s: %.0f starts/s, %d running, %.0f reports/s, %d leases lost;", r.Phase, r.StartRate, r.RunningTasks, r.ReportRate, r.LeasesLost)
 	for _, c := range r.Controllers {
@@ -138,7 +143,8 @@
 	return text
 }
 
-// waits gives the times from submission to start by priority.
+// recordWaits sets Waits from the times that the checker recorded. Jobs that did not start
+// are left out.
 func (r *Report) recordWaits(rules *sim.Checker) {
 	byPriority := map[string]*hdrhistogram.Histogram{}
 	rules.EachWait(func(job *wire.Job, submitted, started sim.Micros) {
@@ -150,7 +156,7 @@
 			h = hdrhistogram.New(1, 3_600_000, 2)
 			byPriority[job.Priority] = h
 		}
-		h.RecordValue(max(int64(started-submitted)/1000, 1)) // within the bounds
+		h.RecordValue(max(int64(started-submitted)/1000, 1)) // in milliseconds; the histogram starts at 1
 	})
 	r.Waits = map[string]Quantiles{}
 	for priority, h := range byPriority {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -17,35 +17,37 @@
 	"lilacthread/wire"
 )
 
-// Options say how a scenario is played.
+// Options configures how Run starts the controllers and where output goes.
 type Options struct {
-	Program  string   // the controller's executable
-	Args     []string // its arguments before --config
-	Progress io.Writer
-	Log      io.Writer // of the controllers
+	Program  string    // the controller's executable
+	Args     []string  // the controller's arguments before --config
+	Progress io.Writer // receives a line per phase and regular lines during the ramp-up
+	Log      io.Writer // receives the controllers' logs; nil discards them
 }
 
-// deployment is a run under way.
+// deployment holds the state of a run: the controller processes, the simulated services and
+// the users who submit jobs.
 type deployment struct {
 	*Scenario
 	Options
 	simServer    *sim.RealTimeServer
-	dir          string
+	dir          string // temporary directory of the controllers' configuration files
 	configs      []config.Config
-	procs        []*process
-	earlierUsage []Usage // of a controller's earlier processes
+	procs        []*process // by controller; nil while it is down
+	earlierUsage []Usage    // by controller: total of its processes that were killed
 	users        *users
 	report       *Report
 }
 
-// process is a controller's process.
+// process is a running controller process.
 type process struct {
 	*exec.Cmd
-	exited chan struct{} // closed when it has
+	exited chan struct{} // closed when the process has exited
 }
 
-// Run plays a scenario and ends by itself, or when ctx does. The report is given as far as
-// it came; its Broken lists the rules that did not hold.
+// Run runs a scenario to its end, or until ctx is cancelled. If the run fails after its start,
+// Run returns the incomplete report along with the error. A broken rule is not an error: the
+// report lists it in Violations.
 func Run(ctx context.Context, s *Scenario, o Options) (*Report, error) {
 	if err := s.checkHost(); err != nil {
 		return nil, err
@@ -67,7 +69,7 @@
 	return d.report, nil
 }
 
-// open starts the stand-ins and the controllers.
+// start starts the simulated services, the controllers and the users.
 func (d *deployment) start() error {
 	w := sim.NewWorld(d.Controllers, nil, 7)
 	d.applyTo(&w.Config)
@@ -105,8 +107,10 @@
 	return nil
 }
 
+// configPath returns the path of a controller's configuration file.
 func (d *deployment) configPath(i int) string { return filepath.Join(d.dir, d.configs[i].Name+".json") }
 
+// startController starts the process of a controller.
 func (d *deployment) startController(i int) error {
 	cmd := exec.Command(d.Program, append(append([]string(nil), d.Args...), "--config", d.configPath(i))...)
 	cmd.Stderr = d.Log
@@ -115,14 +119,15 @@
 	}
 	p := &process{cmd, make(chan struct{})}
 	go func() {
-		cmd.Wait() // how it ended is of no interest: none should by itself
+		cmd.Wait() // checkControllers reports an unexpected exit
 		close(p.exited)
 	}()
 	d.procs[i] = p
 	return nil
 }
 
-// watch reports a controller that ended by itself, such as one whose port was taken.
+// checkControllers returns an error if a controller exited without being killed by the run,
+// for instance because its port was in use.
 func (d *deployment) checkControllers() error {
 	for i, p := range d.procs {
 		if p == nil {
@@ -130,14 +135,15 @@
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("%s ended by itself: %v", d.configs[i].Name, p.ProcessState)
+			return fmt.Errorf("controller %s exited unexpectedly: %v", d.configs[i].Name, p.ProcessState)
 		default:
 		}
 	}
 	return nil
 }
 
-// kill ends a controller without a word; what it took counts on.
+// killController kills a controller, if it runs, with SIGKILL. The resource usage of the
+// process stays in the controller's total.
 func (d *deployment) killController(i int) {
 	p := d.procs[i]
 	if p == nil {
@@ -151,6 +157,8 @@
 	d.procs[i] = nil
 }
 
+// close stops the users, the controllers and the simulated services and removes the temporary
+// files.
 func (d *deployment) close() {
 	if d.users != nil {
 		d.users.stop()
@@ -166,17 +174,18 @@
 	}
 }
 
-// leader is the index of the controller that leads, or -1.
+// leaderIndex returns the index of the leader, or -1 if there is none.
 func (d *deployment) leaderIndex() int {
 	name := ""
 	d.simServer.WithWorld(func(w *sim.World) { name = w.State.Leader() })
 	return slices.IndexFunc(d.configs, func(c config.Config) bool { return c.Name == name })
 }
 
-// rampLimit is how long the fleet may take to come up.
+// rampTimeout limits the time in which the workers start.
 const rampTimeout = 4 * time.Minute
 
-// ramp rents the fleet: one replica of a service keeps each machine.
+// ramp submits one service replica per worker, so that the controllers rent all machines and
+// keep them, and waits until 99% of the replicas run.
 func (d *deployment) ramp(ctx context.Context) error {
 	d.users.submitServices()
 	start := time.Now()
@@ -191,7 +200,7 @@
 			return sleep(ctx, 5*time.Second)
 		}
 		if time.Since(start) > rampTimeout {
-			return fmt.Errorf("only %d of %d workers came up in %v", running, d.Workers, rampTimeout)
+			return fmt.Errorf("only %d of %d workers started within %v", running, d.Workers, rampTimeout)
 		}
 		if err := errors.Join(d.checkControllers(), sleep(ctx, time.Second)); err != nil {
 			return err
@@ -199,6 +208,7 @@
 	}
 }
 
+// sleep waits for a duration, or until ctx is done and then returns its error.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -208,7 +218,9 @@
 	}
 }
 
-// play runs one phase and measures it, but for its first seconds, in which the load grows.
+// runPhase runs one phase and adds its result to the report. The measurement excludes a warm-up
+// in which the number of running tasks still grows, except in a phase with a fault, which is
+// measured from its start.
 func (d *deployment) runPhase(ctx context.Context, p *Phase) error {
 	d.users.setPhase(p)
 	warmUp := min(p.Duration/3, time.Duration(1.5*p.RunSeconds*float64(time.Second)))
@@ -234,7 +246,8 @@
 	return nil
 }
 
-// trouble has fail what the phase says.
+// injectFaults injects the faults of a phase. It restarts no controller while there is no
+// leader.
 func (d *deployment) injectFaults(p *Phase) {
 	d.simServer.WithWorld(func(w *sim.World) {
 		w.CrashMachines(int(p.MachinesLost))
@@ -257,21 +270,23 @@
 	}
 }
 
-// betweenRestarts is the pause between controllers that are restarted in turn.
+// restartInterval is the pause after each restart when all controllers are restarted in turn.
 const restartInterval = 2 * time.Second
 
-// restart kills a controller and starts it again.
+// restartController kills a controller and starts it again after the delay of the phase. A
+// failure to start it is recorded as a violation.
 func (d *deployment) restartController(i int, p *Phase) {
 	d.killController(i)
 	time.Sleep(time.Duration(p.RestartDelaySeconds * float64(time.Second)))
 	if err := d.startController(i); err != nil {
-		d.report.Violations = append(d.report.Violations, "not started again: "+err.Error())
+		d.report.Violations = append(d.report.Violations, "controller not restarted: "+err.Error())
 	}
 }
 
-var errMemory = errors.New("the run took more than half of the machine's memory")
+var errMemory = errors.New("the run uses more than half of this machine's memory")
 
-// watchMemory ends a run that grows beyond half of the machine's memory.
+// checkMemory returns an error if this process and the controllers together use more than half
+// of the memory of the machine.
 func (d *deployment) checkMemory() error {
 	resident := residentBytes(os.Getpid())
 	for _, p := range d.procs {
@@ -285,10 +300,10 @@
 	return nil
 }
 
-// drainFor is how long users may wait for their last jobs.
+// drainTimeout limits how long the run waits, after the last phase, for jobs to finish.
 const drainTimeout = 30 * time.Second
 
-// finish lets the last jobs end and judges the run.
+// finish waits for the last jobs, runs the final checks and completes the report.
 func (d *deployment) finish() {
 	d.users.drain(drainTimeout)
 	d.simServer.WithWorld(func(w *sim.World) {
