--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -1,5 +1,6 @@
-// Command scaletest plays a deployment of thousands of workers on this machine: real
-// controllers, stand-ins for all else. See docs/CAPACITY.md.
+// Command scaletest runs load tests of a deployment of up to thousands of workers on one machine
+// and fits linear models of resource usage to their reports. The controllers are real processes;
+// workers, state service, cloud and users are simulated. See package scale and docs/CAPACITY.md.
 package main
 
 import (
@@ -19,25 +20,29 @@
 )
 
 var cli struct {
-	Run runCmd `cmd:"" help:"Play a scenario."`
-	Fit fitCmd `cmd:"" help:"Fit slopes to the JSON reports of several runs."`
+	Run runCmd `cmd:"" help:"Run the load test of a scenario and print its report."`
+	Fit fitCmd `cmd:"" help:"Fit linear models of resource usage to the JSON reports of several runs."`
 }
 
+// runCmd is the command run. It exits with code 1 if the run broke a rule, and with code 2 if it
+// failed.
 type runCmd struct {
-	Scenario string   `arg:"" type:"existingfile" help:"The scenario, as in internal/scale/testdata."`
-	Workers  int      `help:"Workers in place of the scenario's."`
-	Program  string   `type:"existingfile" help:"The controllers' executable; built from this tree by default."`
-	JSON     string   `name:"json" type:"path" help:"Write the report here as JSON too."`
-	Log      string   `type:"path" help:"Write the controllers' logs here."`
-	With     []string `default:"admission" help:"What the controllers have switched on."`
-	Policy   string   `type:"existingfile" help:"A policy for the controllers (Starlark)."`
-	Slopes   []string `type:"existingfile" help:"Reports of earlier runs, whose slopes are set beside what is measured."`
+	Scenario string   `arg:"" type:"existingfile" help:"Scenario file, as in internal/scale/testdata."`
+	Workers  int      `help:"Number of workers, in place of the scenario's."`
+	Program  string   `type:"existingfile" help:"Executable of the controllers; built from this source tree by default."`
+	JSON     string   `name:"json" type:"path" help:"Also write the report as JSON to this file."`
+	Log      string   `type:"path" help:"Write the logs of the controllers to this file."`
+	With     []string `default:"admission" help:"Optional features of the controllers to enable."`
+	Policy   string   `type:"existingfile" help:"Starlark policy file for the controllers."`
+	Slopes   []string `type:"existingfile" help:"JSON reports of earlier runs; their fits give the expected CPU usage in the report."`
 }
 
-// errBroken ends a run in which a rule did not hold with exit code 1.
-var errViolations = errors.New("rules were broken")
+// errViolations makes the command exit with code 1 after a run that broke a rule.
+var errViolations = errors.New("the run broke at least one rule, see the report")
 
-// options prepares the controllers; close removes what was made for it.
+// options returns the options of the run, and opens the log file and builds the controllers'
+// executable where needed. The caller calls cleanUp, also after an error, to close the log file
+// and to remove the executable.
 func (c *runCmd) options() (opts scale.Options, cleanUp func(), err error) {
 	opts = scale.Options{Program: c.Program, Progress: os.Stderr}
 	cleanUp = func() {}
@@ -66,12 +71,13 @@
 		}
 		opts.Program = filepath.Join(dir, "lilacthread")
 		if out, err := exec.Command("go", "build", "-o", opts.Program, "lilacthread/cmd/lilacthread").CombinedOutput(); err != nil {
-			return opts, cleanUp, fmt.Errorf("build: %w\n%s", err, out)
+			return opts, cleanUp, fmt.Errorf("build lilacthread: %w\n%s", err, out)
 		}
 	}
 	return opts, cleanUp, nil
 }
 
+// Run runs the scenario, writes the report and returns errViolations if a rule was broken.
 func (c *runCmd) Run() error {
 	text, err := os.ReadFile(c.Scenario)
 	if err != nil {
@@ -120,10 +126,12 @@
 	return nil
 }
 
+// fitCmd is the command fit.
 type fitCmd struct {
-	Reports []string `arg:"" type:"existingfile" help:"Reports of runs, of three sizes at least."`
+	Reports []string `arg:"" type:"existingfile" help:"JSON reports of runs with at least three different numbers of workers."`
 }
 
+// Run prints the coefficients fitted to the reports.
 func (c *fitCmd) Run() error {
 	fits, err := fitReports(c.Reports)
 	if err != nil {
@@ -132,7 +140,7 @@
 	return scale.PrintFits(os.Stdout, fits)
 }
 
-// slopes fits those of the reports in the files.
+// fitReports reads JSON reports from files and fits the models to their phases.
 func fitReports(files []string) ([]scale.Fit, error) {
 	var reports []*scale.Report
 	for _, name := range files {
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -9,28 +9,30 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Fit is a linear model of what a role takes, by least squares over the phases of several
-// runs.
+// Fit is a linear model of one resource of the leader or of a follower, fitted by least squares
+// to the phases of several runs.
 type Fit struct {
-	Quantity string
-	Points   int
+	Quantity string // the role, the resource and its unit
+	Points   int    // number of phases
 	Terms    []Term
-	R2       float64 // part of the variance that the model explains
+	R2       float64 // coefficient of determination
 }
 
-// Term is one slope, and its standard error.
+// Term is the coefficient of one regressor with its standard error, in the unit of the fit's
+// Quantity per unit of the regressor.
 type Term struct {
 	Regressor            string
 	Slope, StandardError float64
 }
 
-// The models whose expectation a report sets beside what was measured.
+// Quantities of the models from which SetExpected predicts CPU usage.
 const (
 	leaderCPU   = "leader, us of processor time"
 	followerCPU = "other controller, us"
 )
 
-// Expect has the report show what slopes that were measured before say of each phase.
+// SetExpected sets the ExpectedCores of each controller in each phase from the fits of earlier
+// runs.
 func (r *Report) SetExpected(fits []Fit) {
 	for i := range r.Phases {
 		p := &r.Phases[i]
@@ -44,7 +46,7 @@
 	}
 }
 
-// expected is what a model says of a phase.
+// expectedValue returns the value that the fit of the quantity model predicts for a phase.
 func expectedValue(fits []Fit, model string, r *Report, p *Result) float64 {
 	sum := 0.0
 	for _, f := range fits {
@@ -59,12 +61,13 @@
 	return sum
 }
 
-// regressor is something that the load is made of.
+// regressor is an independent variable of the regression: a component of the load.
 type regressor struct {
 	name  string
 	value func(r *Report, p *Result) float64
 }
 
+// The regressors, named after their units.
 var (
 	intercept    = regressor{"process", func(*Report, *Result) float64 { return 1 }}
 	workerCount  = regressor{"worker", func(r *Report, _ *Result) float64 { return float64(r.Scenario.Workers) }}
@@ -74,7 +77,7 @@
 	runningTasks = regressor{"running task", func(_ *Report, p *Result) float64 { return float64(p.RunningTasks) }}
 )
 
-// leader and follower pick a controller's share of a phase, or the mean of several.
+// leaderUsage returns a metric of the leader in a phase, or NaN if there was no leader.
 func leaderUsage(p *Result, metric func(PhaseUsage) float64) float64 {
 	for _, c := range p.Controllers {
 		if c.Leads {
@@ -84,6 +87,8 @@
 	return math.NaN()
 }
 
+// meanFollowerUsage returns the mean of a metric over the followers in a phase, or NaN if there
+// were none.
 func meanFollowerUsage(p *Result, metric func(PhaseUsage) float64) float64 {
 	sum, n := 0.0, 0.0
 	for _, c := range p.Controllers {
@@ -94,15 +99,15 @@
 	return sum / n
 }
 
-// Fits gives the slopes that the reports show. Phases in which something failed are
-// left out: a takeover is no slope.
+// Fits fits all models to the phases of the reports. Phases with a fault are excluded, since
+// the usage during a takeover or a restart does not grow linearly with the load.
 func Fits(reports []*Report) ([]Fit, error) {
-	cpuMicros := func(s PhaseUsage) float64 { return s.Cores * 1e6 } // in us a second
+	cpuMicros := func(s PhaseUsage) float64 { return s.Cores * 1e6 } // microseconds per second
 	residentKB := func(s PhaseUsage) float64 { return s.ResidentMB * 1024 }
 	ioBytes := func(s PhaseUsage) float64 { return s.KBps * 1024 }
 	sockets := func(s PhaseUsage) float64 { return float64(s.Sockets) }
-	// Workers are no term beside reports: each reports at a steady rate, so the two can't be
-	// told apart.
+	// No model has both the number of workers and the report rate: each worker reports at a
+	// constant rate, so the two are collinear.
 	models := []struct {
 		quantity   string
 		value      func(*Result) float64
@@ -142,11 +147,12 @@
 	return fits, nil
 }
 
-// solve is ordinary least squares with the usual standard errors.
+// leastSquares fits a model by ordinary least squares. Each row holds the values of the
+// regressors for one observation.
 func leastSquares(quantity string, regressors []regressor, rows [][]float64, observed []float64) (*Fit, error) {
 	n, k := len(rows), len(regressors)
 	if n <= k {
-		return nil, fmt.Errorf("%d phases for %d slopes", n, k)
+		return nil, fmt.Errorf("%d phases are too few for %d coefficients", n, k)
 	}
 	x, y := mat.NewDense(n, k, nil), mat.NewVecDense(n, observed)
 	for i, row := range rows {
@@ -175,7 +181,7 @@
 	return fit, nil
 }
 
-// PrintFits writes slopes as a table.
+// PrintFits writes the coefficients of the fits as a table.
 func PrintFits(out io.Writer, fits []Fit) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "what\tper\tslope\tstandard error\tphases\tR2")
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -16,8 +16,9 @@
 	"lilacthread/wire"
 )
 
-// Scenario describes a load test. Parse reads it from a text file with one setting group or
-// phase per line. Its JSON form is a part of the report.
+// Scenario describes a load test. In its text form, which Parse reads, each line gives a phase
+// or the settings of the controllers, the workers or the state service. Its JSON form is a part
+// of the report.
 type Scenario struct {
 	Controllers, Workers, Zones, Teams int
 	CPUShare, MemoryMB, Sockets        float64 // limits of one controller; CPUShare is in cores
--- a/internal/scale/testdata/relay.star
+++ b/internal/scale/testdata/relay.star
@@ -1,3 +1,3 @@
-# Relaying from the first worker on, for small runs.
+# Followers relay workers' connections already from one worker on, for small runs.
 relay = True
 relay_workers = 1
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -11,19 +11,22 @@
 	"time"
 )
 
-// Usage is what a process has taken since its start, and holds now.
+// Usage is the resource usage of a process: CPU time and I/O since its start, and the memory
+// and sockets that it holds now.
 type Usage struct {
-	CPU      time.Duration // user and system
-	CPUWait  time.Duration // ready to run, but without a core
-	Resident int64         // bytes
-	Sockets  int
-	IOBytes  int64 // bytes read and written
+	CPU      time.Duration // user and system time
+	CPUWait  time.Duration // time its present threads were ready to run but had no core
+	Resident int64         // bytes of resident memory
+	Sockets  int           // open sockets
+	IOBytes  int64         // bytes read and written by system calls, sockets included
 }
 
-// ticksPerSecond is the unit of processor time in /proc, fixed by Linux for user space.
+// ticksPerSecond is the rate of the clock ticks in which /proc gives CPU time. Linux fixes it
+// at 100 for user space.
 const ticksPerSecond = 100
 
-// usageOf reads the kernel's account of a process.
+// readUsage reads the resource usage of a process from /proc. It fails only if the process does
+// not exist or its stat file is invalid; other values that can't be read stay zero.
 func readUsage(pid int) (Usage, error) {
 	var u Usage
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
@@ -31,10 +34,10 @@
 	if err != nil {
 		return u, err
 	}
-	_, rest, _ := strings.Cut(string(stat), ") ") // the name may contain spaces
+	_, rest, _ := strings.Cut(string(stat), ") ") // the process name before ") " may contain spaces
 	fields := strings.Fields(rest)
 	if len(fields) < 22 {
-		return u, fmt.Errorf("%s/stat: %d fields", dir, len(fields))
+		return u, fmt.Errorf("%s/stat: %d fields after the process name, want at least 22", dir, len(fields))
 	}
 	ticks := parseInt(fields[11]) + parseInt(fields[12])
 	u.CPU = time.Duration(ticks) * time.Second / ticksPerSecond
@@ -65,7 +68,7 @@
 	return u, nil
 }
 
-// residentOf is what a process holds of the memory; 0 of one that has just ended.
+// residentBytes returns the resident memory of a process, or 0 if the process does not exist.
 func residentBytes(pid int) int64 {
 	raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "statm"))
 	if err != nil {
@@ -78,36 +81,37 @@
 	return parseInt(fields[1]) * int64(os.Getpagesize())
 }
 
-// number reads a whole number of a line of the kernel's; 0 if it is none.
+// parseInt parses a decimal integer and returns 0 if the text is invalid.
 func parseInt(text string) int64 {
 	n, _ := strconv.ParseInt(text, 10, 64)
 	return n
 }
 
-// checkMachine refuses a run for which the machine's memory or this process's sockets
-// would not do.
+// checkHost returns an error if the run could need more open files than this process may have,
+// or more than half of the memory of the machine.
 func (s *Scenario) checkHost() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
 	if need := uint64(s.Workers*workerSockets + otherSockets); need > limit.Cur {
-		return fmt.Errorf("%d workers need %d open files, this process may have %d (ulimit -n)", s.Workers, need, limit.Cur)
+		return fmt.Errorf("%d workers need %d open files, but the limit of this process is %d (ulimit -n)", s.Workers, need, limit.Cur)
 	}
 	if need := int64(s.Workers)*workerBytes + int64(s.Controllers)*int64(s.MemoryMB)<<20; need > totalMemory()/2 {
-		return fmt.Errorf("%d workers and %d controllers need up to %d MB, half of this machine's memory is %d MB",
+		return fmt.Errorf("%d workers and %d controllers need up to %d MB, but half of this machine's memory is %d MB",
 			s.Workers, s.Controllers, need>>20, totalMemory()>>21)
 	}
 	return nil
 }
 
+// Upper bounds of what the simulated environment needs in this process.
 const (
-	workerSockets = 4 // a listener, a connection to a controller, orders
-	otherSockets  = 1000
-	workerBytes   = 300 << 10 // of a hollow one, measured with room to spare
+	workerSockets = 4         // per worker: a listener, a connection to a controller, connections for orders
+	otherSockets  = 1000      // state service, cloud and users
+	workerBytes   = 300 << 10 // memory per simulated worker, with a margin
 )
 
-// memory is the machine's, in bytes.
+// totalMemory returns the memory of the machine in bytes, or 0 if it can't be read.
 func totalMemory() int64 {
 	var info syscall.Sysinfo_t
 	if syscall.Sysinfo(&info) != nil {
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -16,29 +16,32 @@
 	"lilacthread/wire"
 )
 
-// users submit jobs at a steady rate and ask for each until it is done.
+// users simulates the users of the deployment. They submit jobs at the rate of the current
+// phase and poll each job until it is done. Requests go to the controllers in turn, as through
+// a load balancer.
 type users struct {
 	deployment    *deployment
-	clients       []*rpc.Client
-	requests      atomic.Int64 // of the load balancer
-	lastJobNumber atomic.Int64 // number of the latest job
-	quit          chan struct{}
-	phases        chan *Phase
+	clients       []*rpc.Client // by controller
+	requests      atomic.Int64  // requests sent; selects the next client
+	lastJobNumber atomic.Int64  // number of jobs submitted so far
+	quit          chan struct{} // closed when all users stop
+	phases        chan *Phase   // the next phase; nil ends the submission of jobs
 	goroutines    sync.WaitGroup
-	refused       atomic.Int64
+	refused       atomic.Int64 // submission requests that were not accepted or got no answer
 
-	mu            sync.Mutex // guards the rest
-	pending       map[string]bool
-	acceptLatency *hdrhistogram.Histogram // milliseconds from a submission to its answer
+	mu            sync.Mutex              // guards the fields below
+	pending       map[string]bool         // ids of jobs not accepted or, apart from services, not done
+	acceptLatency *hdrhistogram.Histogram // milliseconds from a job's first submission request to its acceptance
 }
 
-// The users' own intervals, as the protocol gives them.
+// Intervals and limits that the protocol prescribes for users.
 const (
 	pollInterval   = 5 * time.Second
 	minRetryDelay  = time.Second
 	requestTimeout = 5 * time.Second
 )
 
+// newUsers starts the users. They submit no jobs before setPhase or submitServices is called.
 func newUsers(deployment *deployment) *users {
 	u := &users{deployment: deployment, quit: make(chan struct{}), phases: make(chan *Phase, 1), pending: map[string]bool{},
 		acceptLatency: hdrhistogram.New(1, 3_600_000, 2)}
@@ -50,10 +53,11 @@
 	return u
 }
 
-// replicas are those of one service of the fill.
+// replicasPerService is the largest number of replicas of a service that submitServices submits.
 const replicasPerService = 50
 
-// fill submits the services that keep the fleet rented.
+// submitServices submits services with one replica per worker, so that the controllers rent all
+// machines and keep them.
 func (u *users) submitServices() {
 	for remaining := u.deployment.Workers; remaining > 0; remaining -= replicasPerService {
 		u.submit(&wire.Job{Class: "service", Kind: wire.KindService, Priority: "prod", Tasks: min(remaining, replicasPerService),
@@ -61,23 +65,24 @@
 	}
 }
 
-// load changes what is submitted from now on.
+// setPhase makes users submit the load of a phase from now on; nil ends the submission of jobs.
 func (u *users) setPhase(p *Phase) { u.phases <- p }
 
-// stop ends all users.
+// stop stops all users and waits until they have ended.
 func (u *users) stop() {
 	close(u.quit)
 	u.goroutines.Wait()
 }
 
-// step is how often the generator looks at what is due.
+// generatorInterval is the interval at which generate submits the jobs that are due.
 const generatorInterval = 10 * time.Millisecond
 
-// generate submits what the current phase asks for.
+// generate submits jobs at the rates of the current phase until the users are stopped. The
+// first job of a phase other than an urgent one is submitted at once, even at rate 0.
 func (u *users) generate() {
 	defer u.goroutines.Done()
 	var p *Phase
-	var jobsDue, urgentDue float64 // due
+	var jobsDue, urgentDue float64 // jobs due but not submitted yet, with fractions
 	last := time.Now()
 	for {
 		select {
@@ -104,7 +109,8 @@
 	}
 }
 
-// submit has a new user submit a job and follow it.
+// submit gives a job its id and team and starts a user who submits it and, unless it is a
+// service, polls it until it is done.
 func (u *users) submit(job *wire.Job) {
 	number := int(u.lastJobNumber.Add(1))
 	job.ID, job.Team = fmt.Sprintf("req-%06d", number), teamName(number%u.deployment.Teams)
@@ -120,6 +126,7 @@
 	}()
 }
 
+// setPending records whether a job is pending.
 func (u *users) setPending(id string, pending bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -130,7 +137,7 @@
 	}
 }
 
-// pause waits; false when the run is over.
+// pause waits for a duration. It returns false at once when the users are stopped.
 func (u *users) pause(delay time.Duration) bool {
 	select {
 	case <-u.quit:
@@ -140,14 +147,15 @@
 	}
 }
 
-// accepted submits a job until it is.
+// submitUntilAccepted repeats the submission of a job until a controller accepts it. It returns
+// false if the users were stopped before.
 func (u *users) submitUntilAccepted(job *wire.Job) bool {
 	start := time.Now()
 	for {
 		code, retryAfter := u.request(http.MethodPost, "/v2/runs", job, job.ID)
 		if code == http.StatusOK || code == http.StatusCreated {
 			u.mu.Lock()
-			u.acceptLatency.RecordValue(max(time.Since(start).Milliseconds(), 1)) // within the bounds
+			u.acceptLatency.RecordValue(max(time.Since(start).Milliseconds(), 1)) // the histogram starts at 1
 			u.mu.Unlock()
 			return true
 		}
@@ -158,7 +166,7 @@
 	}
 }
 
-// follow asks for a job until it is done.
+// pollUntilDone queries the status of a job until the job is done or the users are stopped.
 func (u *users) pollUntilDone(job *wire.Job) {
 	for u.pause(pollInterval) {
 		if code, _ := u.request(http.MethodGet, "/v2/runs/"+job.ID, nil, job.ID); code == doneCode {
@@ -167,10 +175,13 @@
 	}
 }
 
-// doneCode stands for the answer 200 that calls a job done.
+// doneCode is returned by request in place of status 200 if the answer says that the job is
+// done.
 const doneCode = -1
 
-// ask makes one request of the next controller; the checker judges its answer.
+// request sends one request about a job to the next controller and has the checker verify the
+// answer. It returns the HTTP status, doneCode, or 0 if there was no answer, and the delay of
+// the Retry-After header.
 func (u *users) request(method, path string, body any, jobID string) (code int, retryAfter time.Duration) {
 	var check func(a controller.Answer)
 	u.deployment.simServer.WithWorld(func(w *sim.World) {
@@ -197,7 +208,8 @@
 	return code, time.Duration(seconds) * time.Second
 }
 
-// drain waits until all batch jobs are done, no longer than the limit.
+// drain ends the submission of jobs and waits until no job is pending, but no longer than
+// limit.
 func (u *users) drain(limit time.Duration) {
 	u.setPhase(nil)
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline) && u.unfinished() > 0; {
@@ -205,7 +217,7 @@
 	}
 }
 
-// unfinished is how many users wait yet.
+// unfinished returns the number of pending jobs.
 func (u *users) unfinished() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
