--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -1,5 +1,6 @@
-// Command scaletest plays a deployment of thousands of workers on this machine: real
-// controllers, stand-ins for all else. See docs/CAPACITY.md.
+// Command scaletest runs load tests of a deployment of up to thousands of workers on one machine
+// and fits linear models of resource usage to their reports. The controllers are real processes;
+// workers, state service, cloud and users are simulated. See package scale and docs/CAPACITY.md.
 package main
 
 import (
@@ -19,59 +20,64 @@
 )
 
 var cli struct {
-	Run runCmd `cmd:"" help:"Play a scenario."`
-	Fit fitCmd `cmd:"" help:"Fit slopes to the JSON reports of several runs."`
+	Run runCmd `cmd:"" help:"Run the load test of a scenario and print its report."`
+	Fit fitCmd `cmd:"" help:"Fit linear models of resource usage to the JSON reports of several runs."`
 }
 
+// runCmd is the command run. It exits with code 1 if the run broke a rule, and with code 2 if it
+// failed.
 type runCmd struct {
-	Scenario string   `arg:"" type:"existingfile" help:"The scenario, as in internal/scale/testdata."`
-	Workers  int      `help:"Workers in place of the scenario's."`
-	Program  string   `type:"existingfile" help:"The controllers' executable; built from this tree by default."`
-	JSON     string   `name:"json" type:"path" help:"Write the report here as JSON too."`
-	Log      string   `type:"path" help:"Write the controllers' logs here."`
-	With     []string `default:"admission" help:"What the controllers have switched on."`
-	Policy   string   `type:"existingfile" help:"A policy for the controllers (Starlark)."`
-	Slopes   []string `type:"existingfile" help:"Reports of earlier runs, whose slopes are set beside what is measured."`
+	Scenario string   `arg:"" type:"existingfile" help:"Scenario file, as in internal/scale/testdata."`
+	Workers  int      `help:"Number of workers, in place of the scenario's."`
+	Program  string   `type:"existingfile" help:"Executable of the controllers; built from this source tree by default."`
+	JSON     string   `name:"json" type:"path" help:"Also write the report as JSON to this file."`
+	Log      string   `type:"path" help:"Write the logs of the controllers to this file."`
+	With     []string `default:"admission" help:"Optional features of the controllers to enable."`
+	Policy   string   `type:"existingfile" help:"Starlark policy file for the controllers."`
+	Slopes   []string `type:"existingfile" help:"JSON reports of earlier runs; their fits give the expected CPU usage in the report."`
 }
 
-// errBroken ends a run in which a rule did not hold with exit code 1.
-var errBroken = errors.New("rules were broken")
+// errViolations makes the command exit with code 1 after a run that broke a rule.
+var errViolations = errors.New("the run broke at least one rule, see the report")
 
-// options prepares the controllers; close removes what was made for it.
-func (c *runCmd) options() (o scale.Options, close func(), err error) {
-	o = scale.Options{Program: c.Program, Progress: os.Stderr}
-	close = func() {}
-	for _, name := range c.With {
-		o.Args = append(o.Args, "--with", name)
+// options returns the options of the run, and opens the log file and builds the controllers'
+// executable where needed. The caller calls cleanUp, also after an error, to close the log file
+// and to remove the executable.
+func (c *runCmd) options() (opts scale.Options, cleanUp func(), err error) {
+	opts = scale.Options{Program: c.Program, Progress: os.Stderr}
+	cleanUp = func() {}
+	for _, feature := range c.With {
+		opts.Args = append(opts.Args, "--with", feature)
 	}
 	if c.Policy != "" {
-		o.Args = append(o.Args, "--policy", c.Policy)
+		opts.Args = append(opts.Args, "--policy", c.Policy)
 	}
 	if c.Log != "" {
 		f, err := os.Create(c.Log)
 		if err != nil {
-			return o, close, err
+			return opts, cleanUp, err
 		}
-		o.Log, close = f, func() { f.Close() }
+		opts.Log, cleanUp = f, func() { f.Close() }
 	}
-	if o.Program == "" {
+	if opts.Program == "" {
 		dir, err := os.MkdirTemp("", "scaletest")
 		if err != nil {
-			return o, close, err
+			return opts, cleanUp, err
 		}
-		closeLog := close
-		close = func() {
+		closeLog := cleanUp
+		cleanUp = func() {
 			os.RemoveAll(dir)
 			closeLog()
 		}
-		o.Program = filepath.Join(dir, "lilacthread")
-		if out, err := exec.Command("go", "build", "-o", o.Program, "lilacthread/cmd/lilacthread").CombinedOutput(); err != nil {
-			return o, close, fmt.Errorf("build: %w\n%s", err, out)
+		opts.Program = filepath.Join(dir, "lilacthread")
+		if out, err := exec.Command("go", "build", "-o", opts.Program, "lilacthread/cmd/lilacthread").CombinedOutput(); err != nil {
+			return opts, cleanUp, fmt.Errorf("build lilacthread: %w\n%s", err, out)
 		}
 	}
-	return o, close, nil
+	return opts, cleanUp, nil
 }
 
+// Run runs the scenario, writes the report and returns errViolations if a rule was broken.
 func (c *runCmd) Run() error {
 	text, err := os.ReadFile(c.Scenario)
 	if err != nil {
@@ -84,19 +90,19 @@
 	if c.Workers > 0 {
 		scenario.Workers = c.Workers
 	}
-	o, done, err := c.options()
-	defer done()
+	opts, cleanUp, err := c.options()
+	defer cleanUp()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	report, err := scale.Run(ctx, scenario, o)
+	report, err := scale.Run(ctx, scenario, opts)
 	if err != nil {
 		return err
 	}
 	if len(c.Slopes) > 0 {
-		fits, err := slopes(c.Slopes)
+		fits, err := fitReports(c.Slopes)
 		if err != nil {
 			return err
 		}
@@ -114,46 +120,48 @@
 	if err := report.Print(os.Stdout); err != nil {
 		return err
 	}
-	if len(report.Broken) > 0 {
-		return errBroken
+	if len(report.Violations) > 0 {
+		return errViolations
 	}
 	return nil
 }
 
+// fitCmd is the command fit.
 type fitCmd struct {
-	Reports []string `arg:"" type:"existingfile" help:"Reports of runs, of three sizes at least."`
+	Reports []string `arg:"" type:"existingfile" help:"JSON reports of runs with at least three different numbers of workers."`
 }
 
+// Run prints the coefficients fitted to the reports.
 func (c *fitCmd) Run() error {
-	fits, err := slopes(c.Reports)
+	fits, err := fitReports(c.Reports)
 	if err != nil {
 		return err
 	}
 	return scale.PrintFits(os.Stdout, fits)
 }
 
-// slopes fits those of the reports in the files.
-func slopes(files []string) ([]scale.Fit, error) {
-	var list []*scale.Report
+// fitReports reads JSON reports from files and fits the models to their phases.
+func fitReports(files []string) ([]scale.Fit, error) {
+	var reports []*scale.Report
 	for _, name := range files {
 		raw, err := os.ReadFile(name)
 		if err != nil {
 			return nil, err
 		}
-		r := new(scale.Report)
-		if err := json.Unmarshal(raw, r); err != nil {
+		report := new(scale.Report)
+		if err := json.Unmarshal(raw, report); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		list = append(list, r)
+		reports = append(reports, report)
 	}
-	return scale.Fits(list)
+	return scale.Fits(reports)
 }
 
 func main() {
 	ctx := kong.Parse(&cli, kong.Description("Plays a deployment of thousands of workers on this machine and measures each role."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "scaletest:", err)
-		if errors.Is(err, errBroken) {
+		if errors.Is(err, errViolations) {
 			os.Exit(1)
 		}
 		os.Exit(2)
