--- a/internal/sim/script_expect.go
+++ b/internal/sim/script_expect.go
@@ -8,7 +8,8 @@
 	"lilacthread/wire"
 )
 
-// expectations are what a line "expect NAME" judges; any other name is a job's.
+// expectations maps the name in a line "expect NAME ..." to the method that checks it. Any other
+// name is the ID of a job; see expectJob.
 var expectations = map[string]func(*script, args) error{
 	"machines":      (*script).expectMachines,
 	"over":          (*script).expectOver,
@@ -34,14 +35,15 @@
 	"running":       (*script).expectRunning,
 }
 
-// expectation is judged at the end, or at the time given by "at".
+// expectation returns the action of an "expect" line. At time 0 the action adds the check to those
+// at the end of the run; later, after "at", it checks at once and keeps an error for the end.
 func (s *script) expectation(a args) func() {
 	w := s.w
-	judge := expectations[a.word(0)]
-	if judge == nil {
-		judge = (*script).expectJob
+	evaluate := expectations[a.word(0)]
+	if evaluate == nil {
+		evaluate = (*script).expectJob
 	}
-	check := func() error { return judge(s, a) }
+	check := func() error { return evaluate(s, a) }
 	return func() {
 		if w.now > 0 {
 			if err := check(); err != nil {
@@ -53,16 +55,17 @@
 	}
 }
 
-// expectMachines: how many machines there are.
+// expectMachines checks that the number of machines is between min and max.
 func (s *script) expectMachines(a args) error {
 	w := s.w
-	if n := len(w.Cloud.Machines); n > int(a.number("max", 1e9)) || n < int(a.number("min", 0)) {
-		return fmt.Errorf("t=%v: %d machines", w.now.Seconds(), n)
+	if count := len(w.Cloud.Machines); count > int(a.number("max", 1e9)) || count < int(a.number("min", 0)) {
+		return fmt.Errorf("at %v s: %d machines, outside the expected range", w.now.Seconds(), count)
 	}
 	return nil
 }
 
-// expectOver: a job, or all, are done or cancelled as their users wished.
+// expectOver checks that one job, or all of them, are done or, if their users asked for that,
+// cancelled.
 func (s *script) expectOver(a args) error {
 	w := s.w
 	if a.word(1) != "all" {
@@ -76,226 +79,239 @@
 	return nil
 }
 
-// expectAccepted: of all users, in time.
+// expectAccepted checks that the jobs of all users are accepted, that each took at most "within"
+// seconds, and that the number of 429 answers is between min-refused and refused.
 func (s *script) expectAccepted(a args) error {
 	w := s.w
-	most, n := Micros(0), 0
+	longestWait, refusals := Micros(0), 0
 	for _, id := range sortedKeys(w.Users) {
-		if u := w.Users[id]; !u.accepted {
-			return fmt.Errorf("t=%v: %s is not accepted (answer %d)", w.now.Seconds(), id, u.lastCode)
-		} else if since := w.Rules.jobs[id].acceptedAt - u.firstAttempt; since > most {
-			most = since
+		if user := w.Users[id]; !user.accepted {
+			return fmt.Errorf("at %v s: job %s is not accepted; the last answer has status %d", w.now.Seconds(), id, user.lastCode)
+		} else if wait := w.Rules.jobs[id].acceptedAt - user.firstAttempt; wait > longestWait {
+			longestWait = wait
 		}
-		n += w.Users[id].refused
+		refusals += w.Users[id].refused
 	}
-	if most.Seconds() > a.number("within", 60) || n > int(a.number("refused", 1e9)) || n < int(a.number("min-refused", 0)) {
-		return fmt.Errorf("t=%v: accepted after up to %v s, %d refusals", w.now.Seconds(), most.Seconds(), n)
+	if longestWait.Seconds() > a.number("within", 60) || refusals > int(a.number("refused", 1e9)) || refusals < int(a.number("min-refused", 0)) {
+		return fmt.Errorf("at %v s: jobs were accepted after up to %v s and %d refusals, outside the expected range", w.now.Seconds(), longestWait.Seconds(), refusals)
 	}
 	return nil
 }
 
-// expectOverload: as the leader has it.
+// expectOverload checks that the leader considers the cluster overloaded.
 func (s *script) expectOverload(a args) error {
 	w := s.w
-	if l := w.Leader(); l == nil || !l.Up() || !l.core.Admission().Overloaded {
-		return fmt.Errorf("t=%v: no overload", w.now.Seconds())
+	if leader := w.Leader(); leader == nil || !leader.Up() || !leader.core.Admission().Overloaded {
+		return fmt.Errorf("at %v s: no leader that reports overload", w.now.Seconds())
 	}
 	return nil
 }
 
-// expectKnownRefused: of jobs that were accepted.
+// expectKnownRefused checks that no repeated submission of an accepted job was refused with 429.
 func (s *script) expectKnownRefused(a args) error {
 	w := s.w
 	if w.AcceptedJobRefusals > 0 {
-		return fmt.Errorf("t=%v: %d accepted jobs were refused", w.now.Seconds(), w.AcceptedJobRefusals)
+		return fmt.Errorf("at %v s: %d submissions of accepted jobs were refused", w.now.Seconds(), w.AcceptedJobRefusals)
 	}
 	return nil
 }
 
-// expectAnswers: to submissions, of any kind.
+// expectAnswers checks the 99th percentile of the latency of all answers to submissions, of
+// whatever status, against the limit p99 in seconds.
 func (s *script) expectAnswers(a args) error {
 	w := s.w
-	list := slices.Sorted(slices.Values(w.SubmitLatencies))
-	if at := list[len(list)*99/100]; at.Seconds() > a.number("p99", 0.2) {
-		return fmt.Errorf("t=%v: p99 of %d answers %v s", w.now.Seconds(), len(list), at.Seconds())
+	latencies := slices.Sorted(slices.Values(w.SubmitLatencies))
+	if p99 := latencies[len(latencies)*99/100]; p99.Seconds() > a.number("p99", 0.2) {
+		return fmt.Errorf("at %v s: the 99th percentile of the latency of %d submissions is %v s, above the limit", w.now.Seconds(), len(latencies), p99.Seconds())
 	}
 	return nil
 }
 
-// expectValue: the largest value that was asked for.
+// expectValue checks that the size in bytes of the largest value sent to the state service is
+// between min and max.
 func (s *script) expectValue(a args) error {
 	w := s.w
 	if w.State.LargestValue > int(a.number("max", 1e9)) || w.State.LargestValue < int(a.number("min", 0)) {
-		return fmt.Errorf("t=%v: a value of %d bytes", w.now.Seconds(), w.State.LargestValue)
+		return fmt.Errorf("at %v s: the largest value has %d bytes, outside the expected range", w.now.Seconds(), w.State.LargestValue)
 	}
 	return nil
 }
 
-// expectRequests: to the state service, in its busiest second.
+// expectRequests checks that the number of requests to the state service in its busiest second is
+// between min and max.
 func (s *script) expectRequests(a args) error {
 	w := s.w
 	if w.State.PeakRequests > int(a.number("max", 0)) || w.State.PeakRequests < int(a.number("min", 0)) {
-		return fmt.Errorf("t=%v: %d requests in a second", w.now.Seconds(), w.State.PeakRequests)
+		return fmt.Errorf("at %v s: %d requests to the state service in its busiest second, outside the expected range", w.now.Seconds(), w.State.PeakRequests)
 	}
 	return nil
 }
 
-// expectTerm: the term of the latest election.
+// expectTerm checks that the term of the latest election is between min and max.
 func (s *script) expectTerm(a args) error {
 	w := s.w
-	if n := w.State.term(); n < int(a.number("min", 0)) || n > int(a.number("max", 1e9)) {
-		return fmt.Errorf("t=%v: term %d", w.now.Seconds(), n)
+	if term := w.State.term(); term < int(a.number("min", 0)) || term > int(a.number("max", 1e9)) {
+		return fmt.Errorf("at %v s: the term is %d, outside the expected range", w.now.Seconds(), term)
 	}
 	return nil
 }
 
-// expectRelayed: reports, or with the word orders these.
+// expectRelayed checks that the number of reports that relaying controllers forwarded, or with the
+// flag "orders" of command batches, is between min and max.
 func (s *script) expectRelayed(a args) error {
 	w := s.w
-	n := w.RelayedReports
+	relayed := w.RelayedReports
 	if a.hasFlag("orders") {
-		n = w.RelayedOrders
+		relayed = w.RelayedOrders
 	}
-	if n < int(a.number("min", 0)) || n > int(a.number("max", 1e9)) {
-		return fmt.Errorf("t=%v: %d relayed", w.now.Seconds(), n)
+	if relayed < int(a.number("min", 0)) || relayed > int(a.number("max", 1e9)) {
+		return fmt.Errorf("at %v s: %d messages relayed, outside the expected range", w.now.Seconds(), relayed)
 	}
 	return nil
 }
 
-// expectCarried: workers by a controller, as the leader has it.
+// expectCarried checks that the number of workers that a controller relays for, according to the
+// leader, is between min and max.
 func (s *script) expectCarried(a args) error {
 	w := s.w
-	n := w.Leader().core.Relays().WorkersPerRelay[a.word(1)]
-	if n < int(a.number("min", 0)) || n > int(a.number("max", 1e9)) {
-		return fmt.Errorf("t=%v: %s carries %d", w.now.Seconds(), a.word(1), n)
+	workers := w.Leader().core.Relays().WorkersPerRelay[a.word(1)]
+	if workers < int(a.number("min", 0)) || workers > int(a.number("max", 1e9)) {
+		return fmt.Errorf("at %v s: %s relays for %d workers, outside the expected range", w.now.Seconds(), a.word(1), workers)
 	}
 	return nil
 }
 
-// expectLeasesLost: leases of workers with tasks that ended.
+// expectLeasesLost checks that at most max leases expired on workers that held tasks.
 func (s *script) expectLeasesLost(a args) error {
 	w := s.w
 	if w.LeasesLost > int(a.number("max", 0)) {
-		return fmt.Errorf("t=%v: %d leases lost", w.now.Seconds(), w.LeasesLost)
+		return fmt.Errorf("at %v s: %d leases expired on workers with tasks, above the limit", w.now.Seconds(), w.LeasesLost)
 	}
 	return nil
 }
 
-// expectLooks: that were answered.
+// expectLooks checks that at least min probes were answered; see prober.
 func (s *script) expectLooks(a args) error {
 	w := s.w
 	if w.ProbeAnswers < int(a.number("min", 1)) {
-		return fmt.Errorf("t=%v: %d close looks", w.now.Seconds(), w.ProbeAnswers)
+		return fmt.Errorf("at %v s: only %d probes were answered", w.now.Seconds(), w.ProbeAnswers)
 	}
 	return nil
 }
 
-// expectKeptCopies: that came to a new leader.
+// expectKeptCopies checks that at least min copies of reports were delivered after an election; see
+// reportCopier.
 func (s *script) expectKeptCopies(a args) error {
 	w := s.w
 	if w.CopiesDelivered < int(a.number("min", 1)) {
-		return fmt.Errorf("t=%v: %d reports came to a new leader", w.now.Seconds(), w.CopiesDelivered)
+		return fmt.Errorf("at %v s: only %d copies of reports were delivered after an election", w.now.Seconds(), w.CopiesDelivered)
 	}
 	return nil
 }
 
-// expectLateTxns: that were carried out late, with no answer.
+// expectLateTxns checks that at least min transactions were applied late and without an answer.
 func (s *script) expectLateTxns(a args) error {
 	w := s.w
 	if w.State.DelayedTxns < int(a.number("min", 1)) {
-		return fmt.Errorf("t=%v: %d late transactions", w.now.Seconds(), w.State.DelayedTxns)
+		return fmt.Errorf("at %v s: only %d transactions were applied late", w.now.Seconds(), w.State.DelayedTxns)
 	}
 	return nil
 }
 
-// expectStarts: of tasks, on the whole day.
+// expectStarts checks that the number of task starts since the beginning of the run is between min
+// and max.
 func (s *script) expectStarts(a args) error {
 	w := s.w
-	if n := w.Rules.taskStarts; n > int(a.number("max", 1e9)) || n < int(a.number("min", 0)) {
-		return fmt.Errorf("t=%v: %d starts", w.now.Seconds(), w.Rules.taskStarts)
+	if starts := w.Rules.taskStarts; starts > int(a.number("max", 1e9)) || starts < int(a.number("min", 0)) {
+		return fmt.Errorf("at %v s: %d tasks were started, outside the expected range", w.now.Seconds(), w.Rules.taskStarts)
 	}
 	return nil
 }
 
-// expectStaleLost: tasks that a return took along whose caller leads no more.
+// expectStaleLost checks that at most max tasks were lost with machines whose release was executed
+// after its caller had lost the lead or been restarted.
 func (s *script) expectStaleLost(a args) error {
 	w := s.w
-	if n := w.Cloud.StaleReleaseLosses; n > int(a.number("max", 0)) {
-		return fmt.Errorf("t=%v: %d tasks went with stale returns", w.now.Seconds(), n)
+	if lost := w.Cloud.StaleReleaseLosses; lost > int(a.number("max", 0)) {
+		return fmt.Errorf("at %v s: %d tasks were lost with releases by former leaders, above the limit", w.now.Seconds(), lost)
 	}
 	return nil
 }
 
-// expectLateReturns: that were carried out.
+// expectLateReturns checks that at least min delayed releases of machines were executed.
 func (s *script) expectLateReturns(a args) error {
 	w := s.w
 	if w.Cloud.DelayedReleases < int(a.number("min", 1)) {
-		return fmt.Errorf("t=%v: %d late returns", w.now.Seconds(), w.Cloud.DelayedReleases)
+		return fmt.Errorf("at %v s: only %d delayed releases were executed", w.now.Seconds(), w.Cloud.DelayedReleases)
 	}
 	return nil
 }
 
-// expectRented: machines, on the whole day.
+// expectRented checks that the number of machines rented since the beginning of the run is between
+// min and max.
 func (s *script) expectRented(a args) error {
 	w := s.w
-	if n := w.Cloud.rentedCount; n > int(a.number("max", 1e9)) || n < int(a.number("min", 0)) {
-		return fmt.Errorf("t=%v: %d machines were rented", w.now.Seconds(), n)
+	if rented := w.Cloud.rentedCount; rented > int(a.number("max", 1e9)) || rented < int(a.number("min", 0)) {
+		return fmt.Errorf("at %v s: %d machines were rented, outside the expected range", w.now.Seconds(), rented)
 	}
 	return nil
 }
 
-// expectIntents: that stand.
+// expectIntents checks that at most max intents are recorded in the state service.
 func (s *script) expectIntents(a args) error {
 	w := s.w
-	n := 0
+	intents := 0
 	for key := range w.State.items {
 		if strings.HasPrefix(key, "i/") {
-			n++
+			intents++
 		}
 	}
-	if n > int(a.number("max", 0)) {
-		return fmt.Errorf("t=%v: %d intents stand", w.now.Seconds(), n)
+	if intents > int(a.number("max", 0)) {
+		return fmt.Errorf("at %v s: %d intents are recorded, above the limit", w.now.Seconds(), intents)
 	}
 	return nil
 }
 
-// expectRefusedTxns: transactions that the state service refused.
+// expectRefusedTxns checks that the number of transactions that the state service refused is
+// between min and max.
 func (s *script) expectRefusedTxns(a args) error {
 	w := s.w
 	if w.State.RefusedTxns > int(a.number("max", 0)) || w.State.RefusedTxns < int(a.number("min", 0)) {
-		return fmt.Errorf("t=%v: %d transactions refused", w.now.Seconds(), w.State.RefusedTxns)
+		return fmt.Errorf("at %v s: %d transactions were refused, outside the expected range", w.now.Seconds(), w.State.RefusedTxns)
 	}
 	return nil
 }
 
-// expectRunning: how many of a job's tasks are on machines.
+// expectRunning checks that at least min tasks of a job are on machines or, without min, exactly
+// "tasks" of them.
 func (s *script) expectRunning(a args) error {
 	w := s.w
-	n := 0
-	for task, on := range w.Rules.machinesByTask {
+	placed := 0
+	for task, machines := range w.Rules.machinesByTask {
 		if strings.HasPrefix(task, a.word(1)+"/") {
-			n += len(on)
+			placed += len(machines)
 		}
 	}
-	if least := int(a.number("min", 0)); n < least || least == 0 && n != int(a.number("tasks", 0)) {
-		return fmt.Errorf("t=%v: %s has %d tasks on machines, not %v", w.now.Seconds(), a.word(1), n, max(a.number("tasks", 0), float64(least)))
+	if minimum := int(a.number("min", 0)); placed < minimum || minimum == 0 && placed != int(a.number("tasks", 0)) {
+		return fmt.Errorf("at %v s: job %s has %d tasks on machines, want %v", w.now.Seconds(), a.word(1), placed, max(a.number("tasks", 0), float64(minimum)))
 	}
 	return nil
 }
 
-// expectJob: what the user of a job was told last.
+// expectJob checks the last phase of a job that its user received, or that its submission was
+// refused (422) or malformed (400).
 func (s *script) expectJob(a args) error {
 	w := s.w
-	u := w.Users[a.word(0)]
-	if u == nil {
-		return fmt.Errorf("nobody submitted %s", a.word(0))
+	user := w.Users[a.word(0)]
+	if user == nil {
+		return fmt.Errorf("job %s was never submitted", a.word(0))
 	}
 	want := map[string]string{"done": wire.PhaseDone, "cancelled": wire.PhaseCancelled, "running": wire.PhaseRunning, "queued": wire.PhaseQueued}[a.word(1)]
-	if a.word(1) == "refused" && u.lastCode == 422 || a.word(1) == "malformed" && u.lastCode == 400 {
+	if a.word(1) == "refused" && user.lastCode == 422 || a.word(1) == "malformed" && user.lastCode == 400 {
 		return nil
 	}
-	if u.LastPhase != want {
-		return fmt.Errorf("t=%v: %s is %q, not %q (answer %d)", w.now.Seconds(), a.word(0), u.LastPhase, a.word(1), u.lastCode)
+	if user.LastPhase != want {
+		return fmt.Errorf("at %v s: job %s has phase %q, want %q; the last answer has status %d", w.now.Seconds(), a.word(0), user.LastPhase, a.word(1), user.lastCode)
 	}
 	return nil
 }
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -277,7 +277,7 @@
 
 func (x *Worker) run(cmds []wire.Command) {
 	for _, c := range cmds {
-		key := c.Task + "#" + itoa(c.Attempt)
+		key := c.Task + "#" + formatUint(c.Attempt)
 		t := x.tasks[key]
 		switch c.Op {
 		case wire.OpStart:
