--- a/internal/sim/script_chaos.go
+++ b/internal/sim/script_chaos.go
@@ -6,25 +6,32 @@
 	"strings"
 )
 
-// chaos is a day of random jobs and troubles. In the end every job that nobody cancelled must
-// be done. From the given time on, jobs await others. With more, of up to 6, come deaf
-// machines, late copies, leaders without state service and peers, machines started anew, and
-// processes back at once; of up to 9, transactions carried out late, the gap of two outages, and
-// returns executed late; of up to 12, answers of transactions lost, mute machines, and reports
-// kept for the next leader; of up to 14, controllers that stand still while their clocks run on.
-// With a size above 1, jobs are so many times larger, and troubles come over many machines at
-// once. With pairs, a second trouble meets each within some seconds, and users cancel more often.
+// chaosPlan schedules random jobs and random faults. At the end of the run every array and gang
+// must be done or, if its user asked for that, cancelled. extraFaults (key "more") adds kinds of
+// faults to those that are always drawn:
+//   - up to 6: machines that receive nothing, late copies of reports, leaders cut off from the
+//     state service and the peers, restarted machines, and controllers that restart within a second;
+//   - up to 9: transactions applied late, an outage for the leader alone followed by one for all
+//     controllers, and releases executed late;
+//   - up to 12: lost answers of transactions, machines that reach no controller, and copies of
+//     reports that are kept until the next election;
+//   - up to 14: controllers that freeze while their clocks run on.
 type chaosPlan struct {
-	s                                 *script
-	rng                               *rand.Rand
+	s   *script
+	rng *rand.Rand
+	// Jobs and faults are scheduled between from and to, at random intervals of every/2 to 3*every/2.
+	// Jobs await others from dependenciesFrom on.
 	from, to, every, dependenciesFrom Micros
-	jobScale, extraFaults             int
-	pairedFaults                      bool
-	submittedJobs                     int // submitted
-	waveKinds                         []string
+	// jobScale multiplies the number of tasks of a job; above 1, waves of faults hit many machines at
+	// once.
+	jobScale, extraFaults int
+	// pairedFaults adds a second fault within 8 s of each, and more cancellations.
+	pairedFaults  bool
+	submittedJobs int
+	waveKinds     []string
 }
 
-// play draws the whole day.
+// schedule draws all jobs and faults of the run.
 func (c *chaosPlan) schedule(seed uint64) {
 	c.rng = rand.New(rand.NewPCG(seed, 2))
 	c.waveKinds = []string{"hang", "cut", "sick", "taken", "deaf", "reborn", "mute"}[:4+min(c.extraFaults/3, 2)+c.extraFaults/12]
@@ -40,13 +47,16 @@
 	}
 }
 
+// scheduleLine schedules a line of a scenario. The line has no effect if the object that it needs
+// does not exist at that time.
 func (c *chaosPlan) scheduleLine(at Micros, format string, args ...any) {
 	c.s.tryAt(at, parseArgs(strings.Fields(fmt.Sprintf(format, args...))))
 }
 
+// randomCutMode draws whether a cut holds messages back or drops them.
 func (c *chaosPlan) randomCutMode() string { return []string{"hold", "drop"}[c.rng.IntN(2)] }
 
-// submit draws a job.
+// scheduleJob draws a job and, for some jobs, a cancellation or a repeated submission.
 func (c *chaosPlan) scheduleJob(at Micros) {
 	c.submittedJobs++
 	id := fmt.Sprintf("req-%06d", c.submittedJobs)
@@ -79,7 +89,7 @@
 	}
 }
 
-// trouble draws what goes wrong.
+// scheduleFault draws a fault and, for large jobs, sometimes a wave of faults.
 func (c *chaosPlan) scheduleFault(at Micros) {
 	target := fmt.Sprintf("of=req-%06d", 1+c.rng.IntN(c.submittedJobs))
 	seconds := 2 + c.rng.IntN(20)
@@ -134,7 +144,7 @@
 		c.scheduleLine(at, "kill all for=0.%d", 1+c.rng.IntN(9))
 	case 22:
 		c.scheduleLine(at, "late-writes share=0.%d for=%d", 1+c.rng.IntN(9), 2*seconds)
-	case 23: // the leader alone, then everybody for longer than cancel_s
+	case 23: // the state service fails for the leader alone, then for all controllers and longer than cancel_s
 		c.scheduleLine(at, "refuse leader for=%d", seconds)
 		if c.rng.IntN(2) == 0 {
 			c.scheduleLine(at, "cut leader peers %s for=%d", c.randomCutMode(), 3*seconds)
@@ -142,7 +152,7 @@
 		c.scheduleLine(at+Micros(1+c.rng.IntN(12))*second, "outage state for=%d", 30+c.rng.IntN(40))
 	case 24:
 		c.scheduleLine(at, "late-return by=%d", seconds)
-	case 25: // carried out, the answer lost, and others read it
+	case 25: // transactions are applied, their answers are lost, and other controllers read the new state
 		c.scheduleLine(at, "late-writes at-once share=0.%d for=%d", 2+c.rng.IntN(8), 2*seconds)
 		if c.rng.IntN(2) == 0 {
 			c.scheduleLine(at, "cut leader peers %s for=%d", c.randomCutMode(), 2*seconds)
--- a/internal/sim/script_machines.go
+++ b/internal/sim/script_machines.go
@@ -2,15 +2,15 @@
 
 import "math/rand/v2"
 
-// Troubles of machines.
+// This file holds the verbs that inject faults into machines.
 
-// doNoBoot: machines that never come up.
+// doNoBoot makes the next machines that are rented never finish booting.
 func (s *script) doNoBoot(a args) func() {
 	w := s.w
 	return func() { w.Cloud.BootFailures = int(a.number("count", 1)) }
 }
 
-// doHang: a machine stands still.
+// doHang suspends a machine for some time.
 func (s *script) doHang(a args) func() {
 	w := s.w
 	return func() {
@@ -20,33 +20,34 @@
 	}
 }
 
-// doDead: a machine stops with all that is on it; the list goes on naming it.
+// doDead stops a machine and all its tasks while the cloud's machine list still contains it.
 func (s *script) doDead(a args) func() {
 	return func() { s.worker(a).terminate() }
 }
 
-// doReborn: a machine is back at once, and counts from the beginning.
+// doReborn restarts a machine at once, with its session counter reset.
 func (s *script) doReborn(a args) func() {
 	return func() { s.worker(a).Restart() }
 }
 
-// doSick: a machine fails its tasks.
+// doSick makes a machine fail every task.
 func (s *script) doSick(a args) func() {
 	return func() { s.worker(a).Unhealthy = true }
 }
 
-// doNotice: a spot notice.
+// doNotice sends a machine a spot notice; the cloud reclaims the machine "in" seconds later.
 func (s *script) doNotice(a args) func() {
 	return func() { s.worker(a).SendSpotNotice(a.duration("in", 8)) }
 }
 
-// doTake: the cloud takes a machine.
+// doTake makes the cloud reclaim a machine without a notice.
 func (s *script) doTake(a args) func() {
 	w := s.w
 	return func() { w.Cloud.remove(s.worker(a).id) }
 }
 
-// doWave: many machines at once: hang, cut, deaf, mute, reborn, sick, or taken.
+// doWave injects one kind of fault into a random share of the machines at once: hang, cut, deaf
+// (inbound traffic lost), mute (outbound traffic lost), reborn, sick or taken.
 func (s *script) doWave(a args) func() {
 	w := s.w
 	return func() {
--- a/internal/sim/script_network.go
+++ b/internal/sim/script_network.go
@@ -2,9 +2,9 @@
 
 import "math/rand/v2"
 
-// Troubles between hosts.
+// This file holds the verbs that inject faults into the network.
 
-// doCut: the links between hosts.
+// doCut cuts the links between the first host or group of hosts and the others.
 func (s *script) doCut(a args) func() {
 	w := s.w
 	return func() {
@@ -25,7 +25,7 @@
 	}
 }
 
-// doZoneCut: a zone's machines, and a controller in it, from all that is elsewhere.
+// doZoneCut cuts the machines of a zone and one controller in it off from all other hosts.
 func (s *script) doZoneCut(a args) func() {
 	w := s.w
 	return func() {
@@ -51,7 +51,7 @@
 	}
 }
 
-// doSlowLinks: all messages are under way for longer.
+// doSlowLinks delays all messages.
 func (s *script) doSlowLinks(a args) func() {
 	w := s.w
 	return func() {
@@ -60,7 +60,7 @@
 	}
 }
 
-// doIsolate: one machine from all controllers.
+// doIsolate cuts one machine off from all controllers.
 func (s *script) doIsolate(a args) func() {
 	w := s.w
 	return func() {
@@ -72,7 +72,8 @@
 	}
 }
 
-// doApart: a node and a share of the machines can't reach each other.
+// doApart cuts the links between a controller and a share of the machines; messages are held until
+// the end of the cut.
 func (s *script) doApart(a args) func() {
 	w := s.w
 	return func() {
@@ -84,7 +85,7 @@
 	}
 }
 
-// doSlowReports: reports take longer.
+// doSlowReports delays the reports of all workers.
 func (s *script) doSlowReports(a args) func() {
 	w := s.w
 	return func() {
@@ -93,7 +94,7 @@
 	}
 }
 
-// doDeaf: what is sent to a machine does not reach it; what it sends arrives.
+// doDeaf loses the inbound traffic of a machine; what the machine sends arrives.
 func (s *script) doDeaf(a args) func() {
 	w := s.w
 	return func() {
@@ -101,7 +102,8 @@
 	}
 }
 
-// doMute: a machine reaches no controller, while orders reach it.
+// doMute loses the outbound traffic of a machine: its reports reach no controller, while command
+// batches reach it.
 func (s *script) doMute(a args) func() {
 	w := s.w
 	return func() {
@@ -109,7 +111,8 @@
 	}
 }
 
-// doCopies: of reports come again, at any node, or at all nodes once there is a new leader.
+// doCopies delivers a share of the reports a second time: later at a random controller or, with
+// the flag "for-next", at all controllers after the next election.
 func (s *script) doCopies(a args) func() {
 	w := s.w
 	return func() {
--- a/internal/sim/script_nodes.go
+++ b/internal/sim/script_nodes.go
@@ -2,14 +2,14 @@
 
 import "math/rand/v2"
 
-// Troubles of controllers, the state service and the cloud.
+// This file holds the verbs that inject faults into controllers, the state service and the cloud.
 
-// doSockets: a controller says that so much of its connections is in use.
+// doSockets makes a controller report that this share of its connections is in use.
 func (s *script) doSockets(a args) func() {
 	return func() { s.node(a.word(0)).socketUsage = a.number("share", 0.9) }
 }
 
-// doSlow: the state service takes longer.
+// doSlow delays the answers of the state service.
 func (s *script) doSlow(a args) func() {
 	w := s.w
 	return func() {
@@ -18,7 +18,7 @@
 	}
 }
 
-// doKill: processes end without a word, and come back.
+// doKill kills one controller process or all of them, and starts them again later.
 func (s *script) doKill(a args) func() {
 	w := s.w
 	return func() {
@@ -35,12 +35,12 @@
 	}
 }
 
-// doFreeze: a process stands still while its clocks run on.
+// doFreeze suspends a controller process for some time while its clocks run on.
 func (s *script) doFreeze(a args) func() {
 	return func() { s.node(a.word(0)).Freeze(a.duration("for", 5)) }
 }
 
-// doTwin: one more process, on a machine of its own, that bears a node's name.
+// doTwin starts another controller process, on its own machine, under the name of an existing one.
 func (s *script) doTwin(a args) func() {
 	w := s.w
 	return func() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// doThrottle: the state service takes fewer changes a second than it says.
+// doThrottle lowers the write rate of the state service below the limit in the settings.
 func (s *script) doThrottle(a args) func() {
 	w := s.w
 	return func() {
@@ -59,7 +59,7 @@
 	}
 }
 
-// doUpgrade: kills a node; it comes back with the new version.
+// doUpgrade kills a controller of the old version and starts it again with the new version.
 func (s *script) doUpgrade(a args) func() {
 	w := s.w
 	return func() {
@@ -74,7 +74,7 @@
 	}
 }
 
-// doRefuse: the state service refuses a node.
+// doRefuse makes the state service refuse all requests of one controller.
 func (s *script) doRefuse(a args) func() {
 	w := s.w
 	return func() {
@@ -84,7 +84,7 @@
 	}
 }
 
-// doOutage: of the state service or the cloud.
+// doOutage makes the state service or the cloud unavailable.
 func (s *script) doOutage(a args) func() {
 	w := s.w
 	return func() {
@@ -99,7 +99,8 @@
 	}
 }
 
-// doLateTxn: a node's next transaction is applied late.
+// doLateTxn makes the next transaction of a controller be applied late and without an answer. With
+// "keys", this is the next one that writes a key with that prefix.
 func (s *script) doLateTxn(a args) func() {
 	w := s.w
 	return func() {
@@ -108,7 +109,8 @@
 	}
 }
 
-// doLateWrites: of any node; see lateWrites.
+// doLateWrites makes a share of the transactions of all controllers be applied late and without an
+// answer; see delayedWrites.
 func (s *script) doLateWrites(a args) func() {
 	w := s.w
 	return func() {
@@ -117,25 +119,25 @@
 	}
 }
 
-// doLostAnswer: a node's next transaction gets no answer.
+// doLostAnswer loses the answer to the next transaction of a controller.
 func (s *script) doLostAnswer(a args) func() {
 	w := s.w
 	return func() { w.State.LoseNextAnswer[s.node(a.word(0)).name] = true }
 }
 
-// doLateOrder: the next order is executed late.
+// doLateOrder makes the next command batch be executed late.
 func (s *script) doLateOrder(a args) func() {
 	w := s.w
 	return func() { w.NextOrderDelay = a.duration("by", 10) }
 }
 
-// doLateReturn: the next return is executed late.
+// doLateReturn makes the next release of machines be executed late.
 func (s *script) doLateReturn(a args) func() {
 	w := s.w
 	return func() { w.Cloud.NextReleaseDelay = a.duration("by", 20) }
 }
 
-// doLateRent: the next rental is executed late.
+// doLateRent makes the next rental be executed late.
 func (s *script) doLateRent(a args) func() {
 	w := s.w
 	return func() { w.Cloud.NextRentDelay = a.duration("by", 20) }
--- a/internal/sim/script_setup.go
+++ b/internal/sim/script_setup.go
@@ -12,9 +12,9 @@
 	"lilacthread/wire"
 )
 
-// What a scenario is made of.
+// This file holds the verbs that set up a scenario.
 
-// doRun: how long the scenario is played.
+// doRun sets the time at which the run ends.
 func (s *script) doRun(a args) func() {
 	seconds, err := strconv.ParseFloat(a.word(0), 64)
 	if err != nil {
@@ -23,12 +23,12 @@
 	return func() { s.endTime = Micros(seconds * 1e6) }
 }
 
-// doTeam: a team and its limits.
+// doTeam adds a team with its guaranteed (cpus) and its greatest (max) number of CPUs.
 func (s *script) doTeam(a args) func() {
 	return func() { s.addTeam(a.word(0), a.number("cpus", 0), a.number("max", 0)) }
 }
 
-// doType: a machine type.
+// doType adds a machine type to the cloud's catalog.
 func (s *script) doType(a args) func() {
 	w := s.w
 	return func() {
@@ -42,13 +42,14 @@
 	}
 }
 
-// doCapacity: how many machines of a kind the cloud has.
+// doCapacity limits the number of machines of a kind (TYPE/ZONE or TYPE/ZONE/spot) that the cloud
+// still has.
 func (s *script) doCapacity(a args) func() {
 	w := s.w
 	return func() { w.Cloud.Capacity[a.word(0)] = int(a.number("count", 0)) }
 }
 
-// doAdmission: on, with the policy's names.
+// doAdmission enables admission control, with the pairs as further settings of the policy.
 func (s *script) doAdmission(a args) func() {
 	w := s.w
 	return func() {
@@ -64,7 +65,8 @@
 	}
 }
 
-// doRelay: controllers that do not lead carry workers' connections.
+// doRelay enables relaying: controllers that do not lead hold workers' connections for the leader,
+// once it has at least as many workers as the key "workers" says.
 func (s *script) doRelay(a args) func() {
 	w := s.w
 	return func() {
@@ -74,13 +76,13 @@
 	}
 }
 
-// doReportChanges: workers report changes at once.
+// doReportChanges makes workers report changes at once; see World.ReportChanges.
 func (s *script) doReportChanges(a args) func() {
 	w := s.w
 	return func() { w.ReportChanges = true }
 }
 
-// doObjective: objective.
+// doObjective adds an objective for a class of jobs, with its time window in seconds.
 func (s *script) doObjective(a args) func() {
 	w := s.w
 	return func() {
@@ -89,19 +91,19 @@
 	}
 }
 
-// doFair: starvation is a rule on this day.
+// doFair makes the starvation of a class or team a rule violation.
 func (s *script) doFair(a args) func() {
 	w := s.w
 	return func() { w.Rules.CheckStarvation = true }
 }
 
-// doImpatient: users come back sooner than told.
+// doImpatient makes users retry after a fixed time instead of the Retry-After of the answer.
 func (s *script) doImpatient(a args) func() {
 	w := s.w
 	return func() { w.RetryInterval = a.duration("after", 0.2) }
 }
 
-// doRepeat: a verb again and again, where it can be done just then.
+// doRepeat schedules a verb several times at a fixed interval; see tryAt.
 func (s *script) doRepeat(a args) func() {
 	w := s.w
 	return func() {
@@ -114,7 +116,7 @@
 	}
 }
 
-// doSettings: the next limits of the state service.
+// doSettings announces the next limits of the state service in the settings.
 func (s *script) doSettings(a args) func() {
 	w := s.w
 	return func() {
@@ -125,13 +127,13 @@
 	}
 }
 
-// doLimits: the next limits are in force.
+// doLimits makes the state service enforce the next limits.
 func (s *script) doLimits(a args) func() {
 	w := s.w
 	return func() { w.State.NextLimitsInForce = true }
 }
 
-// doWorkers: the workers' intervals.
+// doWorkers sets the workers' report interval, lease duration and cancel timeout, in seconds.
 func (s *script) doWorkers(a args) func() {
 	w := s.w
 	return func() {
@@ -140,13 +142,13 @@
 	}
 }
 
-// doStrict: see World.Strict.
+// doStrict enables the check of cancellation cascades; see World.CheckCancelCascade.
 func (s *script) doStrict(a args) func() {
 	w := s.w
 	return func() { w.CheckCancelCascade = true }
 }
 
-// doOld: nodes that run the version in production.
+// doOld makes controllers start with the version in production.
 func (s *script) doOld(a args) func() {
 	w := s.w
 	return func() {
@@ -162,7 +164,7 @@
 	}
 }
 
-// doChaos: see chaos.
+// doChaos schedules random jobs and faults; see chaosPlan.
 func (s *script) doChaos(a args) func() {
 	return func() {
 		plan := chaosPlan{s: s, from: a.duration("from", 20), to: a.duration("to", 200), every: a.duration("every", 8), dependenciesFrom: a.duration("pipelines", 1e9),
@@ -171,7 +173,7 @@
 	}
 }
 
-// doExpect: see script.expectation.
+// doExpect adds an expectation; see expectation.
 func (s *script) doExpect(a args) func() {
 	return s.expectation(a)
 }
--- a/internal/sim/script_users.go
+++ b/internal/sim/script_users.go
@@ -10,15 +10,15 @@
 	"lilacthread/wire"
 )
 
-// What users do.
+// This file holds the verbs that act for users.
 
-// doSubmit: a user submits a job.
+// doSubmit makes a user submit a job.
 func (s *script) doSubmit(a args) func() {
 	w := s.w
 	job := s.parseJob(a)
-	w.failingJobs[job.ID] = a.hasFlag("broken") // submitted with a mistake: it fails on every machine
+	w.failingJobs[job.ID] = a.hasFlag("broken") // its tasks fail on every machine
 	return func() {
-		if a.hasFlag("malformed") { // a field is missing
+		if a.hasFlag("malformed") { // the submission lacks a field
 			user := w.UserFor(job)
 			user.submitWith(user.malformedSubmission)
 			return
@@ -27,7 +27,7 @@
 	}
 }
 
-// doMany: small jobs, req-100000 on.
+// doMany submits small array jobs with the IDs from req-100000 on.
 func (s *script) doMany(a args) func() {
 	w := s.w
 	return func() {
@@ -37,7 +37,8 @@
 	}
 }
 
-// doBurst: jobs like the one described, numbered from the id on.
+// doBurst submits "count" jobs of the same form, with consecutive IDs from the given one on, evenly
+// over "over" seconds.
 func (s *script) doBurst(a args) func() {
 	w := s.w
 	return func() {
@@ -46,7 +47,7 @@
 		if err != nil {
 			panic("burst: " + id)
 		}
-		cancelInterval := int(a.number("cancel", 0)) // so many are cancelled: each at some instant of its first seconds
+		cancelInterval := int(a.number("cancel", 0)) // one job of so many is cancelled, at a random time within its first seconds
 		rng := rand.New(rand.NewPCG(uint64(first), 7))
 		for i := range count {
 			job := s.parseJob(a)
@@ -60,11 +61,12 @@
 	}
 }
 
-// doResubmit: as it was, or with others: that fit nowhere, or are less; or without a field.
+// doResubmit repeats submissions: unchanged, with tasks that fit on no machine ("other"), with only
+// one task ("less"), or without a required field ("malformed").
 func (s *script) doResubmit(a args) func() {
 	w := s.w
 	return func() {
-		first, _ := strconv.Atoi(strings.TrimPrefix(a.word(0), "req-")) // checked when it was submitted
+		first, _ := strconv.Atoi(strings.TrimPrefix(a.word(0), "req-")) // the submission has checked the ID
 		for i := range int(a.number("count", 1)) {
 			user := w.Users[fmt.Sprintf("req-%06d", first+i)]
 			if user == nil {
@@ -85,7 +87,8 @@
 	}
 }
 
-// doPoll: at a node, ready or not, or where the load balancer chooses.
+// doPoll makes a user query the state of a job, at the controller "at", even if it is not ready, or
+// at one that the load balancer chooses.
 func (s *script) doPoll(a args) func() {
 	w := s.w
 	return func() {
@@ -99,7 +102,7 @@
 	}
 }
 
-// doCancel: a user cancels a job.
+// doCancel makes a user cancel a job.
 func (s *script) doCancel(a args) func() {
 	w := s.w
 	return func() {
@@ -110,7 +113,7 @@
 	}
 }
 
-// doCloseLooks: see looks.
+// doCloseLooks makes users send bursts of requests at each event of a job; see prober.
 func (s *script) doCloseLooks(a args) func() {
 	w := s.w
 	return func() {
