--- a/internal/sim/script.go
+++ b/internal/sim/script.go
@@ -347,7 +347,8 @@
 	})
 }
 
-// checkFinished returns a check that a job is done or, if its user asked for that, cancelled.
+// checkFinished returns a check that a job is done or, if a user asked to cancel it or a job that it
+// awaits, cancelled.
 func (s *script) checkFinished(id string) func() error {
 	return func() error {
 		user := s.w.Users[id]
@@ -355,7 +356,7 @@
 			return nil // refused, since a job that it awaits had not been accepted yet
 		}
 		if user == nil || user.LastPhase != wire.PhaseDone && (user.LastPhase != wire.PhaseCancelled || !s.w.Rules.cancelAllowed(s.w.Rules.jobs[id])) {
-			return fmt.Errorf("job %s is neither done nor cancelled by its user", id)
+			return fmt.Errorf("job %s is neither done nor cancelled on request", id)
 		}
 		return nil
 	}
--- a/internal/sim/script_expect.go
+++ b/internal/sim/script_expect.go
@@ -64,8 +64,7 @@
 	return nil
 }
 
-// expectOver checks that one job, or all of them, are done or, if their users asked for that,
-// cancelled.
+// expectOver checks that one job, or all of them, are done or cancelled; see checkFinished.
 func (s *script) expectOver(a args) error {
 	w := s.w
 	if a.word(1) != "all" {
--- a/internal/sim/script_machines.go
+++ b/internal/sim/script_machines.go
@@ -74,7 +74,7 @@
 			case "taken":
 				w.Cloud.remove(id)
 			default:
-				panic("wave: " + a.word(0))
+				panic("wave: unknown kind of fault " + a.word(0))
 			}
 		}
 	}
--- a/internal/sim/script_users.go
+++ b/internal/sim/script_users.go
@@ -45,9 +45,9 @@
 		id, count := a.word(0), int(a.number("count", 10))
 		first, err := strconv.Atoi(strings.TrimPrefix(id, "req-"))
 		if err != nil {
-			panic("burst: " + id)
+			panic("burst: invalid job ID " + id)
 		}
-		cancelInterval := int(a.number("cancel", 0)) // one job of so many is cancelled, at a random time within its first seconds
+		cancelInterval := int(a.number("cancel", 0)) // every cancelInterval-th job is cancelled in its first seconds
 		rng := rand.New(rand.NewPCG(uint64(first), 7))
 		for i := range count {
 			job := s.parseJob(a)
