--- a/internal/sim/script_machines.go
+++ b/internal/sim/script_machines.go
@@ -2,51 +2,52 @@
 
 import "math/rand/v2"
 
-// Troubles of machines.
+// This file holds the verbs that inject faults into machines.
 
-// doNoBoot: machines that never come up.
+// doNoBoot makes the next machines that are rented never finish booting.
 func (s *script) doNoBoot(a args) func() {
 	w := s.w
 	return func() { w.Cloud.BootFailures = int(a.number("count", 1)) }
 }
 
-// doHang: a machine stands still.
+// doHang suspends a machine for some time.
 func (s *script) doHang(a args) func() {
 	w := s.w
 	return func() {
-		x := s.worker(a)
-		x.Hang(true)
-		w.After(a.duration("for", 5), func() { x.Hang(false) })
+		machine := s.worker(a)
+		machine.Hang(true)
+		w.After(a.duration("for", 5), func() { machine.Hang(false) })
 	}
 }
 
-// doDead: a machine stops with all that is on it; the list goes on naming it.
+// doDead stops a machine and all its tasks while the cloud's machine list still contains it.
 func (s *script) doDead(a args) func() {
 	return func() { s.worker(a).terminate() }
 }
 
-// doReborn: a machine is back at once, and counts from the beginning.
+// doReborn restarts a machine at once, with its session counter reset.
 func (s *script) doReborn(a args) func() {
 	return func() { s.worker(a).Restart() }
 }
 
-// doSick: a machine fails its tasks.
+// doSick makes a machine fail every task.
 func (s *script) doSick(a args) func() {
 	return func() { s.worker(a).Unhealthy = true }
 }
 
-// doNotice: a spot notice.
+// doNotice sends a machine a spot notice; the cloud reclaims the machine "in" seconds later.
 func (s *script) doNotice(a args) func() {
 	return func() { s.worker(a).SendSpotNotice(a.duration("in", 8)) }
 }
 
-// doTake: the cloud takes a machine.
+// doTake makes the cloud reclaim a machine without a notice.
 func (s *script) doTake(a args) func() {
 	w := s.w
 	return func() { w.Cloud.remove(s.worker(a).id) }
 }
 
-// doWave: many machines at once: hang, cut, deaf, mute, reborn, sick, or taken.
+// doWave injects one kind of fault into a random share of the machines at once: hang, cut, deaf
+// (inbound traffic lost), mute (outbound traffic lost), reborn, sick or taken.
 func (s *script) doWave(a args) func() {
 	w := s.w
 	return func() {
@@ -55,10 +56,10 @@
 			if rng.Float64() >= a.number("share", 0.3) {
 				continue
 			}
-			switch x := w.Cloud.Machines[id]; a.word(0) {
+			switch machine := w.Cloud.Machines[id]; a.word(0) {
 			case "hang":
-				x.Hang(true)
-				w.After(a.duration("for", 10), func() { x.Hang(false) })
+				machine.Hang(true)
+				w.After(a.duration("for", 10), func() { machine.Hang(false) })
 			case "cut":
 				s.compile("isolate", args{words: []string{"", "hold"}, pairs: map[string]string{"machine": id, "for": a.pairs["for"]}})()
 			case "deaf":
@@ -66,14 +67,14 @@
 			case "mute":
 				w.addHostFor(w.outboundLost, id, a.duration("for", 10))
 			case "reborn":
-				x.Restart()
+				machine.Restart()
 			case "sick":
-				x.Unhealthy = true
-				w.After(a.duration("for", 10), func() { x.Unhealthy = false })
+				machine.Unhealthy = true
+				w.After(a.duration("for", 10), func() { machine.Unhealthy = false })
 			case "taken":
 				w.Cloud.remove(id)
 			default:
-				panic("wave: " + a.word(0))
+				panic("wave: unknown kind of fault " + a.word(0))
 			}
 		}
 	}
--- a/internal/sim/script_setup.go
+++ b/internal/sim/script_setup.go
@@ -12,29 +12,29 @@
 	"lilacthread/wire"
 )
 
-// What a scenario is made of.
+// This file holds the verbs that set up a scenario.
 
-// doRun: how long the scenario is played.
+// doRun sets the time at which the run ends.
 func (s *script) doRun(a args) func() {
-	t, err := strconv.ParseFloat(a.word(0), 64)
+	seconds, err := strconv.ParseFloat(a.word(0), 64)
 	if err != nil {
 		panic("run: " + a.word(0))
 	}
-	return func() { s.until = Micros(t * 1e6) }
+	return func() { s.endTime = Micros(seconds * 1e6) }
 }
 
-// doTeam: a team and its limits.
+// doTeam adds a team with its guaranteed (cpus) and its greatest (max) number of CPUs.
 func (s *script) doTeam(a args) func() {
-	return func() { s.team(a.word(0), a.number("cpus", 0), a.number("max", 0)) }
+	return func() { s.addTeam(a.word(0), a.number("cpus", 0), a.number("max", 0)) }
 }
 
-// doType: a machine type.
+// doType adds a machine type to the cloud's catalog.
 func (s *script) doType(a args) func() {
 	w := s.w
 	return func() {
 		zones := []string{"a"}
-		if z := a.pairs["zones"]; z != "" {
-			zones = strings.Split(z, ",")
+		if list := a.pairs["zones"]; list != "" {
+			zones = strings.Split(list, ",")
 		}
 		w.Cloud.Types = append(w.Cloud.Types, wire.MachineType{Name: a.word(0), CPUs: a.number("cpus", 8), GPUs: a.number("gpus", 0),
 			MemoryGB: a.number("mem", 32), CacheGB: 50, FetchRate: a.number("fetch", 1), Price: a.number("price", 1),
@@ -42,45 +42,47 @@
 	}
 }
 
-// doCapacity: how many machines of a kind the cloud has.
+// doCapacity limits the number of machines of a kind (TYPE/ZONE or TYPE/ZONE/spot) that the cloud
+// still has.
 func (s *script) doCapacity(a args) func() {
 	w := s.w
 	return func() { w.Cloud.Capacity[a.word(0)] = int(a.number("count", 0)) }
 }
 
-// doAdmission: on, with the policy's names.
+// doAdmission enables admission control, with the pairs as further settings of the policy.
 func (s *script) doAdmission(a args) func() {
 	w := s.w
 	return func() {
 		program := "admission = True\n"
-		for _, k := range sortedKeys(a.pairs) {
-			program += k + " = " + a.pairs[k] + "\n"
+		for _, key := range sortedKeys(a.pairs) {
+			program += key + " = " + a.pairs[key] + "\n"
 		}
-		pol, err := policy.Parse(policy.Program{Name: "admission", Text: program})
+		parsed, err := policy.Parse(policy.Program{Name: "admission", Text: program})
 		if err != nil {
 			panic(err.Error())
 		}
-		w.policy = pol
+		w.policy = parsed
 	}
 }
 
-// doRelay: controllers that do not lead carry workers' connections.
+// doRelay enables relaying: controllers that do not lead hold workers' connections for the leader,
+// once it has at least as many workers as the key "workers" says.
 func (s *script) doRelay(a args) func() {
 	w := s.w
 	return func() {
-		pol := *w.policy
-		pol.Relay = policy.Relay{Enabled: true, MinWorkers: int(a.number("workers", 1))}
-		w.policy = &pol
+		withRelay := *w.policy
+		withRelay.Relay = policy.Relay{Enabled: true, MinWorkers: int(a.number("workers", 1))}
+		w.policy = &withRelay
 	}
 }
 
-// doReportChanges: workers report changes at once.
+// doReportChanges makes workers report changes at once; see World.ReportChanges.
 func (s *script) doReportChanges(a args) func() {
 	w := s.w
 	return func() { w.ReportChanges = true }
 }
 
-// doObjective: objective.
+// doObjective adds an objective for a class of jobs, with its time window in seconds.
 func (s *script) doObjective(a args) func() {
 	w := s.w
 	return func() {
@@ -89,32 +91,32 @@
 	}
 }
 
-// doFair: starvation is a rule on this day.
+// doFair makes the starvation of a class or team a rule violation.
 func (s *script) doFair(a args) func() {
 	w := s.w
 	return func() { w.Rules.CheckStarvation = true }
 }
 
-// doImpatient: users come back sooner than told.
+// doImpatient makes users retry after a fixed time instead of the Retry-After of the answer.
 func (s *script) doImpatient(a args) func() {
 	w := s.w
 	return func() { w.RetryInterval = a.duration("after", 0.2) }
 }
 
-// doRepeat: a verb again and again, where it can be done just then.
+// doRepeat schedules a verb several times at a fixed interval; see tryAt.
 func (s *script) doRepeat(a args) func() {
 	w := s.w
 	return func() {
-		at, each := w.now, args{words: a.words, pairs: maps.Clone(a.pairs)}
-		delete(each.pairs, "count")
+		at, repeated := w.now, args{words: a.words, pairs: maps.Clone(a.pairs)}
+		delete(repeated.pairs, "count")
 		for range int(a.number("count", 1)) {
-			s.tryAt(at, each)
+			s.tryAt(at, repeated)
 			at += a.duration("every", 1)
 		}
 	}
 }
 
-// doSettings: the next limits of the state service.
+// doSettings announces the next limits of the state service in the settings.
 func (s *script) doSettings(a args) func() {
 	w := s.w
 	return func() {
@@ -125,35 +127,35 @@
 	}
 }
 
-// doLimits: the next limits are in force.
+// doLimits makes the state service enforce the next limits.
 func (s *script) doLimits(a args) func() {
 	w := s.w
 	return func() { w.State.NextLimitsInForce = true }
 }
 
-// doWorkers: the workers' intervals.
+// doWorkers sets the workers' report interval, lease duration and cancel timeout, in seconds.
 func (s *script) doWorkers(a args) func() {
 	w := s.w
 	return func() {
-		p := &w.Config.Params.Workers
-		p.Report, p.Lease, p.Cancel = a.number("report", 1), a.number("lease", 10), a.number("cancel", p.Cancel)
+		params := &w.Config.Params.Workers
+		params.Report, params.Lease, params.Cancel = a.number("report", 1), a.number("lease", 10), a.number("cancel", params.Cancel)
 	}
 }
 
-// doStrict: see World.Strict.
+// doStrict enables the check of cancellation cascades; see World.CheckCancelCascade.
 func (s *script) doStrict(a args) func() {
 	w := s.w
 	return func() { w.CheckCancelCascade = true }
 }
 
-// doOld: nodes that run the version in production.
+// doOld makes controllers start with the version in production.
 func (s *script) doOld(a args) func() {
 	w := s.w
 	return func() {
 		for _, word := range a.words {
 			if word == "all" {
-				for _, n := range w.Nodes {
-					n.oldVersion = true
+				for _, node := range w.Nodes {
+					node.oldVersion = true
 				}
 			} else {
 				s.node(word).oldVersion = true
@@ -162,16 +164,16 @@
 	}
 }
 
-// doChaos: see chaos.
+// doChaos schedules random jobs and faults; see chaosPlan.
 func (s *script) doChaos(a args) func() {
 	return func() {
-		day := chaos{s: s, from: a.duration("from", 20), to: a.duration("to", 200), every: a.duration("every", 8), dependenciesFrom: a.duration("pipelines", 1e9),
+		plan := chaosPlan{s: s, from: a.duration("from", 20), to: a.duration("to", 200), every: a.duration("every", 8), dependenciesFrom: a.duration("pipelines", 1e9),
 			jobScale: int(a.number("size", 1)), extraFaults: int(a.number("more", 0)), pairedFaults: a.hasFlag("pairs")}
-		day.schedule(uint64(a.number("seed", 1)))
+		plan.schedule(uint64(a.number("seed", 1)))
 	}
 }
 
-// doExpect: see script.expectation.
+// doExpect adds an expectation; see expectation.
 func (s *script) doExpect(a args) func() {
 	return s.expectation(a)
 }
--- a/internal/sim/script_users.go
+++ b/internal/sim/script_users.go
@@ -10,24 +10,24 @@
 	"lilacthread/wire"
 )
 
-// What users do.
+// This file holds the verbs that act for users.
 
-// doSubmit: a user submits a job.
+// doSubmit makes a user submit a job.
 func (s *script) doSubmit(a args) func() {
 	w := s.w
-	job := s.job(a)
-	w.failingJobs[job.ID] = a.hasFlag("broken") // submitted with a mistake: it fails on every machine
+	job := s.parseJob(a)
+	w.failingJobs[job.ID] = a.hasFlag("broken") // its tasks fail on every machine
 	return func() {
-		if a.hasFlag("malformed") { // a field is missing
-			u := w.UserFor(job)
-			u.submitWith(u.malformedSubmission)
+		if a.hasFlag("malformed") { // the submission lacks a field
+			user := w.UserFor(job)
+			user.submitWith(user.malformedSubmission)
 			return
 		}
 		w.Submit(job)
 	}
 }
 
-// doMany: small jobs, req-100000 on.
+// doMany submits small array jobs with the IDs from req-100000 on.
 func (s *script) doMany(a args) func() {
 	w := s.w
 	return func() {
@@ -37,69 +37,72 @@
 	}
 }
 
-// doBurst: jobs like the one described, numbered from the id on.
+// doBurst submits "count" jobs of the same form, with consecutive IDs from the given one on, evenly
+// over "over" seconds.
 func (s *script) doBurst(a args) func() {
 	w := s.w
 	return func() {
 		id, count := a.word(0), int(a.number("count", 10))
 		first, err := strconv.Atoi(strings.TrimPrefix(id, "req-"))
 		if err != nil {
-			panic("burst: " + id)
+			panic("burst: invalid job ID " + id)
 		}
-		every := int(a.number("cancel", 0)) // so many are cancelled: each at some instant of its first seconds
+		cancelInterval := int(a.number("cancel", 0)) // every cancelInterval-th job is cancelled in its first seconds
 		rng := rand.New(rand.NewPCG(uint64(first), 7))
 		for i := range count {
-			job := s.job(a)
+			job := s.parseJob(a)
 			job.ID = fmt.Sprintf("req-%06d", first+i)
 			at := w.now + a.duration("over", 0)*Micros(i)/Micros(count)
 			w.At(at, func() { w.Submit(job) })
-			if every > 0 && i%every == 0 {
+			if cancelInterval > 0 && i%cancelInterval == 0 {
 				s.tryAt(at+Micros(rng.Int64N(int64(a.duration("within", 20)))), args{words: []string{"cancel", job.ID}})
 			}
 		}
 	}
 }
 
-// doResubmit: as it was, or with others: that fit nowhere, or are less; or without a field.
+// doResubmit repeats submissions: unchanged, with tasks that fit on no machine ("other"), with only
+// one task ("less"), or without a required field ("malformed").
 func (s *script) doResubmit(a args) func() {
 	w := s.w
 	return func() {
-		first, _ := strconv.Atoi(strings.TrimPrefix(a.word(0), "req-")) // checked when it was submitted
+		first, _ := strconv.Atoi(strings.TrimPrefix(a.word(0), "req-")) // the submission has checked the ID
 		for i := range int(a.number("count", 1)) {
-			u := w.Users[fmt.Sprintf("req-%06d", first+i)]
-			if u == nil {
+			user := w.Users[fmt.Sprintf("req-%06d", first+i)]
+			if user == nil {
 				panic("resubmit: nobody submitted " + a.word(0))
 			}
-			other := *u.job
+			changed := *user.job
 			switch {
 			case a.hasFlag("malformed"):
-				u.submitWith(u.malformedSubmission)
+				user.submitWith(user.malformedSubmission)
 				continue
 			case a.hasFlag("other"):
-				other.CPUs = 1e6
+				changed.CPUs = 1e6
 			case a.hasFlag("less"):
-				other.Tasks = 1
+				changed.Tasks = 1
 			}
-			u.submitWith(func(c *controller.Core, reply func(controller.Answer)) { c.Submit(&other, reply) })
+			user.submitWith(func(c *controller.Core, reply func(controller.Answer)) { c.Submit(&changed, reply) })
 		}
 	}
 }
 
-// doPoll: at a node, ready or not, or where the load balancer chooses.
+// doPoll makes a user query the state of a job, at the controller "at", even if it is not ready, or
+// at one that the load balancer chooses.
 func (s *script) doPoll(a args) func() {
 	w := s.w
 	return func() {
-		u := w.Users[a.word(0)]
-		if u == nil {
-			u = &User{w: w, job: &wire.Job{ID: a.word(0)}}
+		user := w.Users[a.word(0)]
+		if user == nil {
+			user = &User{w: w, job: &wire.Job{ID: a.word(0)}}
 		}
-		u.connectedNode = a.pairs["at"]
-		u.Poll(nil)
-		u.connectedNode = ""
+		user.connectedNode = a.pairs["at"]
+		user.Poll(nil)
+		user.connectedNode = ""
 	}
 }
 
-// doCancel: a user cancels a job.
+// doCancel makes a user cancel a job.
 func (s *script) doCancel(a args) func() {
 	w := s.w
 	return func() {
@@ -110,7 +113,7 @@
 	}
 }
 
-// doCloseLooks: see looks.
+// doCloseLooks makes users send bursts of requests at each event of a job; see prober.
 func (s *script) doCloseLooks(a args) func() {
 	w := s.w
 	return func() {
