--- a/internal/sim/bench_test.go
+++ b/internal/sim/bench_test.go
@@ -9,8 +9,8 @@
 	"lilacthread/wire/fb"
 )
 
-// bigWorld is a leader, and its followers if there are to be more nodes, of n machines,
-// each of which runs eight tasks.
+// newLoadedWorld returns an environment with the given number of controllers, one of them
+// leading, and about n machines, each of which runs eight tasks.
 func newLoadedWorld(b testing.TB, nodes, n int) *World {
 	w := NewWorld(nodes, []string{"a"}, 7)
 	s := &script{w: w}
@@ -26,22 +26,23 @@
 		w.At(second, s.compile("submit", parseArgs([]string{fmt.Sprintf("req-%06d", i), "array", "tasks=80", "cpus=2", "run=100000"})))
 	}
 	w.Run(150 * second)
-	if have := len(w.Cloud.Machines); have < n*9/10 {
-		b.Fatalf("%d machines: not the case meant", have)
+	if machines := len(w.Cloud.Machines); machines < n*9/10 {
+		b.Fatalf("%d machines are rented, fewer than nine tenths of those wanted", machines)
 	}
 	return w
 }
 
-func sizes(b *testing.B, f func(*testing.B, int)) {
+// forEachMachineCount runs a benchmark with several numbers of machines.
+func forEachMachineCount(b *testing.B, f func(*testing.B, int)) {
 	for _, n := range []int{250, 873, 1310, 1835, 2500, 3100, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { f(b, n) })
 	}
 }
 
-// BenchmarkReport takes in a worker's report in which nothing is new, decoding
-// and the answer's encoding included.
+// BenchmarkReport measures how a leader handles a worker's report without changes,
+// including the decoding of the report and the encoding of the answer.
 func BenchmarkReport(b *testing.B) {
-	sizes(b, func(b *testing.B, n int) {
+	forEachMachineCount(b, func(b *testing.B, n int) {
 		w := newLoadedWorld(b, 1, n)
 		ids := sortedKeys(w.Cloud.Machines)
 		i := 0
@@ -63,14 +64,14 @@
 	})
 }
 
-// BenchmarkRelayedReport takes in one report of a batch of a hundred that another controller
-// relays, decoding and the answer's encoding included: with its tasks, and without since
-// nothing is new.
+// BenchmarkRelayedReport measures how a leader handles one report of a batch of a hundred
+// from a relaying controller, including decoding and encoding: reports with their tasks
+// ("whole"), and reports without them since nothing has changed ("repeated").
 func BenchmarkRelayedReport(b *testing.B) {
 	const batch = 100
 	for name, repeated := range map[string]bool{"whole": false, "repeated": true} {
 		b.Run(name, func(b *testing.B) {
-			sizes(b, func(b *testing.B, n int) {
+			forEachMachineCount(b, func(b *testing.B, n int) {
 				w := newLoadedWorld(b, 1, n)
 				ids := sortedKeys(w.Cloud.Machines)
 				last := map[string]uint64{}
@@ -105,10 +106,10 @@
 	}
 }
 
-// BenchmarkSecond is a second of a leader's life in which nothing is new: ticks,
-// reports and what the stand-ins of everything else cost.
+// BenchmarkSecond measures one second of virtual time of a leader without changes: its
+// timers, the reports, and the cost of the simulated environment.
 func BenchmarkSecond(b *testing.B) {
-	sizes(b, func(b *testing.B, n int) {
+	forEachMachineCount(b, func(b *testing.B, n int) {
 		w := newLoadedWorld(b, 1, n)
 		for b.Loop() {
 			w.Run(w.now + second)
@@ -116,18 +117,18 @@
 	})
 }
 
-// BenchmarkTakeover is the load of all records by a new leader.
+// BenchmarkTakeover measures the start of a new leader until it has loaded all records.
 func BenchmarkTakeover(b *testing.B) {
-	sizes(b, func(b *testing.B, n int) {
+	forEachMachineCount(b, func(b *testing.B, n int) {
 		w := newLoadedWorld(b, 1, n)
 		for b.Loop() {
 			w.Nodes[0].Kill()
 			w.Nodes[0].Start()
-			from := w.now
+			start := w.now
 			for !w.Nodes[0].core.Serving() {
 				w.Run(w.now + second/100)
 			}
-			b.ReportMetric((w.now - from).Seconds(), "virtual-s")
+			b.ReportMetric((w.now - start).Seconds(), "virtual-s")
 			b.StopTimer()
 			w.Run(w.now + 30*second)
 			b.StartTimer()
@@ -135,9 +136,9 @@
 	})
 }
 
-// BenchmarkStart is the start of a process that follows: what it reads and what it costs.
+// BenchmarkStart measures the start of a follower until it is ready.
 func BenchmarkStart(b *testing.B) {
-	sizes(b, func(b *testing.B, n int) {
+	forEachMachineCount(b, func(b *testing.B, n int) {
 		w := newLoadedWorld(b, 3, n)
 		follower := w.Nodes[0]
 		if follower == w.Leader() {
@@ -146,11 +147,11 @@
 		for b.Loop() {
 			follower.Kill()
 			follower.Start()
-			from := w.now
+			start := w.now
 			for !follower.core.Ready() {
 				w.Run(w.now + second/100)
 			}
-			b.ReportMetric((w.now - from).Seconds(), "virtual-s")
+			b.ReportMetric((w.now - start).Seconds(), "virtual-s")
 		}
 	})
 }
--- a/internal/sim/bounds_test.go
+++ b/internal/sim/bounds_test.go
@@ -10,24 +10,24 @@
 	"lilacthread/wire/fb"
 )
 
-// TestBounds walks what the settings bound at half as many machines again as the largest
-// deployment, and beyond: requests, changes and value sizes of the state service, memory
-// of a controller, sockets, the peers' frames, in a calm time, through a takeover, and
-// while every process is started again.
+// TestBounds checks that the system stays within the limits of the settings with half as
+// many machines again as in the largest deployment, and with more: requests, changes and
+// value sizes of the state service, a controller's memory and sockets, and the peers'
+// frames. It covers steady operation, a takeover, and a restart of all controllers.
 func TestBounds(t *testing.T) {
 	for _, n := range []int{1850, 2500} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			if testing.Short() && n > 2000 {
-				t.Skip("the smaller one stands for it")
+				t.Skip("short mode runs the smaller size only")
 			}
 			w := newLoadedWorld(t, 3, n)
 			p := &w.Config.Params
-			reports := n // a worker has one connection, to the leader
+			workerConns := n // each worker has one connection, to the leader
 			p.Resources.FDLimit, p.Resources.MemoryMB = 3666, 322
-			if reports > w.Config.MaxClientConns()*9/10 {
-				t.Errorf("%d workers, %d connections are served", reports, w.Config.MaxClientConns())
+			if workerConns > w.Config.MaxClientConns()*9/10 {
+				t.Errorf("%d worker connections exceed nine tenths of the %d client connections allowed", workerConns, w.Config.MaxClientConns())
 			}
-			calm := w.State.PeakRequests
+			steadyPeak := w.State.PeakRequests
 			for round := range 2 {
 				if round == 0 {
 					w.Leader().Kill()
@@ -41,42 +41,43 @@
 						node.Start()
 					}
 				})
-				from := w.now
+				start := w.now
 				for w.Leader() == nil || !w.Leader().Up() || !w.Leader().core.Serving() {
-					if w.Run(w.now + second/20); w.now > from+10*second {
-						t.Fatalf("no leader serves after %v s", (w.now - from).Seconds())
+					if w.Run(w.now + second/20); w.now > start+10*second {
+						t.Fatalf("no leader serves %v s after the kill", (w.now - start).Seconds())
 					}
 				}
-				t.Logf("a leader serves %v s after round %d", (w.now - from).Seconds(), round)
+				t.Logf("a leader serves %v s after the kill in round %d", (w.now - start).Seconds(), round)
 				w.Run(w.now + 15*second)
-				if have := len(w.Cloud.Machines); have < n*9/10 {
-					t.Errorf("%d machines are left", have)
+				if machines := len(w.Cloud.Machines); machines < n*9/10 {
+					t.Errorf("only %d machines are left", machines)
 				}
 			}
-			t.Logf("requests in the busiest second: %d calm, %d in all; largest value %d bytes", calm, w.State.PeakRequests, w.State.LargestValue)
+			t.Logf("requests in the busiest second: %d in steady operation, %d in the whole run; largest value %d bytes", steadyPeak, w.State.PeakRequests, w.State.LargestValue)
 			if w.State.PeakRequests > int(p.State.RPS) || w.State.RefusedTxns > 0 || w.State.LargestValue > p.State.ValueBytes() {
-				t.Errorf("%d requests in a second, %d transactions refused, a value of %d bytes", w.State.PeakRequests, w.State.RefusedTxns, w.State.LargestValue)
+				t.Errorf("limit exceeded: %d requests in a second, %d transactions refused, a value of %d bytes", w.State.PeakRequests, w.State.RefusedTxns, w.State.LargestValue)
 			}
 			if len(w.Rules.Violations) > 0 {
 				t.Errorf("rules broken: %v", w.Rules.Violations)
 			}
-			before := allocated()
-			for _, node := range w.Nodes { // what the controllers alone hold
+			before := allocatedBytes()
+			for _, node := range w.Nodes { // so that only their memory is missing afterwards
 				node.Kill()
 				node.core = nil
 			}
 			w.queue = nil
-			held := before - allocated()
+			held := before - allocatedBytes()
 			t.Logf("three controllers hold %.1f MB", held/(1<<20))
 			if held > 0.4*p.Resources.MemoryMB*(1<<20) {
-				t.Errorf("%.1f MB of %v", held/(1<<20), p.Resources.MemoryMB)
+				t.Errorf("three controllers hold %.1f MB, more than 0.4 of the limit of %v MB for one", held/(1<<20), p.Resources.MemoryMB)
 			}
 			runtime.KeepAlive(w)
 		})
 	}
 }
 
-func allocated() float64 {
+// allocatedBytes returns the size of the live heap.
+func allocatedBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -84,19 +85,19 @@
 	return float64(m.HeapAlloc)
 }
 
-// TestFrames: a greeting and its answer fit in a frame with more teams and classes than
-// any deployment has, and as many refused jobs as a node names.
+// TestFrames checks that a greeting with its answer's contents fits in a frame, with more
+// teams and classes than any deployment has and as many refused jobs as a node reports.
 func TestFrames(t *testing.T) {
 	const accounts = 50 * 20
 	m := &peer.Msg{Kind: fb.KindHello, AdmissionNotice: &admit.Notice{Accounts: make([]admit.Arrivals, accounts), Refusals: make([]admit.Refusal, 512)},
 		AdmissionTable: &admit.Table{Accounts: make([]admit.Entry, accounts)}}
 	if n := len(m.Encode()); n > peer.MaxFrameBytes {
-		t.Errorf("%d bytes of %d", n, peer.MaxFrameBytes)
+		t.Errorf("frame has %d bytes, limit %d", n, peer.MaxFrameBytes)
 	}
 }
 
-// TestNoticesGoToTheLeader: what each account's submissions ask for is told to the leader, who
-// alone can use it, and to others only while nobody knows who leads.
+// TestNoticesGoToTheLeader checks that controllers send admission notices only to the
+// leader, the only one that can use them, while they know who leads.
 func TestNoticesGoToTheLeader(t *testing.T) {
 	w := NewWorld(5, []string{"a"}, 7)
 	s := &script{w: w}
@@ -110,13 +111,13 @@
 	w.Run(40 * second)
 	leader := w.Leader().name
 	if w.Notices[leader] < 100 || len(w.Notices) != 1 {
-		t.Errorf("%v with %s leading", w.Notices, leader)
+		t.Errorf("notices by node: %v; leader %s", w.Notices, leader)
 	}
 	w.Leader().Kill()
 	w.Run(50 * second)
 	clear(w.Notices)
 	w.Run(70 * second)
 	if next := w.Leader().name; next == leader || w.Notices[next] < 50 {
-		t.Errorf("%v with %s leading", w.Notices, next)
+		t.Errorf("notices by node: %v; leader %s", w.Notices, next)
 	}
 }
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -9,258 +9,266 @@
 	"lilacthread/wire"
 )
 
-// Checker watches the protocol's rules. Names of broken rules are the
-// protocol's.
+// Checker records the jobs and tasks of a run and reports every violation of the
+// protocol's rules. Each violation begins with the name of the broken rule.
 type Checker struct {
 	Violations       []string
 	Now              func() Micros
-	TeamLimits       map[string]float64 // CPUs a team may use; 0: no limit
-	CheckStarvation  bool               // starvation of a class or team counts as a broken rule
-	LongestObjective map[string]Micros  // the widest aim of a class
-	faultWindowEnd   Micros             // when the last trouble ends
+	TeamLimits       map[string]float64 // limit in CPUs by team; 0: no limit
+	CheckStarvation  bool               // report starved classes and teams, and late large jobs, as violations
+	LongestObjective map[string]Micros  // longest service-level objective by class
+	faultWindowEnd   Micros             // end of the last injected fault
 	jobs             map[string]*trackedJob
-	machinesByTask   map[string]map[string]bool // task -> machines it is on
-	usage            map[string]float64
+	machinesByTask   map[string]map[string]bool // task -> machines that hold it
+	usage            map[string]float64         // CPUs in use by team
 	taskStarts       int
 }
 
+// trackedJob is what the checker knows about one job. Times of 0 mean never.
 type trackedJob struct {
-	job             *wire.Job
-	accepted        bool
-	finalPhase      string
-	cancelRequested bool
-	goneBy          Micros // when all tasks of a cancelled job must be gone
-	told            bool
-	toldAt          Micros
-	acceptedAt      Micros // when it was accepted
-	first           Micros // attempt to submit it
-	asked           Micros // the first question since the last that was answered; 0: none
-	doneTasks       map[int]bool
-	doneAt          Micros // when the last of them was
-	began           Micros // when its first task was on a machine; 0: never
-	whole           Micros // when all were at once
-	zones           map[string]int
-	placeableSince  Micros // since when it waits although it could be placed; 0: it does not
+	job               *wire.Job
+	accepted          bool
+	finalPhase        string
+	cancelRequested   bool
+	cancelDeadline    Micros // after this time no task of the cancelled job may be on a machine
+	cancelConfirmed   bool   // a user was answered that the job is cancelled
+	cancelConfirmedAt Micros
+	acceptedAt        Micros // when the first answer said so
+	firstAttempt      Micros // first attempt to submit the job
+	unansweredSince   Micros // first request since the last answered one
+	doneTasks         map[int]bool
+	doneAt            Micros         // when its last task was completed
+	startedAt         Micros         // when its first task was started on a machine
+	fullyStartedAt    Micros         // when all its tasks were first on machines at the same time
+	tasksByZone       map[string]int // tasks on machines by zone
+	placeableSince    Micros         // since when it has waited although it could be placed
 }
 
-// NewChecker makes a checker.
+// NewChecker returns a checker without jobs whose clock stands at 0.
 func NewChecker() *Checker {
 	return &Checker{Now: func() Micros { return 0 }, TeamLimits: map[string]float64{}, LongestObjective: map[string]Micros{}, jobs: map[string]*trackedJob{}, machinesByTask: map[string]map[string]bool{}, usage: map[string]float64{}}
 }
 
+// addViolation records a violation of a rule with the current time in seconds.
 func (c *Checker) addViolation(rule, format string, args ...any) {
 	c.Violations = append(c.Violations, fmt.Sprintf("%s: %s at %v s", rule, fmt.Sprintf(format, args...), c.Now().Seconds()))
 }
 
-// Known tells the checker of a job that a user is about to submit.
+// AddJob registers a job that a user is about to submit.
 func (c *Checker) AddJob(job *wire.Job) {
-	c.jobs[job.ID] = &trackedJob{job: job, first: c.Now(), doneTasks: map[int]bool{}, zones: map[string]int{}}
+	c.jobs[job.ID] = &trackedJob{job: job, firstAttempt: c.Now(), doneTasks: map[int]bool{}, tasksByZone: map[string]int{}}
 }
 
-// TasksStarted is how many tasks have begun on machines.
+// TaskStarts returns how many times a task was started on a machine.
 func (c *Checker) TaskStarts() int { return c.taskStarts }
 
-// Waits tells of each job when its user first tried to submit it and when its first task
-// was on a machine, 0 if none was.
-func (c *Checker) EachWait(tell func(job *wire.Job, first, began Micros)) {
+// EachWait calls visit for every job with the time of the first attempt to submit it and
+// the time at which its first task was started, 0 if none was.
+func (c *Checker) EachWait(visit func(job *wire.Job, firstAttempt, startedAt Micros)) {
 	for _, id := range sortedKeys(c.jobs) {
-		tell(c.jobs[id].job, c.jobs[id].first, c.jobs[id].began)
+		visit(c.jobs[id].job, c.jobs[id].firstAttempt, c.jobs[id].startedAt)
 	}
 }
 
-// Known facts of a job when a request was sent: only these bind its answer,
-// since answers to concurrent requests may overtake one another.
+// knownFacts are the facts about a job at the time when a request is sent. Only these
+// constrain the answer, since answers to concurrent requests may overtake one another.
 type knownFacts struct {
-	accepted bool
-	final    string
-	orphan   bool // a job before it was cancelled so long ago that it must be too
+	accepted   bool
+	finalPhase string
+	orphaned   bool // a job that it depends on was cancelled so long ago that this job must be cancelled too
 }
 
-// Asking notes the facts that bind the answer to a request sent now, and since when the
-// user wants to know.
+// BeginRequest returns the facts that constrain the answer to a request sent now. For an
+// accepted job it also notes that a request is waiting for an answer.
 func (c *Checker) BeginRequest(id string) knownFacts {
-	if j := c.jobs[id]; j != nil && j.accepted && j.asked == 0 {
-		j.asked = max(c.Now(), 1)
+	if j := c.jobs[id]; j != nil && j.accepted && j.unansweredSince == 0 {
+		j.unansweredSince = max(c.Now(), 1)
 	}
 	return c.factsFor(id)
 }
 
-// binding gives the facts that bind the answer to a request sent now.
+// factsFor returns the facts that constrain the answer to a request sent now.
 func (c *Checker) factsFor(id string) knownFacts {
 	if j := c.jobs[id]; j != nil {
-		late := func(n *trackedJob) bool { return n.told && c.Now() > max(n.goneBy, j.acceptedAt+n.goneBy-n.toldAt) }
-		return knownFacts{j.accepted, j.finalPhase, j.accepted && c.before(j, late)}
+		overdue := func(n *trackedJob) bool {
+			return n.cancelConfirmed && c.Now() > max(n.cancelDeadline, j.acceptedAt+n.cancelDeadline-n.cancelConfirmedAt)
+		}
+		return knownFacts{j.accepted, j.finalPhase, j.accepted && c.anyUpstream(j, overdue)}
 	}
 	return knownFacts{}
 }
 
-// before reports whether something holds for a job or any that it needs.
-func (c *Checker) before(j *trackedJob, holds func(*trackedJob) bool) bool {
+// anyUpstream reports whether a condition holds for a job or for any job that it depends
+// on, directly or indirectly.
+func (c *Checker) anyUpstream(j *trackedJob, holds func(*trackedJob) bool) bool {
 	if holds(j) {
 		return true
 	}
 	for _, id := range j.job.DependsOn {
-		if n := c.jobs[id]; n != nil && n != j && c.before(n, holds) {
+		if n := c.jobs[id]; n != nil && n != j && c.anyUpstream(n, holds) {
 			return true
 		}
 	}
 	return false
 }
 
-// Dependents lists the accepted jobs that need a job, directly or through others.
+// Dependents returns the accepted jobs that depend on a job, directly or indirectly.
 func (c *Checker) Dependents(id string) []string {
 	var out []string
 	for _, other := range sortedKeys(c.jobs) {
-		if j := c.jobs[other]; other != id && j.accepted && c.before(j, func(n *trackedJob) bool { return n.job.ID == id }) {
+		if j := c.jobs[other]; other != id && j.accepted && c.anyUpstream(j, func(n *trackedJob) bool { return n.job.ID == id }) {
 			out = append(out, other)
 		}
 	}
 	return out
 }
 
-// mayCancel reports whether a user's wish allows a job to be called cancelled.
+// cancelAllowed reports whether a job may be reported cancelled: a user requested its
+// cancellation or that of a job that it depends on.
 func (c *Checker) cancelAllowed(j *trackedJob) bool {
-	return c.before(j, func(n *trackedJob) bool { return n.cancelRequested })
+	return c.anyUpstream(j, func(n *trackedJob) bool { return n.cancelRequested })
 }
 
-// Submitted judges the answer to a submission.
-func (c *Checker) CheckSubmitAnswer(id string, f knownFacts, a controller.Answer) {
+// CheckSubmitAnswer checks the answer to a submission.
+func (c *Checker) CheckSubmitAnswer(id string, known knownFacts, answer controller.Answer) {
 	j := c.jobs[id]
-	switch a.Code {
+	switch answer.Code {
 	case 200, 201:
-		j.asked = 0
+		j.unansweredSince = 0
 		if !j.accepted {
 			j.accepted, j.acceptedAt = true, c.Now()
 		}
-		c.phase(id, f, a)
+		c.checkPhase(id, known, answer)
 	case 400, 422:
-		if f.accepted {
-			c.addViolation("forgotten", "%s: repeated submission got %d", id, a.Code)
+		if known.accepted {
+			c.addViolation("forgotten", "accepted job %s: a repeated submission got status %d", id, answer.Code)
 		}
 	}
 }
 
-// Polled judges the answer to a query or cancellation.
-func (c *Checker) CheckStatusAnswer(id string, f knownFacts, a controller.Answer) {
+// CheckStatusAnswer checks the answer to a status query or a cancellation.
+func (c *Checker) CheckStatusAnswer(id string, known knownFacts, answer controller.Answer) {
 	j := c.jobs[id]
 	switch {
-	case a.Code == 200 && j == nil:
-		c.addViolation("invented", "%s", id)
-	case a.Code == 404 && f.accepted:
-		c.addViolation("forgotten", "%s: 404", id)
-	case a.Code == 200:
-		j.asked = 0
-		c.phase(id, f, a)
+	case answer.Code == 200 && j == nil:
+		c.addViolation("invented", "job %s has a status but was never submitted", id)
+	case answer.Code == 404 && known.accepted:
+		c.addViolation("forgotten", "accepted job %s: a request got status 404", id)
+	case answer.Code == 200:
+		j.unansweredSince = 0
+		c.checkPhase(id, known, answer)
 	}
 }
 
-// Trouble notes that something goes wrong until then.
+// ExtendFaultWindow notes that an injected fault lasts until the given time.
 func (c *Checker) ExtendFaultWindow(until Micros) { c.faultWindowEnd = max(c.faultWindowEnd, until) }
 
-// unknownAfter is how long no question about a job may stay without an answer once all
-// troubles are over.
-const unknownAfter = 75 * second
+// maxUnanswered is how long requests about an accepted job may stay unanswered after the
+// last injected fault has ended.
+const maxUnanswered = 75 * second
 
-func (c *Checker) phase(id string, f knownFacts, a controller.Answer) {
+// checkPhase checks the phase in a successful answer.
+func (c *Checker) checkPhase(id string, known knownFacts, answer controller.Answer) {
 	j := c.jobs[id]
-	phase := a.Status.Phase
-	if f.final != "" && phase != f.final {
-		c.addViolation("went_back", "%s: %s after %s", id, phase, f.final)
+	phase := answer.Status.Phase
+	if known.finalPhase != "" && phase != known.finalPhase {
+		c.addViolation("went_back", "job %s has phase %s after final phase %s", id, phase, known.finalPhase)
 	}
 	switch phase {
 	case wire.PhaseQueued, wire.PhaseRunning:
-		if f.orphan {
-			c.addViolation("orphaned", "%s is called %s", id, phase)
+		if known.orphaned {
+			c.addViolation("orphaned", "job %s has phase %s although a job that it depends on is cancelled", id, phase)
 		}
 	case wire.PhaseDone:
 		if len(j.doneTasks) < j.job.Tasks {
-			c.addViolation("not_done", "%s: %d of %d tasks are", id, len(j.doneTasks), j.job.Tasks)
+			c.addViolation("not_done", "job %s is reported done with %d of %d tasks completed", id, len(j.doneTasks), j.job.Tasks)
 		}
 		j.finalPhase = phase
 	case wire.PhaseCancelled:
 		if !c.cancelAllowed(j) {
-			c.addViolation("went_back", "%s: cancelled by nobody", id)
+			c.addViolation("went_back", "job %s is reported cancelled without a request to cancel it", id)
 		}
 		j.finalPhase = phase
 	}
 }
 
-// AskedCancel notes a user's wish.
+// CancelRequested notes that a user has requested the cancellation of a job.
 func (c *Checker) CancelRequested(id string) {
 	if j := c.jobs[id]; j != nil {
 		j.cancelRequested = true
 	}
 }
 
-// ToldCancelled notes the answer and when every task must be gone.
+// CancelConfirmed notes that a user was answered that a job is cancelled, and the time
+// after which none of its tasks may be on a machine.
 func (c *Checker) CancelConfirmed(id string, goneBy Micros) {
-	if j := c.jobs[id]; j != nil && !j.told {
-		j.told, j.toldAt, j.goneBy = true, c.Now(), goneBy
+	if j := c.jobs[id]; j != nil && !j.cancelConfirmed {
+		j.cancelConfirmed, j.cancelConfirmedAt, j.cancelDeadline = true, c.Now(), goneBy
 	}
 }
 
-// Started judges a task that begins on a machine.
-func (c *Checker) TaskStarted(now Micros, task, machine, typ, zone string, spot bool) {
+// TaskStarted checks a task that starts on a machine.
+func (c *Checker) TaskStarted(now Micros, task, machine, machineType, zone string, spot bool) {
 	c.taskStarts++
 	id, _, _ := wire.SplitTask(task)
 	j := c.jobs[id]
 	if j == nil {
-		c.addViolation("invented", "%s started", task)
+		c.addViolation("invented", "task %s started but its job was never submitted", task)
 		return
 	}
 	for other := range c.machinesByTask[task] {
 		if other != machine {
-			c.addViolation("ran_twice", "%s on %s and %s", task, other, machine)
+			c.addViolation("ran_twice", "task %s is on machines %s and %s", task, other, machine)
 		}
 	}
-	if j.told && now > j.goneBy {
-		c.addViolation("ran_cancelled", "%s started", task)
+	if j.cancelConfirmed && now > j.cancelDeadline {
+		c.addViolation("ran_cancelled", "task %s started after its cancelled job had to be off all machines", task)
 	}
 	for _, need := range j.job.DependsOn {
-		if n := c.jobs[need]; n == nil || len(n.doneTasks) < n.job.Tasks {
-			c.addViolation("too_early", "%s started before %s was done", task, need)
+		if dependency := c.jobs[need]; dependency == nil || len(dependency.doneTasks) < dependency.job.Tasks {
+			c.addViolation("too_early", "task %s started before job %s was done", task, need)
 		}
 	}
-	s := j.job
-	wrong := spot && !s.Spot || s.Zone != "" && s.Zone != zone
-	if len(s.Types) > 0 {
+	job := j.job
+	misplaced := spot && !job.Spot || job.Zone != "" && job.Zone != zone
+	if len(job.Types) > 0 {
 		allowed := false
-		for _, t := range s.Types {
-			allowed = allowed || t == typ
+		for _, t := range job.Types {
+			allowed = allowed || t == machineType
 		}
-		wrong = wrong || !allowed
+		misplaced = misplaced || !allowed
 	}
-	for z, n := range j.zones {
-		wrong = wrong || s.OneZone && n > 0 && z != zone
+	for z, n := range j.tasksByZone {
+		misplaced = misplaced || job.OneZone && n > 0 && z != zone
 	}
-	if s.Spread && j.zones[zone]+1 > (s.Tasks+1)/2 {
-		wrong = true
+	if job.Spread && j.tasksByZone[zone]+1 > (job.Tasks+1)/2 {
+		misplaced = true
 	}
-	if wrong {
-		c.addViolation("wrong_place", "%s on %s in %s", task, typ, zone)
+	if misplaced {
+		c.addViolation("wrong_place", "task %s started on machine type %s in zone %s against its job's constraints", task, machineType, zone)
 	}
 	if c.machinesByTask[task] == nil {
 		c.machinesByTask[task] = map[string]bool{}
 	}
 	c.machinesByTask[task][machine] = true
-	if j.began == 0 {
-		j.began = max(c.Now(), 1)
+	if j.startedAt == 0 {
+		j.startedAt = max(c.Now(), 1)
 	}
-	j.zones[zone]++
-	on := 0
-	for _, n := range j.zones {
-		on += n
+	j.tasksByZone[zone]++
+	placed := 0
+	for _, n := range j.tasksByZone {
+		placed += n
 	}
-	if on == s.Tasks && j.whole == 0 {
-		j.whole = max(c.Now(), 1)
+	if placed == job.Tasks && j.fullyStartedAt == 0 {
+		j.fullyStartedAt = max(c.Now(), 1)
 	}
-	c.usage[s.Team] += s.CPUs
-	if limit := c.TeamLimits[s.Team]; limit > 0 && c.usage[s.Team] > limit+1e-6 {
-		c.addViolation("quota", "%s uses %v of %v", s.Team, c.usage[s.Team], limit)
+	c.usage[job.Team] += job.CPUs
+	if limit := c.TeamLimits[job.Team]; limit > 0 && c.usage[job.Team] > limit+1e-6 {
+		c.addViolation("quota", "team %s uses %v CPUs of %v allowed", job.Team, c.usage[job.Team], limit)
 	}
 }
 
-// Left notes that a task is not on a machine any more.
+// TaskRemoved notes that a task is no longer on a machine.
 func (c *Checker) TaskRemoved(task, machine, zone string) {
 	if !c.machinesByTask[task][machine] {
 		return
@@ -268,12 +276,12 @@
 	delete(c.machinesByTask[task], machine)
 	id, _, _ := wire.SplitTask(task)
 	if j := c.jobs[id]; j != nil {
-		j.zones[zone]--
+		j.tasksByZone[zone]--
 		c.usage[j.job.Team] -= j.job.CPUs
 	}
 }
 
-// Completed notes that a task is done; it reports whether its job is with it.
+// TaskCompleted notes that a task is completed. It reports whether its job is thereby done.
 func (c *Checker) TaskCompleted(task string) bool {
 	id, index, _ := wire.SplitTask(task)
 	if j := c.jobs[id]; j != nil {
@@ -286,48 +294,51 @@
 	return false
 }
 
-// Sweep judges what time alone makes wrong.
+// CheckOverdue reports tasks of cancelled jobs that are still on machines after the
+// deadline, and accepted jobs whose requests have been unanswered for too long.
 func (c *Checker) CheckOverdue(now Micros) {
-	c.judgeKnown(now)
+	c.checkUnanswered(now)
 	for _, task := range sortedKeys(c.machinesByTask) {
 		id, _, _ := wire.SplitTask(task)
-		if j := c.jobs[id]; j != nil && j.told && now > j.goneBy && len(c.machinesByTask[task]) > 0 {
-			c.addViolation("ran_cancelled", "%s is still on a machine", task)
-			j.told = false // once is enough
+		if j := c.jobs[id]; j != nil && j.cancelConfirmed && now > j.cancelDeadline && len(c.machinesByTask[task]) > 0 {
+			c.addViolation("ran_cancelled", "task %s of a cancelled job is still on a machine", task)
+			j.cancelConfirmed = false // report each cancelled job once
 		}
 	}
 }
 
-// judgeKnown holds the day to this: what was accepted, and not cancelled, stays known,
-// however others fare. A refusal, an error and silence are no answers.
-func (c *Checker) judgeKnown(now Micros) {
+// checkUnanswered requires that requests about an accepted job that nobody has asked to
+// cancel are answered, whatever happens to other jobs. A refusal, an error or a timeout
+// does not count as an answer.
+func (c *Checker) checkUnanswered(now Micros) {
 	for _, id := range sortedKeys(c.jobs) {
-		if j := c.jobs[id]; j.accepted && !j.cancelRequested && j.asked > 0 && now-max(j.asked, c.faultWindowEnd) > unknownAfter {
-			c.addViolation("forgotten", "%s: no question is answered for 75 s", id)
-			j.asked = 0 // once is enough
+		if j := c.jobs[id]; j.accepted && !j.cancelRequested && j.unansweredSince > 0 && now-max(j.unansweredSince, c.faultWindowEnd) > maxUnanswered {
+			c.addViolation("forgotten", "no request about accepted job %s was answered for 75 s", id)
+			j.unansweredSince = 0 // report each gap once
 		}
 	}
 }
 
-// Finish judges the whole day.
+// CheckFinal checks the rules that apply to the run as a whole.
 func (c *Checker) CheckFinal() {
 	if c.taskStarts == 0 && len(c.jobs) > 0 {
 		c.addViolation("nothing_ran", "no task was started")
 	}
 	if c.CheckStarvation {
-		c.judgeFair()
-		c.judgeLargest()
+		c.checkGroupShares()
+		c.checkLargestJobs()
 	}
 }
 
-// judgeFair holds the day to what its operators call failed: less than half of a class of
-// jobs, or of a team's, served. What served means is left open by them, so each reading
-// counts, by the number of jobs: accepted; begun at all; and begun and done within the
-// widest aims of the class. By the last one a day may ask for more than can be done: then
-// a class or team starves if it has less than three quarters of what all have, while
-// another has more than that.
-func (c *Checker) judgeFair() {
-	type tally struct{ jobs, accepted, begun, late, inTime float64 }
+// checkGroupShares reports a class or team as starved if less than half of its jobs are
+// served, which is what operators call a failure. Operators leave open what served means,
+// so three definitions are checked, each by the number of jobs: accepted; started; and
+// done within the longest objective of the class. Under the third definition the demand
+// may exceed the capacity, so a class or team counts as starved only if its share is also
+// below three quarters of the overall share while the share of another is above the
+// overall one.
+func (c *Checker) checkGroupShares() {
+	type tally struct{ jobs, accepted, started, late, inTime float64 }
 	all, groups := &tally{}, map[string]*tally{}
 	group := func(name string) *tally {
 		if groups[name] == nil {
@@ -336,8 +347,8 @@
 		return groups[name]
 	}
 	for _, j := range c.jobs {
-		widest := c.LongestObjective[j.job.Class]
-		if j.cancelRequested || j.accepted && j.acceptedAt+max(widest, settled) > c.Now() {
+		longest := c.LongestObjective[j.job.Class]
+		if j.cancelRequested || j.accepted && j.acceptedAt+max(longest, minAcceptedAge) > c.Now() {
 			continue
 		}
 		for _, g := range []*tally{all, group("class " + j.job.Class), group("team " + j.job.Team)} {
@@ -345,82 +356,85 @@
 			if j.accepted {
 				g.accepted++
 			}
-			if j.began > 0 {
-				g.begun++
+			if j.startedAt > 0 {
+				g.started++
 			}
-			if widest == 0 || j.job.Kind == wire.KindService {
+			if longest == 0 || j.job.Kind == wire.KindService {
 				continue
 			}
-			if j.accepted && j.doneAt > 0 && j.doneAt-j.acceptedAt <= widest {
+			if j.accepted && j.doneAt > 0 && j.doneAt-j.acceptedAt <= longest {
 				g.inTime++
 			} else {
 				g.late++
 			}
 		}
 	}
-	equal := all.inTime / max(all.inTime+all.late, 1)
-	best := 0.0
+	overallShare := all.inTime / max(all.inTime+all.late, 1)
+	bestShare := 0.0
 	for _, g := range groups {
 		if n := g.inTime + g.late; n > 0 {
-			best = max(best, g.inTime/n)
+			bestShare = max(bestShare, g.inTime/n)
 		}
 	}
 	for _, name := range sortedKeys(groups) {
 		g := groups[name]
 		if share := g.accepted / g.jobs; share < 0.5 {
-			c.addViolation("starved", "%s: %.2f accepted", name, share)
+			c.addViolation("starved", "%s: share of jobs accepted is %.2f", name, share)
 		}
-		if share := g.begun / g.jobs; share < 0.5 {
-			c.addViolation("starved", "%s: %.2f begun", name, share)
+		if share := g.started / g.jobs; share < 0.5 {
+			c.addViolation("starved", "%s: share of jobs started is %.2f", name, share)
 		}
-		if n := g.inTime + g.late; n > 0 && g.inTime/n < 0.5 && g.inTime/n < 0.75*equal && best > equal+0.01 {
-			c.addViolation("starved", "%s is served to %.2f, all to %.2f, another to %.2f", name, g.inTime/n, equal, best)
+		if n := g.inTime + g.late; n > 0 && g.inTime/n < 0.5 && g.inTime/n < 0.75*overallShare && bestShare > overallShare+0.01 {
+			c.addViolation("starved", "%s: share of jobs done in time is %.2f, overall %.2f, highest of a group %.2f", name, g.inTime/n, overallShare, bestShare)
 		}
 	}
 }
 
-// beginWithin is when the largest jobs of a class have to have begun, counted from the
-// first attempt to submit them.
-const beginWithin = 240 * second
-
-// judgeLargest holds the day to what its operators say of a class's largest jobs: half of
-// them served, and begun within four minutes. Which those are they don't say: both the top
-// tenth and the top quarter are judged, by tasks times the dominant resource of one, with
-// eight CPUs as good as an accelerator. A gang has begun when all of it is on machines.
-func (c *Checker) judgeLargest() {
+// maxStartDelay is how long after the first attempt to submit it one of the largest jobs
+// of a class may start.
+const maxStartDelay = 240 * second
+
+// checkLargestJobs checks what operators require of a class's largest jobs: half of them
+// are accepted and start within four minutes. Operators don't define which jobs are
+// the largest, so both the top tenth and the top quarter are checked, ranked by the number
+// of tasks times the dominant resource of a task, where eight CPUs equal one GPU. A gang
+// has started when all its tasks are on machines. In the top tenth, every job that does
+// not start in time is a violation of its own.
+func (c *Checker) checkLargestJobs() {
 	classes := map[string][]*trackedJob{}
 	size := func(j *trackedJob) float64 { return float64(j.job.Tasks) * max(j.job.CPUs, 8*j.job.GPUs) }
 	for _, id := range sortedKeys(c.jobs) {
-		if j := c.jobs[id]; !j.cancelRequested && j.first+beginWithin < c.Now() {
+		if j := c.jobs[id]; !j.cancelRequested && j.firstAttempt+maxStartDelay < c.Now() {
 			classes[j.job.Class] = append(classes[j.job.Class], j)
 		}
 	}
 	for _, class := range sortedKeys(classes) {
 		list := classes[class]
 		slices.SortStableFunc(list, func(a, b *trackedJob) int { return cmp.Compare(size(b), size(a)) })
-		for _, part := range []int{10, 4} {
-			top := list[:(len(list)+part-1)/part]
-			accepted, begun := 0, 0
-			for _, j := range top {
-				at := j.began
+		for _, divisor := range []int{10, 4} {
+			largest := list[:(len(list)+divisor-1)/divisor]
+			accepted, started := 0, 0
+			for _, j := range largest {
+				startedAt := j.startedAt
 				if j.job.Kind == wire.KindGang {
-					at = j.whole
+					startedAt = j.fullyStartedAt
 				}
 				if j.accepted {
 					accepted++
 				}
-				if at > 0 && at-j.first <= beginWithin {
-					begun++
-				} else if part == 10 {
-					c.addViolation("late", "%s, one of the largest of class %s, has not begun after 240 s", j.job.ID, class)
+				if startedAt > 0 && startedAt-j.firstAttempt <= maxStartDelay {
+					started++
+				} else if divisor == 10 {
+					c.addViolation("late", "job %s, one of the largest of class %s, did not start within 240 s", j.job.ID, class)
 				}
 			}
-			if 2*accepted < len(top) || 2*begun < len(top) {
-				c.addViolation("starved", "largest of class %s: of %d, %d accepted, %d begun", class, len(top), accepted, begun)
+			if 2*accepted < len(largest) || 2*started < len(largest) {
+				c.addViolation("starved", "largest jobs of class %s: of %d jobs, %d accepted, %d started in time", class, len(largest), accepted, started)
 			}
 		}
 	}
 }
 
-// settled is how long a job must have been accepted to be counted.
-const settled = 60 * second
+// minAcceptedAge is how long ago an accepted job must have been accepted to count in
+// checkGroupShares; the longest objective of its class counts instead if it is longer.
+const minAcceptedAge = 60 * second
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -8,37 +8,40 @@
 	"lilacthread/wire"
 )
 
-// Cloud is the stand-in of the cloud; it also keeps the machines' workers.
+// Cloud simulates the cloud and holds the machines with their workers.
 type Cloud struct {
 	w                  *World
 	Types              []wire.MachineType
-	Capacity           map[string]int // by type/zone/kind; missing: unlimited
-	Machines           map[string]*Worker
-	bids               map[string][]string
-	intended           map[string]bool   // names of rentals sent under LevelIntents
-	bidOf              map[string]string // of the machines rented under LevelIntents
-	DelayedReleases    int               // that were carried out
-	StaleReleaseLosses int               // tasks that a return took along whose caller leads no more
-	rentedCount        int
-	Outage             bool
-	BootFailures       int    // so many of the next machines never come up
-	NextRentDelay      Micros // the next rental is executed this much later, with no answer
-	NextReleaseDelay   Micros // the next return is executed this much later, with no answer
-	BootTime           Micros // boot time; 0: the type's
+	Capacity           map[string]int      // machines left by type/zone or type/zone/spot; missing: unlimited
+	Machines           map[string]*Worker  // rented machines by ID
+	machinesByRequest  map[string][]string // machine IDs by the request ID of the rental
+	intentRequests     map[string]bool     // request IDs of rentals requested at LevelIntents or above
+	requestByMachine   map[string]string   // request ID by machine, until checkRentedRecorded drops it
+	DelayedReleases    int                 // delayed releases (NextReleaseDelay) that were executed
+	StaleReleaseLosses int                 // tasks lost to releases executed after their sender had lost the lead
+	rentedCount        int                 // machines rented so far; it numbers them
+	Outage             bool                // requests are refused
+	BootFailures       int                 // number of machines, starting with the next one, that never boot
+	NextRentDelay      Micros              // delay of the next rental, which gets no answer; 0: none
+	NextReleaseDelay   Micros              // delay of the next release, which gets no answer; 0: none
+	BootTime           Micros              // boot time of every machine; 0: its type's boot time
 }
 
+// newCloud returns a cloud without machine types, machines and capacity limits.
 func newCloud(w *World) *Cloud {
-	return &Cloud{w: w, Capacity: map[string]int{}, Machines: map[string]*Worker{}, bids: map[string][]string{}, bidOf: map[string]string{}, intended: map[string]bool{}}
+	return &Cloud{w: w, Capacity: map[string]int{}, Machines: map[string]*Worker{}, machinesByRequest: map[string][]string{}, requestByMachine: map[string]string{}, intentRequests: map[string]bool{}}
 }
 
-func kindKey(typ, zone string, spot bool) string {
+// capacityKey returns the key of Capacity for a type, zone and price model.
+func capacityKey(typ, zone string, spot bool) string {
 	if spot {
 		return typ + "/" + zone + "/spot"
 	}
 	return typ + "/" + zone
 }
 
-func (c *Cloud) typ(name string) *wire.MachineType {
+// machineType returns the type with the given name, or nil.
+func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.Types {
 		if c.Types[i].Name == name {
 			return &c.Types[i]
@@ -47,47 +50,49 @@
 	return nil
 }
 
+// rent creates machines and returns their IDs; a repeated request gets the same ones. It
+// reports false if the type is unknown or there is no capacity.
 func (c *Cloud) rent(r *wire.RentRequest) ([]string, bool) {
-	if ids, ok := c.bids[r.RequestID]; ok {
+	if ids, ok := c.machinesByRequest[r.RequestID]; ok {
 		return ids, true
 	}
-	t := c.typ(r.Type)
+	t := c.machineType(r.Type)
 	if t == nil {
 		return nil, false
 	}
-	n := r.Count
-	key := kindKey(r.Type, r.Zone, r.Spot)
+	count := r.Count
+	key := capacityKey(r.Type, r.Zone, r.Spot)
 	if free, limited := c.Capacity[key]; limited {
 		if free == 0 {
 			return nil, false
 		}
-		n = min(n, free)
-		c.Capacity[key] -= n
+		count = min(count, free)
+		c.Capacity[key] -= count
 	}
 	var ids []string
-	for range n {
+	for range count {
 		c.rentedCount++
 		x := newWorker(c.w, fmt.Sprintf("m-%06d", c.rentedCount), t, r.Zone, r.Spot)
 		c.Machines[x.id] = x
 		ids = append(ids, x.id)
-		if c.intended[r.RequestID] {
-			c.bidOf[x.id] = r.RequestID
+		if c.intentRequests[r.RequestID] {
+			c.requestByMachine[x.id] = r.RequestID
 		}
 		if c.BootFailures > 0 {
 			c.BootFailures--
 			continue
 		}
-		boot := Micros(t.BootTime * 1e6)
+		bootTime := Micros(t.BootTime * 1e6)
 		if c.BootTime > 0 {
-			boot = c.BootTime
+			bootTime = c.BootTime
 		}
-		c.w.After(boot, x.boot)
+		c.w.After(bootTime, x.boot)
 	}
-	c.bids[r.RequestID] = ids
+	c.machinesByRequest[r.RequestID] = ids
 	return ids, true
 }
 
-// remove takes a machine away with everything on it.
+// remove takes a machine away with everything on it and frees its capacity.
 func (c *Cloud) remove(id string) {
 	x := c.Machines[id]
 	if x == nil {
@@ -95,20 +100,25 @@
 	}
 	x.terminate()
 	delete(c.Machines, id)
-	if key := kindKey(x.typ.Name, x.zone, x.spot); c.Capacity[key] > 0 || c.limited(key) {
+	if key := capacityKey(x.typ.Name, x.zone, x.spot); c.Capacity[key] > 0 || c.limited(key) {
 		c.Capacity[key]++
 	}
 }
 
+// limited reports whether a kind of machine has a capacity limit.
 func (c *Cloud) limited(key string) bool {
 	_, ok := c.Capacity[key]
 	return ok
 }
 
+// cloudClient is the connection of one incarnation of a node to the cloud.
 type cloudClient struct{ e *env }
 
+// cloud returns the cloud of the client's environment.
 func (c *cloudClient) cloud() *Cloud { return c.e.n.w.Cloud }
 
+// call runs f at the cloud after 80 ms and delivers the answer by the function that f
+// returns. In an outage refused is called; without an answer in 5 s, unknown.
 func (c *cloudClient) call(f func() func(), refused, unknown func()) {
 	w := c.e.n.w
 	w.call(c.e.n.name, "cloud", 5*second, func(respond func(func())) {
@@ -122,6 +132,7 @@
 	}, c.e.whileRunning(unknown))
 }
 
+// Catalog returns the machine types.
 func (c *cloudClient) Catalog(done func(store.Outcome, *wire.Catalog)) {
 	c.call(func() func() {
 		cat := &wire.Catalog{Types: append([]wire.MachineType(nil), c.cloud().Types...)}
@@ -129,13 +140,14 @@
 	}, func() { done(store.Refused, nil) }, func() { done(store.Unknown, nil) })
 }
 
+// Rent rents machines; the outcome is Failed if the cloud has none.
 func (c *cloudClient) Rent(r *wire.RentRequest, done func(store.Outcome, []string)) {
 	if c.e.n.core.FormatLevel() >= controller.LevelIntents {
-		c.cloud().intended[r.RequestID] = true
+		c.cloud().intentRequests[r.RequestID] = true
 	}
-	if d := c.cloud().NextRentDelay; d > 0 {
+	if delay := c.cloud().NextRentDelay; delay > 0 {
 		c.cloud().NextRentDelay = 0
-		c.e.n.w.After(d, func() { c.cloud().rent(r) })
+		c.e.n.w.After(delay, func() { c.cloud().rent(r) })
 		c.e.After(5*second, func() { done(store.Unknown, nil) })
 		return
 	}
@@ -148,24 +160,26 @@
 	}, func() { done(store.Refused, nil) }, func() { done(store.Unknown, nil) })
 }
 
-// checkAccounted holds the controllers to an invariant of their own: a machine that they
-// rented stands in a record, or in the intent under which it was rented.
+// checkRentedRecorded checks an invariant of the controllers: a rented machine is named in
+// a record, or the intent under which it was rented still exists.
 func (c *Cloud) checkRentedRecorded() {
-	for _, id := range sortedKeys(c.bidOf) {
+	for _, id := range sortedKeys(c.requestByMachine) {
 		if s := c.w.State; c.Machines[id] == nil || s.items["m/"+id] != nil || s.groupKeys[id] != "" {
-			delete(c.bidOf, id) // found, or returned, is known from then on
-		} else if s.items["i/"+c.bidOf[id]] == nil {
-			c.w.Rules.addViolation("unaccounted", "%s", id)
-			delete(c.bidOf, id)
+			delete(c.requestByMachine, id) // checked once: recorded or released
+		} else if s.items["i/"+c.requestByMachine[id]] == nil {
+			c.w.Rules.addViolation("unaccounted", "machine %s is in no record and the intent of its rental is gone", id)
+			delete(c.requestByMachine, id)
 		}
 	}
 }
 
+// Release releases machines to the cloud. It checks that controllers at LevelIntents or
+// above have recorded an intent first.
 func (c *cloudClient) Release(ids []string, done func(store.Outcome)) {
 	s, w := c.cloud().w.State, c.e.n.w
 	for _, id := range ids {
 		if c.e.n.core.FormatLevel() >= controller.LevelIntents && !s.hasReleaseIntent(id) {
-			w.Rules.addViolation("unintended", "%s is returned", id)
+			w.Rules.addViolation("unintended", "machine %s is released without an intent record", id)
 		}
 	}
 	remove := func() {
@@ -180,9 +194,9 @@
 			w.Cloud.remove(id)
 		}
 	}
-	if d := c.cloud().NextReleaseDelay; d > 0 {
+	if delay := c.cloud().NextReleaseDelay; delay > 0 {
 		c.cloud().NextReleaseDelay = 0
-		w.After(d, func() {
+		w.After(delay, func() {
 			w.Cloud.DelayedReleases++
 			remove()
 		})
@@ -195,6 +209,7 @@
 	}, func() { done(store.Refused) }, func() { done(store.Unknown) })
 }
 
+// List returns a page of the machine list.
 func (c *cloudClient) List(after string, limit int, done func(store.Outcome, *wire.MachineList)) {
 	c.call(func() func() {
 		l := c.cloud().list(after, limit)
@@ -202,7 +217,7 @@
 	}, func() { done(store.Refused, nil) }, func() { done(store.Unknown, nil) })
 }
 
-// list is a page of the machine list, as late as the settings say.
+// list returns a page of the machine list as it was one ListLag (a setting) ago.
 func (c *Cloud) list(after string, limit int) *wire.MachineList {
 	lag := Micros(c.w.Config.Params.Cloud.ListLag * 1e6)
 	l := &wire.MachineList{}
--- a/internal/sim/real_time_server.go
+++ b/internal/sim/real_time_server.go
@@ -19,117 +19,120 @@
 	"lilacthread/wire"
 )
 
-// Live plays a world in real time on loopback: its state service, cloud and workers
-// take requests over HTTP from controllers that are real processes. Rules are checked as
-// in virtual time; whoever submits tells the checker (Known, Submitted, Polled).
+// RealTimeServer runs a simulated environment in real time on loopback. Its state service,
+// cloud and workers serve controllers that are real processes, over HTTP. The checker's
+// rules apply as in virtual time, but whoever submits jobs must tell the checker (AddJob,
+// BeginRequest, CheckSubmitAnswer, CheckStatusAnswer).
 type RealTimeServer struct {
-	mu    sync.Mutex // guards the world
-	w     *World
-	start time.Time
-	nodes map[string]*rpc.Client
-	addrs map[string]string // of the controllers
-	links map[string]*workerLink
-	open  []io.Closer
-	stop  chan struct{}
-	done  sync.WaitGroup
-	fail  error
-	// Addresses of the state service and the cloud.
+	mu          sync.Mutex // guards the simulated environment
+	w           *World
+	start       time.Time
+	clients     map[string]*rpc.Client // connections to the controllers, for report copies
+	addrs       map[string]string      // addresses of the controllers
+	connections map[string]*workerConn // by machine
+	closers     []io.Closer            // HTTP servers
+	stop        chan struct{}
+	running     sync.WaitGroup
+	listenErr   error // failures to listen for workers
+	// StateAddr and CloudAddr are the addresses of the state service and the cloud.
 	StateAddr, CloudAddr string
 	Traffic              Traffic
 }
 
-// Traffic counts what workers and controllers exchange; bodies only, in bytes.
+// Traffic counts the messages between workers and controllers, and the bytes of their
+// bodies.
 type Traffic struct {
 	Reports, Answered, Redirected, Failed uint64
 	ReportBytes, AnswerBytes              uint64
 	Orders, OrderBytes                    uint64
 }
 
-// workerLink is a worker's connection to the controller that it reports to.
-type workerLink struct {
+// workerConn is a worker's connection to the controller that it reports to.
+type workerConn struct {
 	node   string
 	client *rpc.Client
 }
 
-// Serve begins to play a world whose controllers take reports at the given addresses,
+// Serve starts to run an environment whose controllers take reports at the given addresses
 // by name. Close ends it.
 func Serve(w *World, nodes map[string]string) (*RealTimeServer, error) {
-	l := &RealTimeServer{w: w, start: time.Now(), nodes: map[string]*rpc.Client{}, addrs: nodes, links: map[string]*workerLink{}, stop: make(chan struct{})}
-	w.server, w.Nodes = l, nil
+	rt := &RealTimeServer{w: w, start: time.Now(), clients: map[string]*rpc.Client{}, addrs: nodes, connections: map[string]*workerConn{}, stop: make(chan struct{})}
+	w.server, w.Nodes = rt, nil
 	for _, name := range sortedKeys(nodes) {
 		w.Nodes = append(w.Nodes, &Node{w: w, name: name})
-		l.nodes[name] = rpc.New(nodes[name])
+		rt.clients[name] = rpc.New(nodes[name])
 	}
 	var err error
-	if l.StateAddr, err = l.listen(http.HandlerFunc(l.state)); err != nil {
+	if rt.StateAddr, err = rt.listen(http.HandlerFunc(rt.serveState)); err != nil {
 		return nil, err
 	}
-	if l.CloudAddr, err = l.listen(http.HandlerFunc(l.cloud)); err != nil {
-		l.Close()
+	if rt.CloudAddr, err = rt.listen(http.HandlerFunc(rt.serveCloud)); err != nil {
+		rt.Close()
 		return nil, err
 	}
-	l.done.Add(1)
-	go l.run()
-	return l, nil
+	rt.running.Add(1)
+	go rt.run()
+	return rt, nil
 }
 
-// Do runs f on the world.
-func (l *RealTimeServer) WithWorld(f func(w *World)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.w.Run(Micros(time.Since(l.start).Microseconds()))
-	f(l.w)
+// WithWorld advances the environment to the present time and calls f with it, locked.
+func (rt *RealTimeServer) WithWorld(f func(w *World)) {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	rt.w.Run(Micros(time.Since(rt.start).Microseconds()))
+	f(rt.w)
 }
 
-func (l *RealTimeServer) run() {
-	defer l.done.Done()
+// run advances the environment every 2 ms until Close.
+func (rt *RealTimeServer) run() {
+	defer rt.running.Done()
 	for {
 		select {
-		case <-l.stop:
+		case <-rt.stop:
 			return
 		case <-time.After(2 * time.Millisecond):
-			l.WithWorld(func(*World) {})
+			rt.WithWorld(func(*World) {})
 		}
 	}
 }
 
-// Close stops the world and everything that it serves.
-func (l *RealTimeServer) Close() error {
-	close(l.stop)
-	l.done.Wait()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, c := range l.open {
+// Close ends the run and stops all HTTP servers.
+func (rt *RealTimeServer) Close() error {
+	close(rt.stop)
+	rt.running.Wait()
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	for _, c := range rt.closers {
 		c.Close()
 	}
-	return l.fail
+	return rt.listenErr
 }
 
-// listen serves a handler at a port of its own.
-func (l *RealTimeServer) listen(h http.Handler) (string, error) {
+// listen serves a handler on a port of its own and returns the address.
+func (rt *RealTimeServer) listen(h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
-	l.open = append(l.open, srv)
+	rt.closers = append(rt.closers, srv)
 	go srv.Serve(ln)
 	return ln.Addr().String(), nil
 }
 
-// serve gives a worker an address for orders; the world is held.
-func (l *RealTimeServer) serveWorker(x *Worker) {
-	addr, err := l.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// serveWorker gives a worker an address for command batches. The caller holds the lock.
+func (rt *RealTimeServer) serveWorker(x *Worker) {
+	addr, err := rt.listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var o wire.Orders
-		if r.URL.Path == "/orders" && !decode(w, r, &o) {
+		if r.URL.Path == "/orders" && !decodeRequest(w, r, &o) {
 			return
 		}
-		if l.deaf(x.id) { // nothing of it arrives
+		if rt.inboundLost(x.id) { // the request is lost
 			time.Sleep(4 * time.Second)
 			return
 		}
 		status, report := http.StatusServiceUnavailable, (*wire.Report)(nil)
-		l.WithWorld(func(*World) {
+		rt.WithWorld(func(*World) {
 			switch {
 			case x.dead || x.hung:
 			case r.URL.Path == "/show":
@@ -137,8 +140,8 @@
 			default:
 				var outcome store.Outcome
 				status = http.StatusOK
-				l.Traffic.Orders++
-				l.Traffic.OrderBytes += uint64(len(wire.Encode(&o)))
+				rt.Traffic.Orders++
+				rt.Traffic.OrderBytes += uint64(len(wire.Encode(&o)))
 				if outcome, report = x.executeOrders(&o); outcome != store.OK {
 					status = http.StatusConflict
 				}
@@ -147,37 +150,38 @@
 		respond(w, status, report)
 	}))
 	if err != nil {
-		l.fail = errors.Join(l.fail, err)
+		rt.listenErr = errors.Join(rt.listenErr, err)
 		return
 	}
 	x.addr = addr
 }
 
-// report carries a worker's report to a controller; the world is held.
-func (l *RealTimeServer) postReport(node string, rep *wire.Report, answered func(controller.ReportAnswer)) {
-	c := l.link(rep.Machine, node)
-	l.Traffic.Reports++
-	l.Traffic.ReportBytes += uint64(len(wire.Encode(rep)))
+// postReport sends a worker's report to a controller. The caller holds the lock.
+func (rt *RealTimeServer) postReport(node string, rep *wire.Report, answered func(controller.ReportAnswer)) {
+	client := rt.connect(rep.Machine, node)
+	rt.Traffic.Reports++
+	rt.Traffic.ReportBytes += uint64(len(wire.Encode(rep)))
 	go func() {
-		l.copyLater(rep)
-		var a controller.ReportAnswer
-		status, raw, _, err := c.Call(http.MethodPost, "/checkin", rep, &a.Body, 4*time.Second)
-		a.Code = status
-		var to wire.Redirect
-		if err == nil && status == http.StatusMisdirectedRequest && wire.Decode(raw, &to) == nil {
-			a.Leader = to.ReportTo
+		rt.postReportCopy(rep)
+		var answer controller.ReportAnswer
+		status, raw, _, err := client.Call(http.MethodPost, "/checkin", rep, &answer.Body, 4*time.Second)
+		answer.Code = status
+		var redirect wire.Redirect
+		if err == nil && status == http.StatusMisdirectedRequest && wire.Decode(raw, &redirect) == nil {
+			answer.Leader = redirect.ReportTo
 		}
-		if l.deaf(rep.Machine) { // the worker waits for an answer in vain
+		if rt.inboundLost(rep.Machine) { // the answer is lost
 			time.Sleep(4 * time.Second)
-			a = controller.ReportAnswer{}
+			answer = controller.ReportAnswer{}
 		}
-		l.WithWorld(func(*World) {
-			l.Traffic.count(status, len(raw))
-			answered(a)
+		rt.WithWorld(func(*World) {
+			rt.Traffic.count(status, len(raw))
+			answered(answer)
 		})
 	}()
 }
 
+// count counts the answer to a report.
 func (t *Traffic) count(status, bytes int) {
 	switch status {
 	case http.StatusOK:
@@ -190,47 +194,50 @@
 	t.AnswerBytes += uint64(bytes)
 }
 
-// link is a worker's connection to a controller; the one that it had to another is closed.
-func (l *RealTimeServer) link(machine, node string) *rpc.Client {
-	link := l.links[machine]
-	if link == nil {
-		link = new(workerLink)
-		l.links[machine] = link
+// connect returns a worker's connection to a controller and closes one to another.
+func (rt *RealTimeServer) connect(machine, node string) *rpc.Client {
+	conn := rt.connections[machine]
+	if conn == nil {
+		conn = new(workerConn)
+		rt.connections[machine] = conn
 	}
-	if link.node != node {
-		if link.client != nil {
-			link.client.Close()
+	if conn.node != node {
+		if conn.client != nil {
+			conn.client.Close()
 		}
-		link.node, link.client = node, rpc.New(l.addrs[node])
+		conn.node, conn.client = node, rpc.New(rt.addrs[node])
 	}
-	return link.client
+	return conn.client
 }
 
-// deaf reports whether nothing reaches a machine.
-func (l *RealTimeServer) deaf(machine string) (deaf bool) {
-	l.WithWorld(func(w *World) { deaf = w.inboundLost[machine] })
-	return deaf
+// inboundLost reports whether all messages to a machine are lost.
+func (rt *RealTimeServer) inboundLost(machine string) (lost bool) {
+	rt.WithWorld(func(w *World) { lost = w.inboundLost[machine] })
+	return lost
 }
 
-// copyLater posts a late copy of a report to some controller, if copies are on.
-func (l *RealTimeServer) copyLater(rep *wire.Report) {
-	var n *Node
-	var after Micros
-	l.WithWorld(func(w *World) { n, after = w.pickCopyTarget() })
-	if n != nil {
-		time.AfterFunc(time.Duration(after)*time.Microsecond, func() {
-			l.nodes[n.name].Call(http.MethodPost, "/checkin", rep, nil, 4*time.Second)
+// postReportCopy sends a delayed copy of a report to some controller if World.reportCopier
+// chooses the report.
+func (rt *RealTimeServer) postReportCopy(report *wire.Report) {
+	var target *Node
+	var delay Micros
+	rt.WithWorld(func(w *World) { target, delay = w.pickCopyTarget() })
+	if target != nil {
+		time.AfterFunc(time.Duration(delay)*time.Microsecond, func() {
+			rt.clients[target.name].Call(http.MethodPost, "/checkin", report, nil, 4*time.Second)
 		})
 	}
 }
 
+// respond writes a response with a MessagePack body.
 func respond(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/msgpack")
 	w.WriteHeader(status)
 	w.Write(wire.Encode(v))
 }
 
-func decode(w http.ResponseWriter, r *http.Request, v any) bool {
+// decodeRequest decodes a request's body. If that fails it answers 400 and returns false.
+func decodeRequest(w http.ResponseWriter, r *http.Request, v any) bool {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody))
 	if err != nil || wire.Decode(body, v) != nil {
 		respond(w, http.StatusBadRequest, &wire.Problem{Error: "malformed"})
@@ -239,19 +246,19 @@
 	return true
 }
 
-// number reads a number of a request's query; 0 if there is none.
-func number(r *http.Request, key string) uint64 {
+// queryNumber returns a number in a request's query; 0 if it is missing or malformed.
+func queryNumber(r *http.Request, key string) uint64 {
 	n, _ := strconv.ParseUint(r.URL.Query().Get(key), 10, 64)
 	return n
 }
 
-// state is the state service's interface.
-func (l *RealTimeServer) state(w http.ResponseWriter, r *http.Request) {
+// serveState serves the state service.
+func (rt *RealTimeServer) serveState(w http.ResponseWriter, r *http.Request) {
 	path, query := r.URL.Path, r.URL.Query()
 	var status int
 	var body any
-	do := func(f func(s *State)) {
-		l.WithWorld(func(w *World) {
+	withState := func(f func(s *State)) {
+		rt.WithWorld(func(w *World) {
 			w.State.countRequest()
 			if w.State.Outage {
 				status, body = http.StatusServiceUnavailable, &wire.Problem{Error: "trouble"}
@@ -261,12 +268,12 @@
 			f(w.State)
 		})
 	}
-	none := struct{}{}
+	empty := struct{}{}
 	switch {
 	case path == "/store":
-		do(func(s *State) { body = s.page(query.Get("starts"), query.Get("since"), int(number(r, "limit"))) })
+		withState(func(s *State) { body = s.page(query.Get("starts"), query.Get("since"), int(queryNumber(r, "limit"))) })
 	case strings.HasPrefix(path, "/store/"):
-		do(func(s *State) {
+		withState(func(s *State) {
 			if it := s.items[path[len("/store/"):]]; it != nil {
 				copied := *it
 				body = &copied
@@ -276,10 +283,10 @@
 		})
 	case path == "/txn":
 		var t wire.Txn
-		if !decode(w, r, &t) {
+		if !decodeRequest(w, r, &t) {
 			return
 		}
-		do(func(s *State) {
+		withState(func(s *State) {
 			switch s.checkLimits(&t) {
 			case store.Invalid:
 				status, body = http.StatusBadRequest, &wire.Problem{Error: "too large"}
@@ -288,9 +295,9 @@
 				status, body = http.StatusTooManyRequests, &wire.Problem{Error: "too many"}
 				return
 			}
-			o, a := s.txn(&t)
-			body = a
-			switch o {
+			outcome, answer := s.txn(&t)
+			body = answer
+			switch outcome {
 			case store.Failed:
 				status = http.StatusConflict
 			case store.Refused:
@@ -299,30 +306,30 @@
 		})
 	case path == "/grants":
 		var q wire.LeaseRequest
-		if !decode(w, r, &q) {
+		if !decodeRequest(w, r, &q) {
 			return
 		}
-		do(func(s *State) { body = &wire.LeaseAnswer{Lease: s.grant(Micros(q.TTL) * millisecond)} })
+		withState(func(s *State) { body = &wire.LeaseAnswer{Lease: s.grantLease(Micros(q.TTL) * millisecond)} })
 	case strings.HasPrefix(path, "/grants/"):
-		text, _ := strings.CutSuffix(path[len("/grants/"):], "/renew")
-		id, err := strconv.ParseUint(text, 10, 64)
+		idText, _ := strings.CutSuffix(path[len("/grants/"):], "/renew")
+		id, err := strconv.ParseUint(idText, 10, 64)
 		if err != nil {
 			respond(w, http.StatusBadRequest, &wire.Problem{Error: "malformed"})
 			return
 		}
-		do(func(s *State) {
-			body = &none
+		withState(func(s *State) {
+			body = &empty
 			if r.Method == http.MethodDelete {
 				s.removeLease(id)
-			} else if !s.renew(id) {
+			} else if !s.renewLease(id) {
 				status = http.StatusNotFound
 			}
 		})
 	case path == "/watch":
 		answers := make(chan *wire.WatchAnswer, 1)
-		l.WithWorld(func(w *World) {
+		rt.WithWorld(func(w *World) {
 			w.State.countRequest()
-			w.State.watch(query.Get("starts"), number(r, "since"), Micros(number(r, "hold_ms"))*millisecond,
+			w.State.addWatch(query.Get("starts"), queryNumber(r, "since"), Micros(queryNumber(r, "hold_ms"))*millisecond,
 				func(a *wire.WatchAnswer) { answers <- a })
 		})
 		select {
@@ -337,41 +344,42 @@
 	respond(w, status, body)
 }
 
-// cloud is the cloud's interface.
-func (l *RealTimeServer) cloud(w http.ResponseWriter, r *http.Request) {
-	var rent wire.RentRequest
-	var names wire.MachineIDs
+// serveCloud serves the cloud.
+func (rt *RealTimeServer) serveCloud(w http.ResponseWriter, r *http.Request) {
+	var rentRequest wire.RentRequest
+	var machineIDs wire.MachineIDs
 	switch path := r.URL.Path; {
-	case path == "/machines" && r.Method == http.MethodPost && !decode(w, r, &rent),
-		path == "/machines/release" && !decode(w, r, &names):
+	case path == "/machines" && r.Method == http.MethodPost && !decodeRequest(w, r, &rentRequest),
+		path == "/machines/release" && !decodeRequest(w, r, &machineIDs):
 		return
 	}
 	status, body := http.StatusOK, any(nil)
-	l.WithWorld(func(w *World) {
+	rt.WithWorld(func(w *World) {
 		switch path := r.URL.Path; {
 		case w.Cloud.Outage:
 			status, body = http.StatusServiceUnavailable, &wire.Problem{Error: "trouble"}
 		case path == "/catalog":
 			body = &wire.Catalog{Types: append([]wire.MachineType(nil), w.Cloud.Types...)}
 		case path == "/machines/release":
-			for _, id := range names.Machines {
+			for _, id := range machineIDs.Machines {
 				w.Cloud.remove(id)
 			}
 			body = &struct{}{}
 		case path == "/machines" && r.Method == http.MethodPost:
-			ids, ok := w.Cloud.rent(&rent)
+			ids, ok := w.Cloud.rent(&rentRequest)
 			if body = &(wire.MachineIDs{Machines: ids}); !ok {
 				status, body = http.StatusServiceUnavailable, &wire.Problem{Error: "no capacity"}
 			}
 		default:
-			body = w.Cloud.list(r.URL.Query().Get("since"), int(number(r, "limit")))
+			body = w.Cloud.list(r.URL.Query().Get("since"), int(queryNumber(r, "limit")))
 		}
 	})
 	respond(w, status, body)
 }
 
-// Loopback begins to play a small world with so many controllers, which are to be started
-// with the settings given: one zone, machines that boot in half a second.
+// StartLoopback starts a small environment with the given number of controllers: one zone
+// and machines that boot in half a second. The caller starts the controllers with the
+// returned settings.
 func StartLoopback(nodes int) (*RealTimeServer, []config.Config, error) {
 	w := NewWorld(nodes, []string{"a"}, 7)
 	p := &w.Config.Params
@@ -384,8 +392,8 @@
 	return Deploy(w)
 }
 
-// Deploy begins to play a world with its controllers, spread over its zones, which are to be
-// started with the settings given.
+// Deploy starts to run an environment whose controllers are spread over its zones. The
+// caller starts the controllers with the returned settings.
 func Deploy(w *World) (*RealTimeServer, []config.Config, error) {
 	zones := w.Config.Params.Zones
 	settings := make([]config.Config, len(w.Nodes))
@@ -402,27 +410,27 @@
 		}
 		listen[c.Name] = c.Listen
 	}
-	l, err := Serve(w, listen)
+	server, err := Serve(w, listen)
 	if err != nil {
 		return nil, nil, err
 	}
 	for i := range settings {
 		c := &settings[i]
-		c.Endpoints.State, c.Endpoints.Cloud = l.StateAddr, l.CloudAddr
+		c.Endpoints.State, c.Endpoints.Cloud = server.StateAddr, server.CloudAddr
 		for j, o := range settings {
 			if j != i {
 				c.Peers = append(c.Peers, config.Peer{Name: o.Name, Zone: o.Zone, Addr: o.PeerListen})
 			}
 		}
 	}
-	return l, settings, nil
+	return server, settings, nil
 }
 
-// Ports of controllers lie below those that the system gives to connections: one that is killed
-// and started again would otherwise find its port taken now and then.
+// Controllers listen on ports below the system's range for outgoing connections, since a
+// controller that is killed and restarted could otherwise find its port taken by one.
 const firstPort, lastPort = 10_000, 30_000
 
-// freePort is an address on loopback that nobody listens at just now.
+// freePort returns an address on loopback where nothing listens at present.
 func freePort() (string, error) {
 	for range 100 {
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(lastPort-firstPort))
--- a/internal/sim/repeat_test.go
+++ b/internal/sim/repeat_test.go
@@ -6,11 +6,12 @@
 	"testing"
 )
 
-// TestDayRepeats plays a random day several times: each must take the same course, or a seed
-// that found something could not be looked at again. Controllers that greeted their peers, or
-// handed submissions on, in the order of a map made days under close looks differ.
-func TestDayRepeats(t *testing.T) {
-	const day = `relay
+// TestScenarioIsDeterministic runs a random scenario several times and requires the same
+// log each time, since otherwise a failing seed could not be reproduced. Controllers that
+// greet their peers or forward submissions in the iteration order of a map break this
+// while users probe them.
+func TestScenarioIsDeterministic(t *testing.T) {
+	const scenario = `relay
 report-changes
 team core max=40
 type t cpus=8 boot=10 zones=a,b
@@ -19,8 +20,8 @@
 chaos seed=31000 from=20 to=220 every=5 pipelines=100 more=14 pairs
 run 500
 `
-	usual := slog.Default()
-	defer slog.SetDefault(usual)
+	defaultLogger := slog.Default()
+	defer slog.SetDefault(defaultLogger)
 	play := func() string {
 		var log bytes.Buffer
 		slog.SetDefault(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{
@@ -30,18 +31,18 @@
 				}
 				return a
 			}})))
-		if err := Play(day); err != nil {
+		if err := Play(scenario); err != nil {
 			t.Fatal(err)
 		}
 		return log.String()
 	}
 	first := play()
 	if len(first) < 2000 {
-		t.Fatalf("the log has %d bytes: not the case meant", len(first))
+		t.Fatalf("the log has %d bytes, at least 2000 expected", len(first))
 	}
 	for i := range 5 {
 		if again := play(); again != first {
-			t.Fatalf("play %d took another course", i+2)
+			t.Fatalf("run %d logged other events than the first run", i+2)
 		}
 	}
 }
--- a/internal/sim/script_expect.go
+++ b/internal/sim/script_expect.go
@@ -86,7 +86,7 @@
 		} else if since := w.Rules.jobs[id].acceptedAt - u.firstAttempt; since > most {
 			most = since
 		}
-		n += w.Users[id].refused
+		n += w.Users[id].refusals
 	}
 	if most.Seconds() > a.number("within", 60) || n > int(a.number("refused", 1e9)) || n < int(a.number("min-refused", 0)) {
 		return fmt.Errorf("t=%v: accepted after up to %v s, %d refusals", w.now.Seconds(), most.Seconds(), n)
--- a/internal/sim/script_network.go
+++ b/internal/sim/script_network.go
@@ -114,10 +114,10 @@
 	w := s.w
 	return func() {
 		c := &reportCopier{share: a.number("share", 0.5), delay: a.duration("by", 20), rng: rand.New(rand.NewPCG(uint64(w.now), 4)), untilElection: a.hasFlag("for-next")}
-		w.reportCopies = c
+		w.reportCopier = c
 		w.After(a.duration("for", 60), func() {
-			if w.reportCopies == c {
-				w.reportCopies = nil
+			if w.reportCopier == c {
+				w.reportCopier = nil
 			}
 		})
 	}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -12,11 +12,12 @@
 	"lilacthread/wire"
 )
 
-// TestScenarios plays every scenario in testdata under the rules.
+// TestScenarios runs every scenario in testdata. It fails on a broken rule of the checker
+// or an unmet expectation of the scenario.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) < 20 {
-		t.Fatalf("scenarios: %d found, %v", len(files), err)
+		t.Fatalf("%d scenarios found, at least 20 expected; error %v", len(files), err)
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
@@ -31,12 +32,13 @@
 	}
 }
 
-// TestChaosLookedAt plays the random days once more while users look closely. The days
-// themselves stay as they are, since each found something by its very course.
-func TestChaosLookedAt(t *testing.T) {
+// TestChaosProbed runs the random scenarios again while users probe the controllers around
+// each change of a job. The scenario files stay unchanged, since each of them has revealed
+// a fault that depends on its exact sequence of events.
+func TestChaosProbed(t *testing.T) {
 	files, err := filepath.Glob("testdata/chaos_*.txt")
 	if err != nil || len(files) < 10 {
-		t.Fatalf("days: %d found, %v", len(files), err)
+		t.Fatalf("%d random scenarios found, at least 10 expected; error %v", len(files), err)
 	}
 	for _, f := range files {
 		text, err := os.ReadFile(f)
@@ -52,9 +54,9 @@
 	}
 }
 
-// TestBadLines shows that a mistake in a scenario fails it and names the line, whether it is
-// found as the line is read or as it is done.
-func TestBadLines(t *testing.T) {
+// TestScenarioErrors checks that a mistake in a scenario fails it with the line's number,
+// whether it is detected when the line is read or when it is executed.
+func TestScenarioErrors(t *testing.T) {
 	for line, want := range map[string]string{
 		"explode node-1":           "unknown verb explode",
 		"at":                       "at: a time and a verb are needed",
@@ -77,16 +79,16 @@
 	}
 }
 
-// TestCheckerCatches shows that each rule's violation is seen.
-func TestCheckerCatches(t *testing.T) {
+// TestCheckerDetectsViolations checks that the checker reports a violation of each rule.
+func TestCheckerDetectsViolations(t *testing.T) {
 	const id, task = "req-000001", "req-000001/0"
-	told := func(phase string) controller.Answer {
+	statusAnswer := func(phase string) controller.Answer {
 		return controller.Answer{Code: 200, Status: wire.JobStatus{ID: id, Phase: phase}}
 	}
 	job := func() *wire.Job {
 		return &wire.Job{ID: id, Team: "core", Kind: wire.KindArray, Tasks: 2, CPUs: 2, Zone: "a"}
 	}
-	after := func() *wire.Job {
+	dependent := func() *wire.Job {
 		return &wire.Job{ID: "req-000002", Team: "core", Kind: wire.KindArray, Tasks: 1, DependsOn: []string{id}}
 	}
 	cases := map[string]func(c *Checker){
@@ -111,21 +113,21 @@
 			c.CheckStatusAnswer(id, c.BeginRequest(id), controller.Answer{Code: 404})
 		},
 		"invented": func(c *Checker) {
-			c.CheckStatusAnswer("req-000009", c.BeginRequest("req-000009"), told(wire.PhaseQueued))
+			c.CheckStatusAnswer("req-000009", c.BeginRequest("req-000009"), statusAnswer(wire.PhaseQueued))
 		},
-		"not_done": func(c *Checker) { c.CheckStatusAnswer(id, c.BeginRequest(id), told(wire.PhaseDone)) },
+		"not_done": func(c *Checker) { c.CheckStatusAnswer(id, c.BeginRequest(id), statusAnswer(wire.PhaseDone)) },
 		"went_back": func(c *Checker) {
 			c.TaskCompleted(task)
 			c.TaskCompleted("req-000001/1")
-			c.CheckStatusAnswer(id, c.BeginRequest(id), told(wire.PhaseDone))
-			c.CheckStatusAnswer(id, c.BeginRequest(id), told(wire.PhaseRunning))
+			c.CheckStatusAnswer(id, c.BeginRequest(id), statusAnswer(wire.PhaseDone))
+			c.CheckStatusAnswer(id, c.BeginRequest(id), statusAnswer(wire.PhaseRunning))
 		},
 		"too_early": func(c *Checker) {
-			c.AddJob(after())
+			c.AddJob(dependent())
 			c.TaskStarted(0, "req-000002/0", "m-1", "t", "a", false)
 		},
 		"orphaned": func(c *Checker) {
-			c.AddJob(after())
+			c.AddJob(dependent())
 			c.CheckSubmitAnswer("req-000002", c.BeginRequest("req-000002"), controller.Answer{Code: 201, Status: wire.JobStatus{Phase: wire.PhaseQueued}})
 			c.CancelRequested(id)
 			c.CancelConfirmed(id, 40*second)
@@ -149,7 +151,7 @@
 			c.Now = func() Micros { return 200 * second }
 			c.CheckFinal()
 		},
-		"starved: team core: 0.33 accepted": func(c *Checker) {
+		"starved: team core: share of jobs accepted is 0.33": func(c *Checker) {
 			c.CheckStarvation = true
 			for i := range 2 {
 				c.AddJob(&wire.Job{ID: fmt.Sprintf("req-%06d", 10+i), Class: "c", Team: "core", Kind: wire.KindArray, Tasks: 1})
@@ -161,7 +163,7 @@
 			c.CheckFinal()
 			c.Violations = c.Violations[max(len(c.Violations)-2, 0):]
 		},
-		"forgotten: req-000001: no question": func(c *Checker) {
+		"forgotten: no request about accepted job req-000001": func(c *Checker) {
 			c.CheckSubmitAnswer(id, c.BeginRequest(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
 			c.ExtendFaultWindow(100 * second)
 			for at := 10 * second; at < 185*second; at += 5 * second {
@@ -172,7 +174,7 @@
 				}
 			}
 		},
-		"late: req-000010, one of the largest": func(c *Checker) {
+		"late: job req-000010, one of the largest": func(c *Checker) {
 			c.CheckStarvation = true
 			for i := range 10 {
 				id := fmt.Sprintf("req-%06d", 10+i)
@@ -186,13 +188,13 @@
 			c.Now = func() Micros { return 300 * second }
 			c.CheckFinal()
 		},
-		"starved: largest of class c": func(c *Checker) {
+		"starved: largest jobs of class c": func(c *Checker) {
 			c.CheckStarvation = true
 			for i := range 20 {
 				id := fmt.Sprintf("req-%06d", 10+i)
 				c.AddJob(&wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindGang, Tasks: 2 + i, CPUs: 1})
 				c.CheckSubmitAnswer(id, c.BeginRequest(id), controller.Answer{Code: 201, Status: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}})
-				for k := range 2 + i { // the five largest without their last task
+				for k := range 2 + i { // the five largest gangs lack their last task
 					if i < 15 || k < 1+i {
 						c.TaskStarted(0, fmt.Sprintf("%s/%d", id, k), "m-1", "t", "a", false)
 					}
@@ -205,43 +207,44 @@
 		},
 		"nothing_ran": func(c *Checker) { c.CheckFinal() },
 	}
-	for rule, break_ := range cases {
+	for rule, violate := range cases {
 		c := NewChecker()
 		c.AddJob(job())
-		break_(c)
+		violate(c)
 		if len(c.Violations) == 0 || !strings.HasPrefix(c.Violations[0], rule) {
-			t.Errorf("%s not caught: %v", rule, c.Violations)
+			t.Errorf("violation of %q not reported first: %v", rule, c.Violations)
 		}
 	}
 }
 
-// TestLeftWaiting shows that a job that could be placed and is not is found after 90 s, and
-// only then, and not while its machine, its zone or its team's limit has no room for it.
+// TestLeftWaiting checks that a job which could be placed but is not is reported after
+// 90 s without faults, not before, and not at all while its machine type, its zone or its
+// team's limit leaves no room for it.
 func TestLeftWaiting(t *testing.T) {
 	typ := &wire.MachineType{Name: "t", CPUs: 4, MemoryGB: 8}
 	for name, c := range map[string]struct {
-		job   wire.Job
-		limit float64
-		sick  bool
-		left  bool
+		job           wire.Job
+		limit         float64
+		unhealthy     bool
+		wantViolation bool
 	}{
-		"array":             {job: wire.Job{Kind: wire.KindArray, Tasks: 9, CPUs: 4}, left: true},
-		"gang":              {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2}, left: true},
-		"gang of five":      {job: wire.Job{Kind: wire.KindGang, Tasks: 5, CPUs: 2}},
-		"gang in one zone":  {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2, OneZone: true}},
-		"gang spread":       {job: wire.Job{Kind: wire.KindGang, Tasks: 2, CPUs: 2, Spread: true}, left: true},
-		"too large":         {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 5}},
-		"zone":              {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Zone: "c"}},
-		"type":              {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Types: []string{"u"}}},
-		"limit":             {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 2}, limit: 1},
-		"under the limit":   {job: wire.Job{Kind: wire.KindArray, Tasks: 8, CPUs: 1}, limit: 1, left: true},
-		"on sick machines":  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1}, sick: true},
-		"spread too widely": {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 4, Spread: true}},
+		"array":                 {job: wire.Job{Kind: wire.KindArray, Tasks: 9, CPUs: 4}, wantViolation: true},
+		"gang":                  {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2}, wantViolation: true},
+		"gang of five":          {job: wire.Job{Kind: wire.KindGang, Tasks: 5, CPUs: 2}},
+		"gang in one zone":      {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2, OneZone: true}},
+		"gang spread":           {job: wire.Job{Kind: wire.KindGang, Tasks: 2, CPUs: 2, Spread: true}, wantViolation: true},
+		"too large":             {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 5}},
+		"zone":                  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Zone: "c"}},
+		"type":                  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Types: []string{"u"}}},
+		"limit":                 {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 2}, limit: 1},
+		"under the limit":       {job: wire.Job{Kind: wire.KindArray, Tasks: 8, CPUs: 1}, limit: 1, wantViolation: true},
+		"on unhealthy machines": {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1}, unhealthy: true},
+		"spread too widely":     {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 4, Spread: true}},
 	} {
 		w := NewWorld(1, []string{"a", "b"}, 7)
 		for _, zone := range []string{"a", "b"} {
 			x := newWorker(w, "m-"+zone, typ, zone, false)
-			x.up, x.Unhealthy = true, c.sick
+			x.up, x.Unhealthy = true, c.unhealthy
 			w.Cloud.Machines[x.id] = x
 		}
 		job := c.job
@@ -253,18 +256,19 @@
 		for w.now = 5 * second; w.now <= 145*second; w.now += 5 * second {
 			w.checkLeftWaiting()
 			if w.now == 140*second && len(w.Rules.Violations) > 0 {
-				t.Errorf("%s: found too soon: %v", name, w.Rules.Violations)
+				t.Errorf("%s: reported too soon: %v", name, w.Rules.Violations)
 			}
 		}
-		if got := len(w.Rules.Violations) > 0; got != c.left {
-			t.Errorf("%s: left waiting %v, not %v", name, got, c.left)
+		if got := len(w.Rules.Violations) > 0; got != c.wantViolation {
+			t.Errorf("%s: reported as left waiting: %v, want %v", name, got, c.wantViolation)
 		}
 	}
 }
 
-// TestBeginNeeded plays the overload with large jobs without the time by which a job should
-// have begun: the largest of each class are then still waiting after four minutes.
-func TestBeginNeeded(t *testing.T) {
+// TestStartTargetNeeded runs the overload scenario with large jobs without the target time
+// for the start of a job (begin_s). The largest jobs of a class then still wait after four
+// minutes, so the rule "late" must report them.
+func TestStartTargetNeeded(t *testing.T) {
 	text, err := os.ReadFile("testdata/overload_largest.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -274,12 +278,13 @@
 	}
 }
 
-// TestSharesNeeded plays the overload scenarios in the usual order: each then starves
-// somebody, so the rule catches it and the shares are what prevents it.
-func TestSharesNeeded(t *testing.T) {
+// TestSharesPreventStarvation runs the overload scenarios without the admission shares, so
+// that jobs are taken in the usual order. Each scenario must then starve a class or team,
+// which shows that the rule detects starvation and that the shares prevent it.
+func TestSharesPreventStarvation(t *testing.T) {
 	files, err := filepath.Glob("testdata/overload_*.txt")
 	if err != nil || len(files) < 4 {
-		t.Fatalf("scenarios: %d found, %v", len(files), err)
+		t.Fatalf("%d overload scenarios found, at least 4 expected; error %v", len(files), err)
 	}
 	for _, f := range files {
 		text, err := os.ReadFile(f)
@@ -287,7 +292,7 @@
 			t.Fatal(err)
 		}
 		if err := Play(strings.Replace(string(text), "\nadmission ", "\n# admission ", 1)); err == nil || !strings.Contains(err.Error(), "starved") {
-			t.Errorf("%s: %v", f, err)
+			t.Errorf("%s: expected a violation of starved, got %v", f, err)
 		}
 	}
 }
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -14,48 +14,52 @@
 	"lilacthread/wire"
 )
 
-// State is the stand-in of the state service.
+// State simulates the state service: versioned keys, transactions, leases and watches,
+// with the request limits of the settings and injected faults.
 type State struct {
 	w                *World
-	revision         uint64
+	revision         uint64 // version of the latest transaction
 	items            map[string]*wire.Item
-	groupKeys        map[string]string // machine -> the record of several that names it
+	groupKeys        map[string]string // machine -> key of the group record ("g/") that names it
 	leases           map[uint64]*lease
-	nextID           uint64
-	log              []wire.Event
+	lastLeaseID      uint64       // ID of the latest lease
+	eventLog         []wire.Event // all changes so far, for watches
 	watches          []*watch
-	Outage           bool
-	AnswerDelay      Micros            // answers take this much longer
-	RefusedNodes     map[string]bool   // nodes that get 503
-	NextTxnDelay     map[string]Micros // nodes whose next transaction is applied this much later, with no answer
-	DelayedKeyPrefix string            // of those, only transactions that write a key with this prefix
-	LoseNextAnswer   map[string]bool   // nodes whose next transaction is applied, with no answer
-	WriteDelays      *delayedWrites    // a share of all nodes' transactions is applied late, with no answer
-	DelayedTxns      int               // transactions that were so far
-
-	WriteRateOverride float64 // changes a second in place of the settings'; 0: those
-	tokens            float64 // changes that may be made now
-	filled            Micros
-	NextLimitsInForce bool // the next limits are in force
-	LargestValue      int  // the largest value asked for
-	RefusedTxns       int  // transactions refused with 400 or 429
-	PeakRequests      int  // requests in the busiest second
-	second            Micros
-	asked             int // requests in that second
-}
-
+	Outage           bool              // requests are refused and leases don't expire
+	AnswerDelay      Micros            // added to the time of each answer
+	RefusedNodes     map[string]bool   // nodes whose requests get 503
+	NextTxnDelay     map[string]Micros // by node: its next transaction is applied after this delay and gets no answer
+	DelayedKeyPrefix string            // NextTxnDelay applies only to transactions that write a key with this prefix
+	LoseNextAnswer   map[string]bool   // nodes whose next transaction is applied but gets no answer
+	WriteDelays      *delayedWrites    // applies a share of all nodes' transactions late, without an answer; nil: none
+	DelayedTxns      int               // transactions applied late so far
+
+	WriteRateOverride float64 // changes per second allowed instead of the settings' rate; 0: the settings' rate
+	tokens            float64 // changes allowed now (token bucket)
+	tokensUpdatedAt   Micros  // when tokens were last added
+	NextLimitsInForce bool    // the lower of the present and the announced limits apply
+	LargestValue      int     // size in bytes of the largest value in a transaction
+	RefusedTxns       int     // transactions answered with 400 or 429
+	PeakRequests      int     // largest number of requests in one second
+	currentSecond     Micros  // the second that requestsInSecond counts
+	requestsInSecond  int     // requests in currentSecond
+}
+
+// lease is a lease with its lifetime; keys attached to it are deleted when it expires.
 type lease struct {
-	ttl Micros
-	end Micros
+	ttl       Micros
+	expiresAt Micros
 }
 
+// watch is an open watch of a key prefix for changes after a revision.
 type watch struct {
-	prefix string
-	since  uint64
-	fire   func()
-	done   bool
+	prefix   string
+	since    uint64
+	fire     func()
+	answered bool
 }
 
+// newState returns an empty state service that checks its leases every 50 ms.
 func newState(w *World) *State {
 	s := &State{w: w, items: map[string]*wire.Item{}, groupKeys: map[string]string{}, leases: map[uint64]*lease{},
 		RefusedNodes: map[string]bool{}, NextTxnDelay: map[string]Micros{}, LoseNextAnswer: map[string]bool{}, tokens: 1e9}
@@ -63,7 +67,7 @@
 	expire = func() {
 		if !s.Outage {
 			for _, id := range s.leaseIDs() {
-				if w.now >= s.leases[id].end {
+				if w.now >= s.leases[id].expiresAt {
 					s.removeLease(id)
 				}
 			}
@@ -74,6 +78,7 @@
 	return s
 }
 
+// leaseIDs returns the IDs of all leases in ascending order.
 func (s *State) leaseIDs() []uint64 {
 	var ids []uint64
 	for id := range s.leases {
@@ -83,31 +88,33 @@
 	return ids
 }
 
+// removeLease ends a lease and deletes the keys attached to it.
 func (s *State) removeLease(id uint64) {
 	delete(s.leases, id)
-	var gone []wire.Change
+	var deletions []wire.Change
 	for _, k := range sortedKeys(s.items) {
 		if s.items[k].Lease == id {
-			gone = append(gone, wire.Change{DeleteKey: k})
+			deletions = append(deletions, wire.Change{DeleteKey: k})
 		}
 	}
-	if len(gone) > 0 {
-		s.apply(gone)
+	if len(deletions) > 0 {
+		s.apply(deletions)
 	}
 }
 
-// SetOutage begins or ends an outage; after it every lease has its full time.
+// SetOutage begins or ends an outage. After an outage every lease has its full lifetime
+// again, and open watches are answered.
 func (s *State) SetOutage(on bool) {
 	s.Outage = on
 	if !on {
 		for _, l := range s.leases {
-			l.end = s.w.now + l.ttl
+			l.expiresAt = s.w.now + l.ttl
 		}
 		s.notify()
 	}
 }
 
-// Leader is the controller that the service says leads; empty without one.
+// Leader returns the name of the controller in the leader record; "" without a record.
 func (s *State) Leader() string {
 	var rec lead.Record
 	if it := s.items[lead.Key]; it != nil && msgpack.Unmarshal(it.Value, &rec) == nil {
@@ -116,60 +123,63 @@
 	return ""
 }
 
-// term is that of the latest election.
+// term returns the term of the latest election.
 func (s *State) term() int {
 	var rec struct {
 		Term int `msgpack:"term"`
 	}
 	if it := s.items[lead.TermKey]; it != nil && msgpack.Unmarshal(it.Value, &rec) != nil {
-		panic("the term cannot be read")
+		panic("the term record cannot be decoded")
 	}
 	return rec.Term
 }
 
-// lateWrites is the users' trouble of that name: of a share of the transactions, whoever
-// sends them, there is no answer, and they are applied 2 to 12 s later, after newer ones;
-// or at once, so that only the answer is lost.
+// delayedWrites leaves a share of the transactions of all nodes without an answer (script
+// word "late-writes"). They are applied 2 to 12 s later, after newer ones, or with
+// immediate set after 1 ms, so that only the answer is lost.
 type delayedWrites struct {
-	share  float64
-	rng    *rand.Rand
-	atOnce bool
+	share     float64
+	rng       *rand.Rand
+	immediate bool
 }
 
-// drawLate says whether a transaction gets no answer, and how much later it is applied.
-func (s *State) drawLate() (Micros, bool) {
-	l := s.WriteDelays
-	if l == nil || l.rng.Float64() >= l.share {
+// pickWriteDelay returns the delay of a transaction and whether it is applied without an
+// answer.
+func (s *State) pickWriteDelay() (Micros, bool) {
+	delays := s.WriteDelays
+	if delays == nil || delays.rng.Float64() >= delays.share {
 		return 0, false
 	}
-	if l.atOnce {
+	if delays.immediate {
 		return millisecond, true
 	}
-	return 2*second + Micros(l.rng.Int64N(int64(10*second))), true
+	return 2*second + Micros(delays.rng.Int64N(int64(10*second))), true
 }
 
+// apply makes changes as one revision and answers the watches that they concern.
 func (s *State) apply(changes []wire.Change) {
 	s.revision++
 	for _, c := range changes {
 		if c.DeleteKey != "" {
-			s.members(c.DeleteKey, nil)
+			s.updateGroupKeys(c.DeleteKey, nil)
 			delete(s.items, c.DeleteKey)
-			s.log = append(s.log, wire.Event{DeleteKey: c.DeleteKey, Version: s.revision})
+			s.eventLog = append(s.eventLog, wire.Event{DeleteKey: c.DeleteKey, Version: s.revision})
 			continue
 		}
-		s.members(c.PutKey, c.Value)
-		s.checkPlaces(c)
+		s.updateGroupKeys(c.PutKey, c.Value)
+		s.checkMachinesRecorded(c)
 		if c.PutKey == lead.TermKey {
 			s.w.onElection()
 		}
 		s.items[c.PutKey] = &wire.Item{Key: c.PutKey, Value: c.Value, Version: s.revision, Lease: c.Lease}
-		s.log = append(s.log, wire.Event{PutKey: c.PutKey, Value: c.Value, Version: s.revision})
+		s.eventLog = append(s.eventLog, wire.Event{PutKey: c.PutKey, Value: c.Value, Version: s.revision})
 	}
 	s.notify()
 }
 
-// members keeps account of the machines that a record of several names.
-func (s *State) members(key string, value []byte) {
+// updateGroupKeys updates the index of machines named by group records for a new value of
+// a key, nil when the key is deleted.
+func (s *State) updateGroupKeys(key string, value []byte) {
 	if !strings.HasPrefix(key, "g/") {
 		return
 	}
@@ -191,23 +201,23 @@
 	}
 }
 
-// checkPlaces holds the controllers to an invariant of their own: a record that
-// places tasks on a machine is written only once the machine has a record, since
-// a new leader takes a machine without one for returned.
-func (s *State) checkPlaces(c wire.Change) {
+// checkMachinesRecorded checks an invariant of the controllers: a record that places tasks
+// on a machine is written only after the machine has a record, because a new leader takes
+// a machine without a record for released.
+func (s *State) checkMachinesRecorded(c wire.Change) {
 	var rec struct {
 		Machines []string `msgpack:"m"`
 	}
 	if strings.HasPrefix(c.PutKey, "t/") && msgpack.Unmarshal(c.Value, &rec) == nil {
 		for _, id := range rec.Machines {
 			if s.items["m/"+id] == nil && s.groupKeys[id] == "" {
-				s.w.Rules.addViolation("unrecorded", "%s names %s", c.PutKey, id)
+				s.w.Rules.addViolation("unrecorded", "record %s places tasks on machine %s, which has no record", c.PutKey, id)
 			}
 		}
 	}
 }
 
-// toReturn reports whether an intent to return a machine stands.
+// hasReleaseIntent reports whether there is an intent record that names a machine.
 func (s *State) hasReleaseIntent(id string) bool {
 	for key, it := range s.items {
 		var rec struct {
@@ -220,24 +230,24 @@
 	return false
 }
 
-// judgeKeys holds the controllers to leaving nothing behind that no record explains: what lies
-// beside a job goes with it, a record of machines names some.
+// checkOrphanedKeys checks that controllers leave no orphaned records: the records beside a
+// job are deleted with it, and each group record names at least one machine.
 func (s *State) checkOrphanedKeys() {
 	for _, key := range sortedKeys(s.items) {
 		kind, rest, _ := strings.Cut(key, "/")
-		id, _, beside := strings.Cut(rest, "/")
+		id, _, hasSubkey := strings.Cut(rest, "/")
 		switch {
-		case kind == "j" && beside, kind == "t":
+		case kind == "j" && hasSubkey, kind == "t":
 			if s.items["j/"+id] == nil {
-				s.w.Rules.addViolation("left_behind", "%s", key)
+				s.w.Rules.addViolation("left_behind", "record %s exists without its job", key)
 			}
 		case kind == "g" && !slices.Contains(slices.Collect(maps.Values(s.groupKeys)), key):
-			s.w.Rules.addViolation("left_behind", "%s", key)
+			s.w.Rules.addViolation("left_behind", "group record %s names no machine", key)
 		}
 	}
 }
 
-// phase is the final state that the service holds of a job, or "".
+// finalPhase returns the final phase that the service has recorded for a job, or "".
 func (s *State) finalPhase(id string) string {
 	for _, key := range []string{"j/" + id + "/s", "f/" + id} {
 		var rec struct {
@@ -250,6 +260,7 @@
 	return ""
 }
 
+// notify answers the watches whose prefix has changed, unless there is an outage.
 func (s *State) notify() {
 	if s.Outage {
 		return
@@ -257,10 +268,10 @@
 	keep := s.watches[:0]
 	var fire []*watch
 	for _, w := range s.watches {
-		if w.done {
+		if w.answered {
 			continue
 		}
-		if len(s.since(w.prefix, w.since)) > 0 {
+		if len(s.eventsSince(w.prefix, w.since)) > 0 {
 			fire = append(fire, w)
 		} else {
 			keep = append(keep, w)
@@ -268,29 +279,31 @@
 	}
 	s.watches = keep
 	for _, w := range fire {
-		w.done = true
+		w.answered = true
 		w.fire()
 	}
 }
 
-// watch answers once something with the prefix has changed, or the time is over.
-func (s *State) watch(prefix string, since uint64, hold Micros, answer func(*wire.WatchAnswer)) {
-	x := &watch{prefix: prefix, since: since}
-	x.fire = func() { answer(&wire.WatchAnswer{Revision: s.revision, Events: s.since(prefix, since)}) }
-	s.watches = append(s.watches, x)
+// addWatch calls answer once a key with the prefix has changed, or after the hold time;
+// not during an outage.
+func (s *State) addWatch(prefix string, since uint64, hold Micros, answer func(*wire.WatchAnswer)) {
+	entry := &watch{prefix: prefix, since: since}
+	entry.fire = func() { answer(&wire.WatchAnswer{Revision: s.revision, Events: s.eventsSince(prefix, since)}) }
+	s.watches = append(s.watches, entry)
 	s.w.After(hold, func() {
-		if !x.done && !s.Outage {
-			x.done = true
-			x.fire()
+		if !entry.answered && !s.Outage {
+			entry.answered = true
+			entry.fire()
 		}
 	})
 	s.notify()
 }
 
-func (s *State) since(prefix string, rev uint64) []wire.Event {
+// eventsSince returns the changes of keys with a prefix after a revision.
+func (s *State) eventsSince(prefix string, revision uint64) []wire.Event {
 	var out []wire.Event
-	newer := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > rev })
-	for _, e := range s.log[newer:] {
+	newer := sort.Search(len(s.eventLog), func(i int) bool { return s.eventLog[i].Version > revision })
+	for _, e := range s.eventLog[newer:] {
 		if strings.HasPrefix(e.PutKey, prefix) || strings.HasPrefix(e.DeleteKey, prefix) {
 			out = append(out, e)
 		}
@@ -298,15 +311,16 @@
 	return out
 }
 
+// txn applies a transaction if its guards hold and its leases exist.
 func (s *State) txn(t *wire.Txn) (store.Outcome, *wire.TxnAnswer) {
 	a := &wire.TxnAnswer{}
-	for _, g := range t.If {
-		v := uint64(0)
-		if it := s.items[g.Key]; it != nil {
-			v = it.Version
+	for _, guard := range t.If {
+		version := uint64(0)
+		if it := s.items[guard.Key]; it != nil {
+			version = it.Version
 		}
-		if v != g.Version {
-			a.FailedGuards = append(a.FailedGuards, g.Key)
+		if version != guard.Version {
+			a.FailedGuards = append(a.FailedGuards, guard.Key)
 		}
 	}
 	for _, c := range t.Then {
@@ -325,8 +339,8 @@
 	return store.OK, a
 }
 
-// judge applies the limits of the settings, or the next ones once they are in
-// force, to a transaction.
+// checkLimits checks a transaction against the limits of the settings, or against the
+// lower of these and the announced limits once NextLimitsInForce is set.
 func (s *State) checkLimits(t *wire.Txn) store.Outcome {
 	limits := s.w.Config.Params.State
 	if s.NextLimitsInForce {
@@ -342,8 +356,8 @@
 			invalid = invalid || wire.JSONSize(c.Value) > limits.ValueBytes()
 		}
 	}
-	s.tokens = min(limits.WriteRPS, s.tokens+(s.w.now-s.filled).Seconds()*limits.WriteRPS)
-	s.filled = s.w.now
+	s.tokens = min(limits.WriteRPS, s.tokens+(s.w.now-s.tokensUpdatedAt).Seconds()*limits.WriteRPS)
+	s.tokensUpdatedAt = s.w.now
 	switch {
 	case invalid:
 		s.RefusedTxns++
@@ -356,21 +370,24 @@
 	return store.OK
 }
 
-// stateClient is the service as one node reaches it.
+// stateClient is the connection of one incarnation of a node to the state service.
 type stateClient struct{ e *env }
 
-// count counts a request.
+// countRequest counts a request for PeakRequests.
 func (s *State) countRequest() {
-	if at := s.w.now / second; at != s.second {
-		s.second, s.asked = at, 0
+	if current := s.w.now / second; current != s.currentSecond {
+		s.currentSecond, s.requestsInSecond = current, 0
 	}
-	s.asked++
-	s.PeakRequests = max(s.PeakRequests, s.asked)
+	s.requestsInSecond++
+	s.PeakRequests = max(s.PeakRequests, s.requestsInSecond)
 }
 
+// state returns the state service of the client's environment.
 func (c *stateClient) state() *State { return c.e.n.w.State }
 
-// call runs f at the service unless it is out for this node.
+// call runs f at the service and delivers the answer by the function that f returns. If
+// the service has an outage or refuses the node, refused is called; without an answer in
+// 1.5 s, unknown.
 func (c *stateClient) call(f func() func(), refused, unknown func()) {
 	s := c.state()
 	c.e.n.w.call(c.e.n.name, "state", 1500*millisecond, func(respond func(func())) {
@@ -388,7 +405,7 @@
 	}, c.e.whileRunning(unknown))
 }
 
-// page lists keys after one, as many as allowed.
+// page returns up to limit items whose keys have the prefix and follow the given key.
 func (s *State) page(prefix, after string, limit int) *wire.ItemList {
 	l := &wire.ItemList{Revision: s.revision}
 	for _, k := range sortedKeys(s.items) {
@@ -403,6 +420,7 @@
 	return l
 }
 
+// List returns a page of items.
 func (c *stateClient) List(prefix, after string, limit int, done func(store.Outcome, *wire.ItemList)) {
 	s := c.state()
 	c.call(func() func() {
@@ -411,6 +429,7 @@
 	}, func() { done(store.Refused, &wire.ItemList{}) }, func() { done(store.Unknown, &wire.ItemList{}) })
 }
 
+// Get returns one item; the outcome is Failed if the key does not exist.
 func (c *stateClient) Get(key string, done func(store.Outcome, *wire.Item)) {
 	s := c.state()
 	c.call(func() func() {
@@ -422,69 +441,74 @@
 	}, func() { done(store.Refused, &wire.Item{}) }, func() { done(store.Unknown, &wire.Item{}) })
 }
 
+// Txn executes a transaction, subject to the injected faults. A delayed transaction is
+// applied without a check of the limits.
 func (c *stateClient) Txn(t *wire.Txn, done func(store.Outcome, *wire.TxnAnswer)) {
 	s, name := c.state(), c.e.n.name
-	hit := slices.ContainsFunc(t.Then, func(ch wire.Change) bool { return strings.HasPrefix(ch.PutKey+ch.DeleteKey, s.DelayedKeyPrefix) })
-	d, late := s.NextTxnDelay[name]
-	if late = late && hit; late {
+	matchesPrefix := slices.ContainsFunc(t.Then, func(ch wire.Change) bool { return strings.HasPrefix(ch.PutKey+ch.DeleteKey, s.DelayedKeyPrefix) })
+	delay, delayed := s.NextTxnDelay[name]
+	if delayed = delayed && matchesPrefix; delayed {
 		delete(s.NextTxnDelay, name)
 	} else if !s.Outage && !s.RefusedNodes[name] {
-		d, late = s.drawLate()
+		delay, delayed = s.pickWriteDelay()
 	}
-	if late {
+	if delayed {
 		s.DelayedTxns++
-		c.e.n.w.After(d, func() { s.txn(t) })
+		c.e.n.w.After(delay, func() { s.txn(t) })
 		c.e.After(1500*millisecond, func() { done(store.Unknown, &wire.TxnAnswer{}) })
 		return
 	}
-	lost := s.LoseNextAnswer[name]
+	loseAnswer := s.LoseNextAnswer[name]
 	delete(s.LoseNextAnswer, name)
 	c.call(func() func() {
 		if o := s.checkLimits(t); o != store.OK {
 			return func() { done(o, &wire.TxnAnswer{}) }
 		}
 		o, a := s.txn(t)
-		if lost {
+		if loseAnswer {
 			return func() { c.e.After(1500*millisecond, func() { done(store.Unknown, &wire.TxnAnswer{}) }) }
 		}
 		return func() { done(o, a) }
 	}, func() { done(store.Refused, &wire.TxnAnswer{}) }, func() { done(store.Unknown, &wire.TxnAnswer{}) })
 }
 
-// grant begins a lease.
-func (s *State) grant(ttl Micros) uint64 {
-	s.nextID++
-	s.leases[s.nextID] = &lease{ttl, s.w.now + ttl}
-	return s.nextID
+// grantLease creates a lease and returns its ID.
+func (s *State) grantLease(ttl Micros) uint64 {
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = &lease{ttl, s.w.now + ttl}
+	return s.lastLeaseID
 }
 
-// renew reports whether the lease lived.
-func (s *State) renew(id uint64) bool {
+// renewLease renews a lease and reports whether the lease existed.
+func (s *State) renewLease(id uint64) bool {
 	l := s.leases[id]
 	if l != nil {
-		l.end = s.w.now + l.ttl
+		l.expiresAt = s.w.now + l.ttl
 	}
 	return l != nil
 }
 
+// Grant creates a lease with a lifetime in milliseconds.
 func (c *stateClient) Grant(ttl int64, done func(store.Outcome, uint64)) {
 	s := c.state()
 	c.call(func() func() {
-		id := s.grant(Micros(ttl) * millisecond)
+		id := s.grantLease(Micros(ttl) * millisecond)
 		return func() { done(store.OK, id) }
 	}, func() { done(store.Refused, 0) }, func() { done(store.Unknown, 0) })
 }
 
+// Renew renews a lease; the outcome is Failed if it has expired.
 func (c *stateClient) Renew(id uint64, done func(store.Outcome)) {
 	s := c.state()
 	c.call(func() func() {
-		if !s.renew(id) {
+		if !s.renewLease(id) {
 			return func() { done(store.Failed) }
 		}
 		return func() { done(store.OK) }
 	}, func() { done(store.Refused) }, func() { done(store.Unknown) })
 }
 
+// Revoke ends a lease.
 func (c *stateClient) Revoke(id uint64, done func(store.Outcome)) {
 	s := c.state()
 	c.call(func() func() {
@@ -493,12 +517,13 @@
 	}, func() { done(store.Refused) }, func() { done(store.Unknown) })
 }
 
+// Watch waits up to the given time in milliseconds for changes after a revision.
 func (c *stateClient) Watch(prefix string, since uint64, wait int64, done func(store.Outcome, *wire.WatchAnswer)) {
 	s, w := c.state(), c.e.n.w
 	w.call(c.e.n.name, "state", Micros(wait)*millisecond+3*second, func(respond func(func())) {
 		s.countRequest()
-		s.watch(prefix, since, Micros(wait)*millisecond, func(a *wire.WatchAnswer) {
-			if !s.RefusedNodes[c.e.n.name] { // an open watch waits on, as in an outage
+		s.addWatch(prefix, since, Micros(wait)*millisecond, func(a *wire.WatchAnswer) {
+			if !s.RefusedNodes[c.e.n.name] { // as in an outage, an open watch gets no answer
 				respond(c.e.whileRunning(func() { done(store.OK, a) }))
 			}
 		})
--- a/internal/sim/waiting.go
+++ b/internal/sim/waiting.go
@@ -7,108 +7,110 @@
 	"lilacthread/wire"
 )
 
-// waitsAtMost is how long a job may be left waiting, once all troubles are over, while a
-// machine that fits has room and its team is under its limit.
-const waitsAtMost = 90 * second
+// maxPlaceableWait is how long a job may stay unplaced, after the last injected fault has
+// ended, while a suitable machine has room and the job's team is below its limit.
+const maxPlaceableWait = 90 * second
 
-// judgeWaiting holds the day to that, looking every few seconds: an array or service by each
-// of its tasks, a gang as a whole.
+// checkLeftWaiting enforces maxPlaceableWait; scenarios call it every 5 s of virtual time.
+// It considers each task of an array or service on its own, and a gang as a whole.
 func (w *World) checkLeftWaiting() {
 	c := w.Rules
-	held := w.places()
-	used := map[string]float64{}
-	for id, tasks := range held {
+	placed := w.tasksOnMachines()
+	usedCPUs := map[string]float64{}
+	for id, tasks := range placed {
 		if j := c.jobs[id]; j != nil {
-			used[j.job.Team] += float64(len(tasks)) * j.job.CPUs
+			usedCPUs[j.job.Team] += float64(len(tasks)) * j.job.CPUs
 		}
 	}
 	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
-		waits := j.accepted && j.finalPhase == "" && j.doneAt == 0 && !c.cancelAllowed(j) &&
+		waiting := j.accepted && j.finalPhase == "" && j.doneAt == 0 && !c.cancelAllowed(j) &&
 			!slices.ContainsFunc(j.job.DependsOn, func(id string) bool { return c.jobs[id] == nil || c.jobs[id].doneAt == 0 })
-		if !waits || !w.hasRoom(j, held[id], used[j.job.Team]) {
+		if !waiting || !w.hasRoom(j, placed[id], usedCPUs[j.job.Team]) {
 			j.placeableSince = 0
 			continue
 		}
 		if j.placeableSince == 0 {
 			j.placeableSince = w.now
 		}
-		if w.now-max(j.placeableSince, c.faultWindowEnd) > waitsAtMost {
-			c.addViolation("left_waiting", "%s has had room for 90 s", id)
+		if w.now-max(j.placeableSince, c.faultWindowEnd) > maxPlaceableWait {
+			c.addViolation("left_waiting", "job %s has waited 90 s although it could be placed", id)
 			j.placeableSince = w.now
 		}
 	}
 }
 
-// places lists the tasks that are on a machine in any state but exited, by job, with the zone.
-func (w *World) places() map[string]map[string]string {
-	held := map[string]map[string]string{}
+// tasksOnMachines returns, by job, the tasks that are on machines and have not exited, each
+// with its zone.
+func (w *World) tasksOnMachines() map[string]map[string]string {
+	placed := map[string]map[string]string{}
 	for _, x := range w.Cloud.Machines {
 		for _, t := range x.tasks {
 			if id, _, ok := wire.SplitTask(t.task); ok && t.state != wire.TaskExited {
-				if held[id] == nil {
-					held[id] = map[string]string{}
+				if placed[id] == nil {
+					placed[id] = map[string]string{}
 				}
-				held[id][t.task] = x.zone
+				placed[id][t.task] = x.zone
 			}
 		}
 	}
-	return held
+	return placed
 }
 
-// hasRoom reports whether what a job still lacks, or one task of it unless it is a gang, could
-// be placed now: on machines that run and are well, in the zones that are left to it.
-func (w *World) hasRoom(j *trackedJob, held map[string]string, used float64) bool {
-	s := j.job
-	lacks := s.Tasks - len(held)
+// hasRoom reports whether all missing tasks of a gang, or one missing task of another job,
+// could be placed now on healthy running machines, within the job's zone constraints and
+// its team's limit.
+func (w *World) hasRoom(j *trackedJob, placed map[string]string, usedCPUs float64) bool {
+	job := j.job
+	missing := job.Tasks - len(placed)
 	for i := range j.doneTasks {
-		if _, on := held[wire.TaskID(s.ID, i)]; !on {
-			lacks--
+		if _, on := placed[wire.TaskID(job.ID, i)]; !on {
+			missing--
 		}
 	}
-	if lacks <= 0 {
+	if missing <= 0 {
 		return false
 	}
-	if s.Kind != wire.KindGang {
-		lacks = 1
+	if job.Kind != wire.KindGang {
+		missing = 1
 	}
-	if limit := w.Rules.TeamLimits[s.Team]; limit > 0 && used+float64(lacks)*s.CPUs > limit+1e-6 {
+	if limit := w.Rules.TeamLimits[job.Team]; limit > 0 && usedCPUs+float64(missing)*job.CPUs > limit+1e-6 {
 		return false
 	}
 	inZone := map[string]int{}
-	for _, zone := range held {
+	for _, zone := range placed {
 		inZone[zone]++
 	}
-	room := map[string]int{} // by zone
+	roomByZone := map[string]int{} // free slots by zone
 	for _, id := range sortedKeys(w.Cloud.Machines) {
-		if x := w.Cloud.Machines[id]; x.fits(s) {
-			room[x.zone] += x.slots(s)
+		if x := w.Cloud.Machines[id]; x.canRun(job) {
+			roomByZone[x.zone] += x.freeSlots(job)
 		}
 	}
-	all := 0
-	for zone, n := range room {
+	totalRoom := 0
+	for zone, n := range roomByZone {
 		switch {
-		case s.OneZone:
-			if len(held) == 0 || inZone[zone] > 0 {
-				all = max(all, n)
+		case job.OneZone:
+			if len(placed) == 0 || inZone[zone] > 0 {
+				totalRoom = max(totalRoom, n)
 			}
-		case s.Spread:
-			all += min(n, (s.Tasks+1)/2-inZone[zone])
+		case job.Spread:
+			totalRoom += min(n, (job.Tasks+1)/2-inZone[zone])
 		default:
-			all += n
+			totalRoom += n
 		}
 	}
-	return all >= lacks
+	return totalRoom >= missing
 }
 
-// fits reports whether a machine is well and may run tasks of a job.
-func (x *Worker) fits(s *wire.Job) bool {
-	return x.up && !x.dead && !x.hung && !x.Unhealthy && x.reclaimAt == 0 && (s.Spot || !x.spot) &&
-		(s.Zone == "" || s.Zone == x.zone) && (len(s.Types) == 0 || slices.Contains(s.Types, x.typ.Name))
+// canRun reports whether a machine is healthy and allowed to run tasks of a job.
+func (x *Worker) canRun(job *wire.Job) bool {
+	return x.up && !x.dead && !x.hung && !x.Unhealthy && x.reclaimAt == 0 && (job.Spot || !x.spot) &&
+		(job.Zone == "" || job.Zone == x.zone) && (len(job.Types) == 0 || slices.Contains(job.Types, x.typ.Name))
 }
 
-// slots is how many more tasks of a job the machine has room for.
-func (x *Worker) slots(s *wire.Job) int {
+// freeSlots returns how many more tasks of a job the machine has room for.
+func (x *Worker) freeSlots(job *wire.Job) int {
 	cpus, gpus, mem := x.typ.CPUs, x.typ.GPUs, x.typ.MemoryGB
 	for _, t := range x.tasks {
 		if t.job != nil && t.state != wire.TaskExited {
@@ -116,9 +118,9 @@
 		}
 	}
 	n := math.Inf(1)
-	for _, of := range [][2]float64{{cpus, s.CPUs}, {gpus, s.GPUs}, {mem, s.MemoryGB}} {
-		if of[1] > 0 {
-			n = min(n, math.Floor(of[0]/of[1]+1e-9))
+	for _, resource := range [][2]float64{{cpus, job.CPUs}, {gpus, job.GPUs}, {mem, job.MemoryGB}} {
+		if resource[1] > 0 {
+			n = min(n, math.Floor(resource[0]/resource[1]+1e-9))
 		}
 	}
 	return int(max(n, 0))
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -6,106 +6,112 @@
 	"lilacthread/wire"
 )
 
-// Worker is the stand-in of one machine's worker.
+// Worker simulates one machine and its worker process.
 type Worker struct {
 	w        *World
 	id       string
-	addr     string // where it takes orders; in virtual time its name
+	addr     string // address for command batches; in virtual time the machine's ID
 	typ      *wire.MachineType
 	zone     string
 	spot     bool
-	rentedAt Micros
-
-	up, dead, hung bool
-	Unhealthy      bool // every task fails
-	session, seq   uint64
-	life           int // answers to requests of an earlier one don't arrive
-	token          uint64
-	node           int // index of the node it reports to
-	renewed        Micros
-	tasks          map[string]*simTask // by task and attempt
-	order          []string
-	images         map[string]bool
-	reclaimAt      Micros
-	backlog        []func() // what a hanging machine does when it goes on
-
-	sent    Micros // the latest report
-	waiting bool   // for its answer, or to try another node
-	changed bool   // since the latest report
-	plan    int    // of the next report; a later plan replaces an earlier one
-}
-
+	rentedAt Micros // when the cloud created the machine
+
+	up, dead, hung bool                // booted; ended for good; suspended
+	Unhealthy      bool                // every task fails half a second after it starts to run
+	session, seq   uint64              // of the reports
+	incarnation    int                 // answers to requests of an earlier incarnation are discarded
+	token          uint64              // highest token of a controller that the worker has accepted
+	nodeIndex      int                 // index of the node that it reports to
+	leaseRenewedAt Micros              // when the request was sent whose answer last renewed the worker's lease
+	tasks          map[string]*simTask // by task and attempt ("TASK#ATTEMPT")
+	taskOrder      []string            // keys of tasks in the order of their start
+	images         map[string]bool     // images that are in the cache
+	reclaimAt      Micros              // when the cloud takes the spot machine; 0: no notice
+	backlog        []func()            // work that waits until a suspended machine is resumed
+
+	lastReportAt     Micros // when the latest report was sent
+	awaitingAnswer   bool   // an answer, or the time to try another node, is awaited
+	unreportedChange bool   // a task has changed since the latest report
+	reportPlan       int    // number of the latest plan for a report; earlier plans are void
+}
+
+// simTask is an attempt to run a task on a machine.
 type simTask struct {
-	task    string
-	attempt uint64
-	state   string
-	cause   string
-	saved   bool
-	job     *wire.Job
-	began   Micros
-	change  int // cancels timers of an earlier state
+	task         string
+	attempt      uint64
+	state        string
+	cause        string
+	saved        bool // a checkpoint was saved before the exit
+	job          *wire.Job
+	startedAt    Micros // when it started to run
+	stateVersion int    // incremented to void the timers of an earlier state
 }
 
+// newWorker returns the worker of a machine that has not booted yet.
 func newWorker(w *World, id string, t *wire.MachineType, zone string, spot bool) *Worker {
 	return &Worker{w: w, id: id, addr: id, typ: t, zone: zone, spot: spot, rentedAt: w.now, session: 1,
-		tasks: map[string]*simTask{}, images: map[string]bool{}, node: len(id) % len(w.Nodes)}
+		tasks: map[string]*simTask{}, images: map[string]bool{}, nodeIndex: len(id) % len(w.Nodes)}
 }
 
+// boot starts the worker process: it reports, and checks its lease every 50 ms.
 func (x *Worker) boot() {
 	if x.dead {
 		return
 	}
-	x.up, x.renewed = true, x.w.now
+	x.up, x.leaseRenewedAt = true, x.w.now
 	if x.w.server != nil {
 		x.w.server.serveWorker(x)
 	}
 	x.report()
-	var lease func()
-	lease = func() {
+	var checkLease func()
+	checkLease = func() {
 		if x.dead {
 			return
 		}
-		// A worker checks its lease even while it hangs: what it would do later
-		// must not outlive the lease.
-		if x.w.now-x.renewed > Micros(x.w.Config.Params.Workers.Lease*1e6) {
-			if len(x.order) > 0 {
+		// A worker checks its lease even while it is suspended, since its tasks must not run
+		// on after the lease has expired.
+		if x.w.now-x.leaseRenewedAt > Micros(x.w.Config.Params.Workers.Lease*1e6) {
+			if len(x.taskOrder) > 0 {
 				x.w.LeasesLost++
 			}
 			x.killAll()
 			x.session++
-			x.renewed = x.w.now
+			x.leaseRenewedAt = x.w.now
 		}
-		x.w.After(50*millisecond, lease)
+		x.w.After(50*millisecond, checkLease)
 	}
-	lease()
+	checkLease()
 }
 
-// Reborn starts the machine anew under its name and address: it counts from the beginning
-// and knows nothing, its images included.
+// Restart restarts the machine under its name and address, with a reset session counter
+// and without tasks, token and images.
 func (x *Worker) Restart() {
 	x.killAll()
-	x.life++
-	x.session, x.seq, x.token, x.renewed, x.images = 1, 0, 0, x.w.now, map[string]bool{}
+	x.incarnation++
+	x.session, x.seq, x.token, x.leaseRenewedAt, x.images = 1, 0, 0, x.w.now, map[string]bool{}
 }
 
+// terminate ends the machine and everything on it.
 func (x *Worker) terminate() {
 	x.killAll()
 	x.dead, x.up = true, false
 }
 
+// killAll removes all tasks.
 func (x *Worker) killAll() {
-	for _, k := range x.order {
-		x.left(x.tasks[k])
+	for _, k := range x.taskOrder {
+		x.noteRemoved(x.tasks[k])
 	}
-	x.tasks, x.order = map[string]*simTask{}, nil
+	x.tasks, x.taskOrder = map[string]*simTask{}, nil
 }
 
-func (x *Worker) left(t *simTask) {
-	t.change++
+// noteRemoved voids a task's timers and tells the checker that it is off the machine.
+func (x *Worker) noteRemoved(t *simTask) {
+	t.stateVersion++
 	x.w.Rules.TaskRemoved(t.task, x.id, x.zone)
 }
 
-// Hang stops the machine's execution, or lets it go on.
+// Hang suspends or resumes the machine.
 func (x *Worker) Hang(on bool) {
 	x.hung = on
 	if !on {
@@ -117,6 +123,7 @@
 	}
 }
 
+// runWhenActive runs f at once, or when the machine is resumed; not on a dead machine.
 func (x *Worker) runWhenActive(f func()) {
 	switch {
 	case x.dead:
@@ -127,28 +134,29 @@
 	}
 }
 
-// Notify gives a spot notice; the machine is taken when it is over.
-func (x *Worker) SendSpotNotice(in Micros) {
-	x.reclaimAt = x.w.now + in
-	x.w.After(in, func() { x.w.Cloud.remove(x.id) })
+// SendSpotNotice announces that the cloud takes the spot machine after the delay.
+func (x *Worker) SendSpotNotice(delay Micros) {
+	x.reclaimAt = x.w.now + delay
+	x.w.After(delay, func() { x.w.Cloud.remove(x.id) })
 }
 
+// snapshot returns a report of the machine's present state with the next sequence number.
 func (x *Worker) snapshot() *wire.Report {
 	x.seq++
 	r := &wire.Report{Machine: x.id, Addr: x.addr, Type: x.typ.Name, Zone: x.zone, Spot: x.spot,
 		Session: x.session, Seq: x.seq, Token: x.token, Tasks: []wire.TaskReport{}}
 	if x.reclaimAt > 0 {
-		left := (x.reclaimAt - x.w.now).Seconds()
-		r.ReclaimNoticeSeconds = &left
+		secondsLeft := (x.reclaimAt - x.w.now).Seconds()
+		r.ReclaimNoticeSeconds = &secondsLeft
 	}
-	for _, k := range x.order {
+	for _, k := range x.taskOrder {
 		t := x.tasks[k]
 		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.task, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	return r
 }
 
-// report sends one report and, when it is over, the next.
+// report sends one report; its outcome schedules the next one.
 func (x *Worker) report() {
 	if x.dead {
 		return
@@ -157,34 +165,34 @@
 		x.backlog = append(x.backlog, x.report)
 		return
 	}
-	x.sent, x.waiting, x.changed = x.w.now, true, false
-	if x.w.outboundLost[x.id] { // no connection comes about
+	x.lastReportAt, x.awaitingAnswer, x.unreportedChange = x.w.now, true, false
+	if x.w.outboundLost[x.id] { // the report cannot be sent
 		x.tryNext()
 		return
 	}
-	rep, of := x.snapshot(), sending{x.w.now, x.session, x.life}
-	answered := func(a controller.ReportAnswer) { x.runWhenActive(func() { x.answered(a, of) }) }
-	n := x.w.Nodes[x.node]
+	rep, sent := x.snapshot(), sentReport{x.w.now, x.session, x.incarnation}
+	answered := func(a controller.ReportAnswer) { x.runWhenActive(func() { x.handleAnswer(a, sent) }) }
+	n := x.w.Nodes[x.nodeIndex]
 	if x.w.server != nil {
 		x.w.server.postReport(n.name, rep, answered)
 		return
 	}
-	x.w.deliver(n, rep, answered, func() { x.runWhenActive(x.tryNext) })
+	x.w.deliverReport(n, rep, answered, func() { x.runWhenActive(x.tryNext) })
 }
 
-// sending is when a report was sent, and by which life of its machine.
-type sending struct {
-	at      Micros
-	session uint64
-	life    int
+// sentReport is when a report was sent, and in which session and incarnation.
+type sentReport struct {
+	sentAt      Micros
+	session     uint64
+	incarnation int
 }
 
-// deliver carries a report to a controller in virtual time, through the real codec.
-func (w *World) deliver(n *Node, rep *wire.Report, answered func(controller.ReportAnswer), fail func()) {
-	slow := w.ReportDelay
+// deliverReport sends a report to a controller in virtual time, through the real codec.
+func (w *World) deliverReport(n *Node, rep *wire.Report, answered func(controller.ReportAnswer), fail func()) {
+	delay := w.ReportDelay
 	w.scheduleReportCopy(rep)
 	w.call(rep.Machine, n.name, 4*second, func(respond func(func())) {
-		w.After(slow, func() {
+		w.After(delay, func() {
 			got, err := wire.DecodeReport(wire.Encode(rep))
 			if err != nil {
 				panic(err)
@@ -196,104 +204,108 @@
 	}, fail)
 }
 
-// tryNext reports to the next controller, a second later.
+// tryNext turns to the next controller and reports to it a second later.
 func (x *Worker) tryNext() {
-	x.node = (x.node + 1) % len(x.w.Nodes)
+	x.nodeIndex = (x.nodeIndex + 1) % len(x.w.Nodes)
 	x.reportIn(second)
 }
 
-// answered takes in the answer to a report.
-func (x *Worker) answered(a controller.ReportAnswer, of sending) {
+// handleAnswer handles the answer to a report.
+func (x *Worker) handleAnswer(a controller.ReportAnswer, sent sentReport) {
 	switch {
-	case of.life != x.life:
+	case sent.incarnation != x.incarnation:
 		x.tryNext()
 	case a.Code == 200:
-		x.renew(a, of)
-	case a.Code == 421 && x.redirect(a.Leader):
+		x.applyAnswer(a, sent)
+	case a.Code == 421 && x.followRedirect(a.Leader):
 		x.reportIn(100 * millisecond)
 	default:
 		x.tryNext()
 	}
 }
 
-// renew executes an answer's commands, unless it is too old, and plans the next report.
-func (x *Worker) renew(a controller.ReportAnswer, of sending) {
+// applyAnswer renews the lease and executes the answer's commands, unless the answer is
+// outdated, and schedules the next report.
+func (x *Worker) applyAnswer(a controller.ReportAnswer, sent sentReport) {
 	w := x.w
-	every := Micros(w.Config.Params.Workers.Report * 1e6)
-	if a.Body.Token >= x.token && a.Body.Token > 0 && of.session == x.session && w.now-of.at <= 4*second {
+	interval := Micros(w.Config.Params.Workers.Report * 1e6)
+	if a.Body.Token >= x.token && a.Body.Token > 0 && sent.session == x.session && w.now-sent.sentAt <= 4*second {
 		x.token = a.Body.Token
-		x.renewed = max(x.renewed, of.at)
-		x.run(a.Body.Commands)
+		x.leaseRenewedAt = max(x.leaseRenewedAt, sent.sentAt)
+		x.runCommands(a.Body.Commands)
 	}
-	x.waiting = false
-	x.reportIn(every*3/4 + Micros(w.rng.IntN(int(every/2))))
-	if x.changed {
-		x.change()
+	x.awaitingAnswer = false
+	x.reportIn(interval*3/4 + Micros(w.rng.IntN(int(interval/2))))
+	if x.unreportedChange {
+		x.noteChange()
 	}
 }
 
-// redirect turns to the controller named, if it is another that the worker knows.
-func (x *Worker) redirect(name string) bool {
+// followRedirect selects the named controller and reports whether it is a known one other
+// than the present one.
+func (x *Worker) followRedirect(name string) bool {
 	for i, o := range x.w.Nodes {
-		if o.name == name && i != x.node {
-			x.node = i
+		if o.name == name && i != x.nodeIndex {
+			x.nodeIndex = i
 			return true
 		}
 	}
 	return false
 }
 
-// reportIn plans the next report.
+// reportIn schedules the next report, replacing an earlier plan.
 func (x *Worker) reportIn(d Micros) {
-	x.plan++
-	plan := x.plan
+	x.reportPlan++
+	plan := x.reportPlan
 	x.w.After(d, func() {
-		if plan == x.plan {
+		if plan == x.reportPlan {
 			x.report()
 		}
 	})
 }
 
-// changeEvery is the least time between reports of changes.
-const changeEvery = second / 2
+// minChangeInterval is the minimum time between reports of changes.
+const minChangeInterval = second / 2
 
-// change notes that there is something new to report.
-func (x *Worker) change() {
-	x.changed = true
-	if x.w.ReportChanges && x.up && !x.waiting {
-		x.reportIn(max(x.sent+changeEvery-x.w.now, 0))
+// noteChange notes that a task has changed, and reports soon if World.ReportChanges is set.
+func (x *Worker) noteChange() {
+	x.unreportedChange = true
+	if x.w.ReportChanges && x.up && !x.awaitingAnswer {
+		x.reportIn(max(x.lastReportAt+minChangeInterval-x.w.now, 0))
 	}
 }
 
-// orders executes commands that came straight from a controller.
+// executeOrders executes a command batch that a controller sent directly, unless its token
+// or session is outdated.
 func (x *Worker) executeOrders(o *wire.Orders) (store.Outcome, *wire.Report) {
 	if o.Token < x.token || o.Session != x.session {
 		return store.Failed, x.snapshot()
 	}
 	x.token = o.Token
-	x.run(o.Commands)
+	x.runCommands(o.Commands)
 	return store.OK, x.snapshot()
 }
 
-func (x *Worker) run(cmds []wire.Command) {
+// runCommands executes commands in order.
+func (x *Worker) runCommands(cmds []wire.Command) {
 	for _, c := range cmds {
 		key := c.Task + "#" + itoa(c.Attempt)
 		t := x.tasks[key]
 		switch c.Op {
 		case wire.OpStart:
 			if t == nil {
-				x.start(key, c.Task, c.Attempt)
+				x.startTask(key, c.Task, c.Attempt)
 			}
 		case wire.OpStop:
 			if t != nil && t.state != wire.TaskExited {
-				x.stop(t, *c.GraceSeconds)
+				x.stopTask(t, *c.GraceSeconds)
 			}
 		case wire.OpForget:
 			if t != nil && t.state == wire.TaskExited {
 				delete(x.tasks, key)
-				for i, k := range x.order {
+				for i, k := range x.taskOrder {
 					if k == key {
-						x.order = append(x.order[:i:i], x.order[i+1:]...)
+						x.taskOrder = append(x.taskOrder[:i:i], x.taskOrder[i+1:]...)
 						break
 					}
 				}
@@ -302,12 +314,15 @@
 	}
 }
 
-func (x *Worker) start(key, task string, attempt uint64) {
+// startTask starts a task unless another attempt of it is on the machine or resources
+// are lacking. The task
+// fetches its image first; a gang task then waits for the other tasks of its gang.
+func (x *Worker) startTask(key, task string, attempt uint64) {
 	id, _, _ := wire.SplitTask(task)
 	t := &simTask{task: task, attempt: attempt, state: wire.TaskFetching}
 	x.tasks[key] = t
-	x.order = append(x.order, key)
-	x.change()
+	x.taskOrder = append(x.taskOrder, key)
+	x.noteChange()
 	j := x.w.Rules.jobs[id]
 	if j == nil {
 		t.state, t.cause = wire.TaskExited, wire.CauseUnknown
@@ -315,124 +330,130 @@
 	}
 	t.job = j.job
 	cpus, gpus, mem := t.job.CPUs, t.job.GPUs, t.job.MemoryGB
-	for _, k := range x.order {
-		o := x.tasks[k]
-		if o == t || o.state == wire.TaskExited {
+	for _, k := range x.taskOrder {
+		other := x.tasks[k]
+		if other == t || other.state == wire.TaskExited {
 			continue
 		}
-		if o.task == task {
+		if other.task == task {
 			t.state, t.cause = wire.TaskExited, wire.CauseBusy
 			return
 		}
-		cpus += o.job.CPUs
-		gpus += o.job.GPUs
-		mem += o.job.MemoryGB
+		cpus += other.job.CPUs
+		gpus += other.job.GPUs
+		mem += other.job.MemoryGB
 	}
 	if cpus > x.typ.CPUs+1e-6 || gpus > x.typ.GPUs+1e-6 || mem > x.typ.MemoryGB+1e-6 {
 		t.state, t.cause = wire.TaskExited, wire.CauseNoCapacity
 		return
 	}
-	fetch := Micros(0)
+	fetchTime := Micros(0)
 	if !x.images[t.job.Image] {
-		fetch = Micros(t.job.ImageGB / x.typ.FetchRate * 1e6)
+		fetchTime = Micros(t.job.ImageGB / x.typ.FetchRate * 1e6)
 	}
-	x.later(t, fetch, func() {
+	x.afterIfUnchanged(t, fetchTime, func() {
 		x.images[t.job.Image] = true
 		x.w.Rules.TaskStarted(x.w.now, t.task, x.id, x.typ.Name, x.zone, x.spot)
 		if t.job.Kind == wire.KindGang {
 			t.state = wire.TaskWaiting
-			x.later(t, Micros(x.w.Config.Params.Workers.GangWait*1e6), func() {
+			x.afterIfUnchanged(t, Micros(x.w.Config.Params.Workers.GangWait*1e6), func() {
 				if t.state == wire.TaskWaiting {
-					x.exit(t, wire.CauseGangIncomplete, false)
+					x.exitTask(t, wire.CauseGangIncomplete, false)
 				}
 			})
-			x.w.gang(t.job, t.attempt)
+			x.w.startGangIfComplete(t.job, t.attempt)
 			return
 		}
-		x.begin(t)
+		x.startRunning(t)
 	})
 }
 
-// later does f after d unless the task has changed meanwhile.
-func (x *Worker) later(t *simTask, d Micros, f func()) {
-	change := t.change
+// afterIfUnchanged runs f after a span of time unless the task's state has changed by then.
+func (x *Worker) afterIfUnchanged(t *simTask, d Micros, f func()) {
+	version := t.stateVersion
 	x.w.After(d, func() {
 		x.runWhenActive(func() {
-			if t.change == change {
+			if t.stateVersion == version {
 				f()
 			}
 		})
 	})
 }
 
-func (x *Worker) begin(t *simTask) {
-	t.state, t.began = wire.TaskRunning, x.w.now
-	x.change()
+// startRunning starts a task's run time, after which the task is done. Services run on.
+func (x *Worker) startRunning(t *simTask) {
+	t.state, t.startedAt = wire.TaskRunning, x.w.now
+	x.noteChange()
 	if x.Unhealthy || x.w.failingJobs[t.job.ID] {
-		x.later(t, second/2, func() { x.exit(t, wire.CauseError, false) })
+		x.afterIfUnchanged(t, second/2, func() { x.exitTask(t, wire.CauseError, false) })
 		return
 	}
 	if t.job.Kind != wire.KindService {
-		run := Micros(t.job.Estimate * 1e6) // the stand-in's owners estimate well
-		x.later(t, run, func() {
-			if t.job.Kind == wire.KindGang { // when one is done, all are
+		runTime := Micros(t.job.Estimate * 1e6) // simulated tasks run exactly as long as estimated
+		x.afterIfUnchanged(t, runTime, func() {
+			if t.job.Kind == wire.KindGang { // when one task of a gang is done, all are
 				for i := range t.job.Tasks {
-					x.w.completed(wire.TaskID(t.job.ID, i))
+					x.w.onTaskCompleted(wire.TaskID(t.job.ID, i))
 				}
 			}
-			x.w.completed(t.task)
-			x.exit(t, wire.CauseDone, false)
+			x.w.onTaskCompleted(t.task)
+			x.exitTask(t, wire.CauseDone, false)
 		})
 	}
 }
 
-func (x *Worker) exit(t *simTask, cause string, saved bool) {
-	x.left(t)
+// exitTask ends a task. If a gang task ends otherwise than by completion, the rest of its
+// gang is ended later.
+func (x *Worker) exitTask(t *simTask, cause string, saved bool) {
+	x.noteRemoved(t)
 	t.state, t.cause, t.saved = wire.TaskExited, cause, saved
-	x.change()
+	x.noteChange()
 	if t.job.Kind == wire.KindGang {
-		x.w.gangLost(t.job, t.attempt, cause)
+		x.w.endGangAfterLoss(t.job, t.attempt, cause)
 	}
 }
 
-func (x *Worker) stop(t *simTask, grace float64) {
+// stopTask stops a task, which saves a checkpoint first if the grace time in seconds allows.
+func (x *Worker) stopTask(t *simTask, grace float64) {
 	if t.state == wire.TaskRunning && t.job.CheckpointInterval > 0 && grace >= t.job.SaveDuration {
 		t.state = wire.TaskSaving
-		t.change++
-		x.later(t, Micros(t.job.SaveDuration*1e6), func() { x.exit(t, wire.CauseStopped, true) })
+		t.stateVersion++
+		x.afterIfUnchanged(t, Micros(t.job.SaveDuration*1e6), func() { x.exitTask(t, wire.CauseStopped, true) })
 		return
 	}
 	if t.state == wire.TaskSaving && grace > 0 {
 		return
 	}
-	x.exit(t, wire.CauseStopped, false)
+	x.exitTask(t, wire.CauseStopped, false)
 }
 
-// gang starts a gang once all tasks of an attempt wait.
-func (w *World) gang(job *wire.Job, attempt uint64) {
-	members := w.members(job, attempt, wire.TaskWaiting)
+// startGangIfComplete starts a gang once all tasks of an attempt wait on machines.
+func (w *World) startGangIfComplete(job *wire.Job, attempt uint64) {
+	members := w.gangMembers(job, attempt, wire.TaskWaiting)
 	if len(members) < job.Tasks {
 		return
 	}
 	for _, m := range members {
-		m.x.begin(m.t)
+		m.worker.startRunning(m.task)
 	}
 }
 
-type member struct {
-	x *Worker
-	t *simTask
+// gangMember is a task of a gang and the machine that it is on.
+type gangMember struct {
+	worker *Worker
+	task   *simTask
 }
 
-func (w *World) members(job *wire.Job, attempt uint64, states ...string) []member {
-	var out []member
+// gangMembers returns an attempt's tasks that are in one of the given states.
+func (w *World) gangMembers(job *wire.Job, attempt uint64, states ...string) []gangMember {
+	var out []gangMember
 	for _, id := range sortedKeys(w.Cloud.Machines) {
 		x := w.Cloud.Machines[id]
-		for _, k := range x.order {
+		for _, k := range x.taskOrder {
 			t := x.tasks[k]
 			for _, s := range states {
 				if t.job == job && t.attempt == attempt && t.state == s {
-					out = append(out, member{x, t})
+					out = append(out, gangMember{x, t})
 				}
 			}
 		}
@@ -440,16 +461,16 @@
 	return out
 }
 
-// gangLost ends the rest of a running gang that lost a task otherwise than by
-// completing.
-func (w *World) gangLost(job *wire.Job, attempt uint64, cause string) {
+// endGangAfterLoss ends the remaining tasks of a running gang some time (the setting
+// GangPeer) after one of them ended for a cause other than completion.
+func (w *World) endGangAfterLoss(job *wire.Job, attempt uint64, cause string) {
 	if cause == wire.CauseDone {
 		return
 	}
 	w.After(Micros(w.Config.Params.Workers.GangPeer*1e6), func() {
-		for _, m := range w.members(job, attempt, wire.TaskRunning, wire.TaskSaving) {
-			m.x.left(m.t)
-			m.t.state, m.t.cause = wire.TaskExited, wire.CausePeersLost
+		for _, m := range w.gangMembers(job, attempt, wire.TaskRunning, wire.TaskSaving) {
+			m.worker.noteRemoved(m.task)
+			m.task.state, m.task.cause = wire.TaskExited, wire.CausePeersLost
 		}
 	})
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,7 +1,12 @@
-// Package sim plays the outside world to controllers in virtual time: stand-ins
-// of the state service, the cloud, the workers and the users, written from the
-// protocol, with its rules as a checker. Nothing here sleeps or reads a clock,
-// so a scenario always ends the same way.
+// Package sim runs controllers in virtual time against simulated versions of everything
+// around them: the state service, the cloud, the workers and the users. Scenario scripts
+// inject faults, and a Checker reports violations of the protocol's rules. Nothing in
+// virtual time sleeps or reads a clock, so a scenario always takes the same course.
+// RealTimeServer serves the same environment over HTTP to real controller processes.
+//
+// The package is no part of the production program: tests and the load test in
+// internal/scale use it. The simulated services are written from the protocol and do not
+// model any implementation of the real ones.
 package sim
 
 import (
@@ -20,7 +25,7 @@
 	"lilacthread/wire"
 )
 
-// Micros is the project's unit of time.
+// Micros is a time or duration in microseconds, the project's unit of time.
 type Micros = clock.Micros
 
 const (
@@ -28,12 +33,14 @@
 	second      = clock.Second
 )
 
+// event is a function that is to run at a time; seq orders events of the same time.
 type event struct {
 	at  Micros
 	seq int
-	f   func()
+	run func()
 }
 
+// events is a heap of events, ordered by time.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -49,17 +56,17 @@
 	return x
 }
 
-// Cut is how a link is interrupted.
+// Cut is what happens to messages on an interrupted link.
 type Cut int
 
-// Kinds of cut.
+// Kinds of interruption.
 const (
-	None Cut = iota
-	Drop     // messages are lost
-	Hold     // messages arrive when the cut ends
+	None Cut = iota // the link works
+	Drop            // messages are lost
+	Hold            // messages are delivered when the interruption ends
 )
 
-// World is one simulated deployment.
+// World is one simulated deployment with its environment.
 type World struct {
 	now    Micros
 	seq    int
@@ -72,40 +79,45 @@
 	Cloud  *Cloud
 	Rules  *Checker
 	Users  map[string]*User
-	// Nothing troubles the state service: see User.Cancel.
+	// CheckCancelCascade makes User.Cancel check that dependent jobs are cancelled first.
+	// It is meant for runs without faults of the state service.
 	CheckCancelCascade bool
-	// The next order is executed this much later, with no answer.
+	// NextOrderDelay delays the next command batch sent directly to a worker; it gets no answer.
 	NextOrderDelay Micros
-	// Reports, or all messages, are under way for this much longer.
+	// ReportDelay delays every report. LinkDelay delays every message by a random span
+	// between 0.25 and 1.25 times its value.
 	ReportDelay, LinkDelay Micros
-	// Users come back when told, from 1 s on; impatient ones after this time.
+	// RetryInterval is how long users wait after an unsuccessful submission before they
+	// repeat it; 0: as long as Retry-After says, between 1 s and 30 s.
 	RetryInterval   Micros
-	ProbeAnswers    int      // answers to those who look closely
-	SubmitLatencies []Micros // how long submissions waited for an answer
-	// Submissions of accepted jobs that were refused all the same.
+	ProbeAnswers    int      // answers to requests of the prober
+	SubmitLatencies []Micros // time from each submission to its answer
+	// AcceptedJobRefusals counts submissions refused with 429 although their job is accepted.
 	AcceptedJobRefusals int
-	CopiesDelivered     int // reports that were kept for a new leader and came to it
-	LeasesLost          int // leases of workers with tasks that ended
-	RelayedReports      int // reports that one controller handed on to another in a batch
-	RelayedOrders       int // orders that one controller gave to another
-	// Greetings that tell of each account's arrivals, by the node that they were sent to.
+	CopiesDelivered     int // delayed copies of reports that were delivered after an election
+	LeasesLost          int // worker leases that expired while the worker had tasks
+	RelayedReports      int // reports that a relaying controller forwarded in batches
+	RelayedOrders       int // command batches that a controller sent through a relaying controller
+	// Notices counts admission notices with arrivals per account by destination node.
 	Notices map[string]int
-	// Workers report changes at once, at most twice a second, beside their steady reports.
+	// ReportChanges makes workers report changes at once, at most twice a second, in
+	// addition to their periodic reports.
 	ReportChanges bool
 	server        *RealTimeServer // nil in virtual time
 	cuts          map[[2]string]Cut
-	inboundLost   map[string]bool // hosts that nothing reaches
-	outboundLost  map[string]bool // machines that reach no controller
-	failingJobs   map[string]bool // jobs whose tasks fail on every machine
-	prober        *prober
-	reportCopies  *reportCopier
-	held          map[[2]string][]func()
+	inboundLost   map[string]bool        // hosts that no message reaches
+	outboundLost  map[string]bool        // machines whose reports reach no controller
+	failingJobs   map[string]bool        // jobs whose tasks fail on every machine
+	prober        *prober                // nil: users don't probe
+	reportCopier  *reportCopier          // nil: reports are not copied
+	heldMessages  map[[2]string][]func() // messages held on interrupted links
 }
 
-// NewWorld makes a world with the given number of controllers.
+// NewWorld returns a simulated environment with the given number of controllers, which
+// are not started yet.
 func NewWorld(nodes int, zones []string, seed uint64) *World {
 	w := &World{rng: rand.New(rand.NewPCG(seed, 1)), policy: policy.Default(), Users: map[string]*User{},
-		cuts: map[[2]string]Cut{}, inboundLost: map[string]bool{}, outboundLost: map[string]bool{}, failingJobs: map[string]bool{}, Notices: map[string]int{}, held: map[[2]string][]func(){}}
+		cuts: map[[2]string]Cut{}, inboundLost: map[string]bool{}, outboundLost: map[string]bool{}, failingJobs: map[string]bool{}, Notices: map[string]int{}, heldMessages: map[[2]string][]func(){}}
 	p := &w.Config.Params
 	p.Size, p.Zones = nodes, zones
 	p.Workers.Report, p.Workers.Lease, p.Workers.Cancel = 1, 10, 40
@@ -123,10 +135,10 @@
 	return w
 }
 
-// Now is the world's time.
+// Now returns the current virtual time.
 func (w *World) Now() Micros { return w.now }
 
-// TasksOn is how many tasks are on machines.
+// RunningTasks returns the number of tasks that run on machines.
 func (w *World) RunningTasks() int {
 	n := 0
 	for _, x := range w.Cloud.Machines {
@@ -139,7 +151,7 @@
 	return n
 }
 
-// LoseMachines has so many machines stop with all that is on them.
+// CrashMachines stops the given number of machines and everything on them.
 func (w *World) CrashMachines(count int) {
 	for _, id := range sortedKeys(w.Cloud.Machines) {
 		if x := w.Cloud.Machines[id]; count > 0 && x.up && !x.dead {
@@ -149,7 +161,8 @@
 	}
 }
 
-// CutZone has a zone's machines reach no controller, and nothing reach them, for a while.
+// CutZone interrupts all traffic of a zone's machines to controllers, and all traffic to
+// these machines, for a span of time.
 func (w *World) CutZone(zone string, span Micros) {
 	for _, id := range sortedKeys(w.Cloud.Machines) {
 		if w.Cloud.Machines[id].zone == zone {
@@ -159,80 +172,82 @@
 	}
 }
 
-// At runs f at an instant.
+// At schedules f at a time, or now if the time has passed.
 func (w *World) At(t Micros, f func()) {
 	w.seq++
 	heap.Push(&w.queue, event{max(t, w.now), w.seq, f})
 }
 
-// After runs f after a span.
+// After schedules f after a span of time.
 func (w *World) After(d Micros, f func()) { w.At(w.now+d, f) }
 
-// Run plays until the instant.
+// Run executes all events up to the given time.
 func (w *World) Run(until Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.f()
+		e.run()
 	}
 	w.now = until
 }
 
-func link(a, b string) [2]string {
+// linkKey returns the key of the link between two hosts, the same in both directions.
+func linkKey(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
 	}
 	return [2]string{a, b}
 }
 
-// SetCut interrupts the link between two hosts, or mends it (None), which
-// delivers what was held, in order.
-func (w *World) SetCut(a, b string, c Cut) {
-	k := link(a, b)
-	w.cuts[k] = c
-	if c == None {
-		for _, f := range w.held[k] {
+// SetCut interrupts the link between two hosts or, with None, restores it, which
+// delivers the held messages in order.
+func (w *World) SetCut(a, b string, cut Cut) {
+	key := linkKey(a, b)
+	w.cuts[key] = cut
+	if cut == None {
+		for _, f := range w.heldMessages[key] {
 			w.After(millisecond, f)
 		}
-		w.held[k] = nil
+		w.heldMessages[key] = nil
 	}
 }
 
-// cutFor interrupts the link between two hosts for a while.
-func (w *World) cutFor(a, b string, c Cut, span Micros) {
-	w.SetCut(a, b, c)
+// cutFor interrupts the link between two hosts for a span of time.
+func (w *World) cutFor(a, b string, cut Cut, span Micros) {
+	w.SetCut(a, b, cut)
 	w.After(span, func() { w.SetCut(a, b, None) })
 }
 
-// markFor enters a host into a set for a while.
+// addHostFor adds a host to a set for a span of time.
 func (w *World) addHostFor(set map[string]bool, host string, span Micros) {
 	set[host] = true
 	w.After(span, func() { delete(set, host) })
 }
 
-// copying has a share of the machines' reports arrive once more, later, at any node, or
-// at all nodes once there is a new leader.
+// reportCopier delivers a share of the machines' reports a second time: later, at any
+// node, or at all nodes once a new leader is elected.
 type reportCopier struct {
 	share         float64
-	delay         Micros
+	delay         Micros // copies are delayed by 0.1 to 1.1 times this
 	rng           *rand.Rand
 	untilElection bool
-	kept          []func()
+	pending       []func() // copies that wait for an election
 }
 
-// drawCopy says at which node, if any, a copy of a report arrives, and how much later.
+// pickCopyTarget chooses the node that receives a copy of a report and the copy's delay.
+// The node is nil if the report is not copied.
 func (w *World) pickCopyTarget() (*Node, Micros) {
-	c := w.reportCopies
-	if c == nil || c.rng.Float64() >= c.share {
+	copier := w.reportCopier
+	if copier == nil || copier.rng.Float64() >= copier.share {
 		return nil, 0
 	}
-	return w.Nodes[c.rng.IntN(len(w.Nodes))], c.delay/10 + Micros(c.rng.Int64N(int64(c.delay)))
+	return w.Nodes[copier.rng.IntN(len(w.Nodes))], copier.delay/10 + Micros(copier.rng.Int64N(int64(copier.delay)))
 }
 
-// copyLater delivers a late copy of a report. Nobody waits for the answer.
+// scheduleReportCopy schedules a delayed copy of a report. Answers to it are discarded.
 func (w *World) scheduleReportCopy(rep *wire.Report) {
-	n, after := w.pickCopyTarget()
-	if n == nil {
+	target, delay := w.pickCopyTarget()
+	if target == nil {
 		return
 	}
 	body := wire.Encode(rep)
@@ -245,39 +260,40 @@
 			n.core.HandleReport(got, func(controller.ReportAnswer) {})
 		})
 	}
-	if w.reportCopies.untilElection {
-		w.reportCopies.kept = append(w.reportCopies.kept, func() {
+	if w.reportCopier.untilElection {
+		w.reportCopier.pending = append(w.reportCopier.pending, func() {
 			w.CopiesDelivered++
 			for _, n := range w.Nodes {
-				w.After(after-w.reportCopies.delay/10, func() { deliver(n) })
+				w.After(delay-w.reportCopier.delay/10, func() { deliver(n) })
 			}
 		})
 		return
 	}
-	w.After(after, func() { deliver(n) })
+	w.After(delay, func() { deliver(target) })
 }
 
-// elected is told of a new leader.
+// onElection delivers the report copies that wait for a new leader.
 func (w *World) onElection() {
-	if w.reportCopies == nil {
+	if w.reportCopier == nil {
 		return
 	}
-	kept := w.reportCopies.kept
-	w.reportCopies.kept = nil
-	for _, f := range kept {
+	pending := w.reportCopier.pending
+	w.reportCopier.pending = nil
+	for _, f := range pending {
 		f()
 	}
 }
 
-// send carries a message from one host to another.
+// send delivers a message from one host to another after 1 to 2 ms and LinkDelay, unless
+// the message is lost or held on the way.
 func (w *World) send(from, to string, deliver func()) {
 	if w.inboundLost[to] {
 		return
 	}
-	switch k := link(from, to); w.cuts[k] {
+	switch key := linkKey(from, to); w.cuts[key] {
 	case Drop:
 	case Hold:
-		w.held[k] = append(w.held[k], deliver)
+		w.heldMessages[key] = append(w.heldMessages[key], deliver)
 	default:
 		after := millisecond + Micros(w.rng.IntN(int(millisecond)))
 		if w.LinkDelay > 0 {
@@ -287,47 +303,48 @@
 	}
 }
 
-// call is a request and its response; done(false) comes after the limit if
-// there was no response, and a response after that is ignored.
+// call sends a request and delivers its response. If there is no response within the
+// limit, fail is called and a later response is ignored.
 func (w *World) call(from, to string, limit Micros, serve func(respond func(func())), fail func()) {
-	settled := false
+	finished := false
 	w.send(from, to, func() {
 		serve(func(receive func()) {
 			w.send(to, from, func() {
-				if !settled {
-					settled = true
+				if !finished {
+					finished = true
 					receive()
 				}
 			})
 		})
 	})
 	w.After(limit, func() {
-		if !settled {
-			settled = true
+		if !finished {
+			finished = true
 			fail()
 		}
 	})
 }
 
-// Node is a controller process that can be killed and started again.
+// Node is a controller process that can be killed and restarted.
 type Node struct {
 	w           *World
 	name        string
 	incarnation int
-	oldVersion  bool   // comes up with the version in production
-	duplicateOf string // the name that it bears by mistake: another node's
+	oldVersion  bool   // starts with the production version's format level
+	duplicateOf string // name of another node that this process uses by misconfiguration
 	core        *controller.Core
-	// Share of its connections that it says are in use.
+	// socketUsage is the share of its connections that the node reports as in use.
 	socketUsage float64
-	// It stands still while its clocks run on: what it should do waits.
+	// frozen means that the process is suspended while its clocks go on; its work queues up
+	// in backlog.
 	frozen  bool
 	backlog []func()
 }
 
-// Up reports whether the process runs.
+// Up reports whether the process is running.
 func (n *Node) Up() bool { return n.core != nil }
 
-// Start starts the process.
+// Start starts the process if it is not running.
 func (n *Node) Start() {
 	if n.Up() {
 		return
@@ -352,14 +369,14 @@
 	n.core.Start()
 }
 
-// Kill ends the process without a word.
+// Kill ends the process without a shutdown.
 func (n *Node) Kill() {
 	n.core = nil
 	n.frozen, n.backlog = false, nil
 	n.incarnation++
 }
 
-// do runs f on the node, if it is up, now or when it goes on.
+// runWhenActive runs f on the node, at once or when the node is resumed; not if it is down.
 func (n *Node) runWhenActive(f func()) {
 	switch {
 	case n.core == nil:
@@ -370,16 +387,16 @@
 	}
 }
 
-// Freeze has the process stand still for a while; its clocks run on, and all that was to
-// happen meanwhile happens at once when it goes on.
+// Freeze suspends the process for a span of time. Its clocks go on, and everything that
+// was due meanwhile runs when the process is resumed.
 func (n *Node) Freeze(span Micros) {
 	if n.core == nil || n.frozen {
 		return
 	}
 	n.frozen = true
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.w.After(span, func() {
-		if n.incarnation != life {
+		if n.incarnation != incarnation {
 			return
 		}
 		todo := n.backlog
@@ -390,13 +407,13 @@
 	})
 }
 
-// env is the world as one life of a node sees it.
+// env is the environment of a controller during one incarnation of its node.
 type env struct {
 	n           *Node
 	incarnation int
 }
 
-// alive wraps a callback so that it dies with the process.
+// whileRunning wraps a callback so that it has no effect after the process has ended.
 func (e *env) whileRunning(f func()) func() {
 	return func() {
 		if e.n.incarnation == e.incarnation {
@@ -414,7 +431,7 @@
 
 func (e *env) Call(name string, m *peer.Msg, timeout Micros, done func(*peer.Msg)) {
 	w := e.n.w
-	frame := m.Encode() // the real codec, so that it is covered too
+	frame := m.Encode() // encoded and decoded so that runs cover the real codec
 	if m.AdmissionNotice != nil && len(m.AdmissionNotice.Accounts) > 0 {
 		w.Notices[name]++
 	}
@@ -438,25 +455,25 @@
 func (e *env) SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	w := e.n.w
 	body := wire.Encode(o)
-	late := w.NextOrderDelay
+	delay := w.NextOrderDelay
 	w.NextOrderDelay = 0
 	w.call(e.n.name, addr, 2*second, func(respond func(func())) {
-		x := w.Cloud.Machines[addr]
-		if x == nil || !x.up {
+		worker := w.Cloud.Machines[addr]
+		if worker == nil || !worker.up {
 			return
 		}
-		w.After(late, func() {
-			x.runWhenActive(func() {
+		w.After(delay, func() {
+			worker.runWhenActive(func() {
 				got := new(wire.Orders)
 				if err := wire.Decode(body, got); err != nil {
 					panic(err)
 				}
-				outcome, answer := x.executeOrders(got)
+				outcome, answer := worker.executeOrders(got)
 				report, err := wire.DecodeReport(wire.Encode(answer))
 				if err != nil {
 					panic(err)
 				}
-				if late == 0 {
+				if delay == 0 {
 					respond(e.whileRunning(func() { done(outcome, report) }))
 				}
 			})
@@ -473,30 +490,30 @@
 	return nil
 }
 
-// Leader finds the node that the state service says leads.
+// Leader returns the node that the state service records as leader, or nil.
 func (w *World) Leader() *Node {
 	name := w.State.Leader()
 	return w.node(name)
 }
 
-// User is one user's view of one job.
+// User submits and follows one job.
 type User struct {
 	w         *World
 	job       *wire.Job
-	LastPhase string // last phase told
+	LastPhase string // phase in the last successful answer to a submission, poll or cancellation
 	lastCode  int
 
-	connectedNode string // the node that its open connection leads to; "": the load balancer chooses
-	firstAttempt  Micros // attempt to submit
+	connectedNode string // node that its open connection leads to; "": the load balancer chooses
+	firstAttempt  Micros // first attempt to submit
 	accepted      bool
-	refused       int    // answers 429
-	heard         string // queued, done or cancelled, by whatever answer
+	refusals      int    // submissions answered with 429
+	knownPhase    string // queued (or running), done or cancelled, from any answer; never returns to queued
 }
 
-// Submit has a user submit a job and follow it until it is over.
+// Submit has a user submit a job and poll it until it is done or cancelled.
 func (w *World) Submit(job *wire.Job) { w.UserFor(job).submit() }
 
-// Follow gives the user of a job.
+// UserFor returns the user of a job, creating the user if there is none.
 func (w *World) UserFor(job *wire.Job) *User {
 	u := w.Users[job.ID]
 	if u == nil {
@@ -507,108 +524,112 @@
 	return u
 }
 
-func (u *User) ask(f request, judge func(knownFacts, controller.Answer)) {
+// ask sends a request to a random node that is ready, or to the node of the user's open
+// connection, and checks the answer. Without such a node the answer is 503.
+func (u *User) ask(send request, check func(knownFacts, controller.Answer)) {
 	w := u.w
 	known := w.Rules.BeginRequest(u.job.ID)
-	done := func(a controller.Answer) { judge(known, a) }
-	var up []*Node
+	done := func(a controller.Answer) { check(known, a) }
+	var candidates []*Node
 	for _, n := range w.Nodes {
 		if n.Up() && (n.name == u.connectedNode || u.connectedNode == "" && !n.frozen && n.core.Ready()) {
-			up = append(up, n)
+			candidates = append(candidates, n)
 		}
 	}
-	if len(up) == 0 {
+	if len(candidates) == 0 {
 		w.After(100*millisecond, func() { done(controller.Answer{Code: 503}) })
 		return
 	}
-	w.askAt(up[w.rng.IntN(len(up))], f, done)
+	w.askNode(candidates[w.rng.IntN(len(candidates))], send, done)
 }
 
-// request is what a user asks of a node.
+// request is a user's request, as a call of a controller.
 type request = func(c *controller.Core, reply func(controller.Answer))
 
-// askAt has a user ask a node.
-func (w *World) askAt(n *Node, f request, done func(controller.Answer)) {
+// askNode sends a user's request to a node. A timeout gives an answer with code 0.
+func (w *World) askNode(n *Node, send request, done func(controller.Answer)) {
 	w.call("users", n.name, 5*second, func(respond func(func())) {
-		n.runWhenActive(func() { f(n.core, func(a controller.Answer) { respond(func() { done(a) }) }) })
+		n.runWhenActive(func() { send(n.core, func(a controller.Answer) { respond(func() { done(a) }) }) })
 	}, func() { done(controller.Answer{Code: 0}) })
 }
 
-// looks is the users' trouble of that name: as soon as a job is accepted, has ended, or is
-// called done or cancelled, they ask at all nodes again and again within milliseconds, and
-// repeat the submission; of a share of the jobs that end they ask that it be cancelled.
+// prober has users probe the controllers around each change of a job (script word
+// "close-looks"): when a job is accepted, has ended or is reported done or cancelled, its
+// user queries all nodes several times within 5 ms to 2 s and repeats the submission, and
+// requests the cancellation of a share of the jobs that have ended.
 type prober struct {
-	cancels float64
-	rng     *rand.Rand
+	cancelShare float64
+	rng         *rand.Rand
 }
 
-// lookAt has a user look closely at a job of which something new is known.
-func (w *World) lookAt(id string, over bool) {
-	l, u := w.prober, w.Users[id]
-	if l == nil || u == nil {
+// probe sends the prober's requests for a job that has changed.
+func (w *World) probe(id string, finished bool) {
+	p, u := w.prober, w.Users[id]
+	if p == nil || u == nil {
 		return
 	}
-	ask := func(after Micros, n *Node, f request, judge func(string, knownFacts, controller.Answer)) {
+	ask := func(after Micros, n *Node, send request, check func(string, knownFacts, controller.Answer)) {
 		w.After(after, func() {
-			bound := w.Rules.factsFor(id)
-			w.askAt(n, f, func(a controller.Answer) {
+			known := w.Rules.factsFor(id)
+			w.askNode(n, send, func(a controller.Answer) {
 				w.ProbeAnswers++
-				judge(id, bound, a)
+				check(id, known, a)
 				if a.Code == 200 || a.Code == 201 {
-					u.told(a.Status.Phase)
+					u.notePhase(a.Status.Phase)
 				}
 			})
 		})
 	}
 	status := func(c *controller.Core, reply func(controller.Answer)) { c.Status(id, reply) }
 	for _, n := range w.Nodes {
-		for _, within := range []Micros{5 * millisecond, 100 * millisecond, 2 * second} {
-			ask(Micros(l.rng.Int64N(int64(within))), n, status, w.Rules.CheckStatusAnswer)
+		for _, window := range []Micros{5 * millisecond, 100 * millisecond, 2 * second} {
+			ask(Micros(p.rng.Int64N(int64(window))), n, status, w.Rules.CheckStatusAnswer)
 		}
 	}
-	again := w.Nodes[l.rng.IntN(len(w.Nodes))]
-	ask(Micros(l.rng.Int64N(int64(500*millisecond))), again, u.submission, w.Rules.CheckSubmitAnswer)
-	if over && l.rng.Float64() < l.cancels { // the leader learns of the end within a report's interval
-		n := w.Nodes[l.rng.IntN(len(w.Nodes))]
-		ask(Micros(l.rng.Int64N(int64(w.Config.Params.Workers.Report*1.5e6))), n, func(c *controller.Core, reply func(controller.Answer)) {
+	resubmitTo := w.Nodes[p.rng.IntN(len(w.Nodes))]
+	ask(Micros(p.rng.Int64N(int64(500*millisecond))), resubmitTo, u.submission, w.Rules.CheckSubmitAnswer)
+	if finished && p.rng.Float64() < p.cancelShare { // the leader learns of the end within a report interval
+		n := w.Nodes[p.rng.IntN(len(w.Nodes))]
+		ask(Micros(p.rng.Int64N(int64(w.Config.Params.Workers.Report*1.5e6))), n, func(c *controller.Core, reply func(controller.Answer)) {
 			w.Rules.CancelRequested(id)
 			c.Cancel(id, reply)
 		}, w.Rules.CheckStatusAnswer)
 	}
 }
 
-// completed notes that a task is done.
-func (w *World) completed(task string) {
+// onTaskCompleted notes that a task is completed and probes its job if that is now done.
+func (w *World) onTaskCompleted(task string) {
 	if w.Rules.TaskCompleted(task) {
 		id, _, _ := wire.SplitTask(task)
-		w.lookAt(id, true)
+		w.probe(id, true)
 	}
 }
 
 func (u *User) submit() { u.submitWith(u.submission) }
 
-// submission is the job as its user submits it, malformed the same without a field.
+// submission submits the user's job; malformedSubmission does the same with a field missing.
 func (u *User) submission(c *controller.Core, reply func(controller.Answer)) { c.Submit(u.job, reply) }
 
 func (u *User) malformedSubmission(c *controller.Core, reply func(controller.Answer)) {
 	c.RejectMalformed(u.job.ID, "a field is missing", reply)
 }
 
-// submitAs submits the job in whatever form until there is an answer to it.
-func (u *User) submitWith(form request) {
-	asked := u.w.now
-	u.ask(form,
-		func(f knownFacts, a controller.Answer) {
+// submitWith repeats a submission until it is accepted or rejected as invalid, and polls
+// an accepted job.
+func (u *User) submitWith(send request) {
+	sentAt := u.w.now
+	u.ask(send,
+		func(known knownFacts, a controller.Answer) {
 			u.lastCode = a.Code
-			u.w.Rules.CheckSubmitAnswer(u.job.ID, f, a)
+			u.w.Rules.CheckSubmitAnswer(u.job.ID, known, a)
 			if a.Code > 0 {
-				u.w.SubmitLatencies = append(u.w.SubmitLatencies, u.w.now-asked)
+				u.w.SubmitLatencies = append(u.w.SubmitLatencies, u.w.now-sentAt)
 			}
 			switch a.Code {
 			case 200, 201:
 				u.accepted = true
 				u.LastPhase = a.Status.Phase
-				u.told(a.Status.Phase)
+				u.notePhase(a.Status.Phase)
 				u.w.After(5*second, u.poll)
 			case 400, 422:
 			default:
@@ -617,16 +638,17 @@
 					wait = u.w.RetryInterval
 				}
 				if a.Code == 429 {
-					u.refused++
-					if f.accepted {
+					u.refusals++
+					if known.accepted {
 						u.w.AcceptedJobRefusals++
 					}
 				}
-				u.w.After(wait, func() { u.submitWith(form) })
+				u.w.After(wait, func() { u.submitWith(send) })
 			}
 		})
 }
 
+// poll queries the job's status every 5 s until it is done or cancelled.
 func (u *User) poll() {
 	if u.LastPhase == wire.PhaseDone || u.LastPhase == wire.PhaseCancelled {
 		return
@@ -634,14 +656,14 @@
 	u.Poll(func() { u.w.After(5*second, u.poll) })
 }
 
-// Poll asks once for the job's state.
+// Poll queries the job's status once and then calls then, unless that is nil.
 func (u *User) Poll(then func()) {
 	u.ask(func(c *controller.Core, reply func(controller.Answer)) { c.Status(u.job.ID, reply) },
-		func(f knownFacts, a controller.Answer) {
-			u.w.Rules.CheckStatusAnswer(u.job.ID, f, a)
+		func(known knownFacts, a controller.Answer) {
+			u.w.Rules.CheckStatusAnswer(u.job.ID, known, a)
 			if a.Code == 200 {
 				u.LastPhase = a.Status.Phase
-				u.told(a.Status.Phase)
+				u.notePhase(a.Status.Phase)
 			}
 			if then != nil {
 				then()
@@ -649,48 +671,51 @@
 		})
 }
 
-// Cancel has the user cancel until told that it is over. By then, all that needed
-// the job when the user asked is over as well.
+// Cancel requests the cancellation of the job until there is a successful answer. When the
+// job is reported cancelled, the jobs that depended on it at the time of the request must
+// be cancelled or done as well (see World.CheckCancelCascade).
 func (u *User) Cancel() {
 	u.w.Rules.CancelRequested(u.job.ID)
-	needed := u.w.Rules.Dependents(u.job.ID)
+	dependents := u.w.Rules.Dependents(u.job.ID)
 	u.ask(func(c *controller.Core, reply func(controller.Answer)) { c.Cancel(u.job.ID, reply) },
-		func(f knownFacts, a controller.Answer) {
-			u.w.Rules.CheckStatusAnswer(u.job.ID, f, a)
+		func(known knownFacts, a controller.Answer) {
+			u.w.Rules.CheckStatusAnswer(u.job.ID, known, a)
 			if a.Code != 200 {
 				u.w.After(second, u.Cancel)
 				return
 			}
 			u.LastPhase = a.Status.Phase
 			if a.Status.Phase == wire.PhaseCancelled {
-				for _, id := range needed {
+				for _, id := range dependents {
 					if !u.w.CheckCancelCascade {
 						break
 					}
 					if u.w.State.finalPhase(id) == "" {
-						u.w.Rules.addViolation("half_cancelled", "%s is told of before %s", u.job.ID, id)
+						u.w.Rules.addViolation("half_cancelled", "job %s is reported cancelled before dependent job %s has ended", u.job.ID, id)
 					}
 				}
-				u.told(a.Status.Phase)
+				u.notePhase(a.Status.Phase)
 			}
 		})
 }
 
-// told has the checker count from when the user heard, by whatever answer, that the job
-// is cancelled.
-func (u *User) told(phase string) {
+// notePhase notes the phase in any answer to the user. It probes the job when the phase
+// has changed, and the checker counts the time to stop its tasks from the first answer,
+// whatever the request, that the job is cancelled.
+func (u *User) notePhase(phase string) {
 	if phase == wire.PhaseQueued || phase == wire.PhaseRunning {
-		phase = wire.PhaseQueued // as far as it may not go back
+		phase = wire.PhaseQueued // both are the same to the prober
 	}
-	if phase != u.heard && (u.heard == "" || phase != wire.PhaseQueued) {
-		u.heard = phase
-		u.w.lookAt(u.job.ID, false)
+	if phase != u.knownPhase && (u.knownPhase == "" || phase != wire.PhaseQueued) {
+		u.knownPhase = phase
+		u.w.probe(u.job.ID, false)
 	}
 	if phase == wire.PhaseCancelled {
 		u.w.Rules.CancelConfirmed(u.job.ID, u.w.now+Micros(u.w.Config.Params.Workers.Cancel*1e6))
 	}
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
