--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -201,9 +201,9 @@
 
 // CancelConfirmed notes that a user was answered that a job is cancelled, and the time
 // after which none of its tasks may be on a machine.
-func (c *Checker) CancelConfirmed(id string, goneBy Micros) {
+func (c *Checker) CancelConfirmed(id string, deadline Micros) {
 	if j := c.jobs[id]; j != nil && !j.cancelConfirmed {
-		j.cancelConfirmed, j.cancelConfirmedAt, j.cancelDeadline = true, c.Now(), goneBy
+		j.cancelConfirmed, j.cancelConfirmedAt, j.cancelDeadline = true, c.Now(), deadline
 	}
 }
 
@@ -224,9 +224,9 @@
 	if j.cancelConfirmed && now > j.cancelDeadline {
 		c.addViolation("ran_cancelled", "task %s started after its cancelled job had to be off all machines", task)
 	}
-	for _, need := range j.job.DependsOn {
-		if dependency := c.jobs[need]; dependency == nil || len(dependency.doneTasks) < dependency.job.Tasks {
-			c.addViolation("too_early", "task %s started before job %s was done", task, need)
+	for _, dependencyID := range j.job.DependsOn {
+		if dependency := c.jobs[dependencyID]; dependency == nil || len(dependency.doneTasks) < dependency.job.Tasks {
+			c.addViolation("too_early", "task %s started before job %s was done", task, dependencyID)
 		}
 	}
 	job := j.job
--- a/internal/sim/real_time_server.go
+++ b/internal/sim/real_time_server.go
@@ -271,7 +271,9 @@
 	empty := struct{}{}
 	switch {
 	case path == "/store":
-		withState(func(s *State) { body = s.page(query.Get("starts"), query.Get("since"), int(queryNumber(r, "limit"))) })
+		withState(func(s *State) {
+			body = s.listPage(query.Get("starts"), query.Get("since"), int(queryNumber(r, "limit")))
+		})
 	case strings.HasPrefix(path, "/store/"):
 		withState(func(s *State) {
 			if it := s.items[path[len("/store/"):]]; it != nil {
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -405,8 +405,8 @@
 	}, c.e.whileRunning(unknown))
 }
 
-// page returns up to limit items whose keys have the prefix and follow the given key.
-func (s *State) page(prefix, after string, limit int) *wire.ItemList {
+// listPage returns up to limit items whose keys have the prefix and follow the given key.
+func (s *State) listPage(prefix, after string, limit int) *wire.ItemList {
 	l := &wire.ItemList{Revision: s.revision}
 	for _, k := range sortedKeys(s.items) {
 		if strings.HasPrefix(k, prefix) && k > after {
@@ -424,7 +424,7 @@
 func (c *stateClient) List(prefix, after string, limit int, done func(store.Outcome, *wire.ItemList)) {
 	s := c.state()
 	c.call(func() func() {
-		l := s.page(prefix, after, limit)
+		l := s.listPage(prefix, after, limit)
 		return func() { done(store.OK, l) }
 	}, func() { done(store.Refused, &wire.ItemList{}) }, func() { done(store.Unknown, &wire.ItemList{}) })
 }
