--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -202,8 +202,8 @@
 }
 
 // checkMachinesRecorded checks an invariant of the controllers: a record that places tasks
-// on a machine is written only after the machine has a record, because a new leader takes
-// a machine without a record for released.
+// on a machine is written only after the machine has a record, because a new leader
+// assumes that a machine without a record has been released.
 func (s *State) checkMachinesRecorded(c wire.Change) {
 	var rec struct {
 		Machines []string `msgpack:"m"`
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -429,6 +429,7 @@
 func (e *env) ConnectionUsage() float64 { return e.n.socketUsage }
 func (e *env) Cloud() controller.Cloud  { return &cloudClient{e} }
 
+// Call sends a message to a peer; the answer is nil if there is none within the timeout.
 func (e *env) Call(name string, m *peer.Msg, timeout Micros, done func(*peer.Msg)) {
 	w := e.n.w
 	frame := m.Encode() // encoded and decoded so that runs cover the real codec
@@ -452,6 +453,7 @@
 	}, e.whileRunning(func() { done(nil) }))
 }
 
+// SendOrders sends a command batch directly to the worker at an address.
 func (e *env) SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	w := e.n.w
 	body := wire.Encode(o)
@@ -481,6 +483,7 @@
 	}, e.whileRunning(func() { done(store.Unknown, nil) }))
 }
 
+// node returns the node with the given name, or nil.
 func (w *World) node(name string) *Node {
 	for _, n := range w.Nodes {
 		if n.name == name {
@@ -605,6 +608,7 @@
 	}
 }
 
+// submit submits the job until it is accepted or rejected.
 func (u *User) submit() { u.submitWith(u.submission) }
 
 // submission submits the user's job; malformedSubmission does the same with a field missing.
