--- a/client/client.go
+++ b/client/client.go
@@ -25,7 +25,7 @@
 )
 
 // patience is how long a request is repeated while the service can't take it.
-const patience = 60 * time.Second
+const retryPeriod = 60 * time.Second
 
 // Submit submits a job; the same job may be submitted again.
 func (c *Client) Submit(job *wire.Job) (*wire.JobStatus, error) {
@@ -52,30 +52,30 @@
 	return do[wire.RelayStatus](c, http.MethodGet, "/relays", nil)
 }
 
-func do[T any](c *Client, method, path string, in any) (*T, error) {
-	give := time.Now().Add(patience)
+func do[T any](c *Client, method, path string, request any) (*T, error) {
+	deadline := time.Now().Add(retryPeriod)
 	for {
-		st := new(T)
-		status, raw, header, err := c.rpc.Call(method, path, in, st, 5*time.Second)
+		answer := new(T)
+		status, body, header, err := c.rpc.Call(method, path, request, answer, 5*time.Second)
 		switch {
 		case status == http.StatusOK || status == http.StatusCreated:
-			return st, nil
+			return answer, nil
 		case status == http.StatusNotFound:
 			return nil, ErrNotFound
 		case status == http.StatusBadRequest || status == http.StatusUnprocessableEntity:
-			var p wire.Problem
-			_ = wire.Decode(raw, &p) // without a reason the status must do
-			return nil, fmt.Errorf("%w (%d): %s", ErrRefused, status, p.Error)
+			var problem wire.Problem
+			_ = wire.Decode(body, &problem) // without a reason the status must do
+			return nil, fmt.Errorf("%w (%d): %s", ErrRefused, status, problem.Error)
 		case err == nil:
 			err = fmt.Errorf("service answered %d", status)
 		}
 		wait := time.Second
 		if header != nil {
-			if s, e := strconv.Atoi(header.Get("Retry-After")); e == nil && s > 1 {
-				wait = time.Duration(min(s, 30)) * time.Second
+			if seconds, parseErr := strconv.Atoi(header.Get("Retry-After")); parseErr == nil && seconds > 1 {
+				wait = time.Duration(min(seconds, 30)) * time.Second
 			}
 		}
-		if time.Now().Add(wait).After(give) {
+		if time.Now().Add(wait).After(deadline) {
 			return nil, err
 		}
 		time.Sleep(wait)
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -29,11 +29,11 @@
 	if _, err := c.Submit(&wire.Job{}); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "unknown team") {
 		t.Errorf("submit: %v", err)
 	}
-	if st, err := c.Status("req-000001"); err != nil || st.Done != 3 || st.Running != 2 {
-		t.Errorf("status: %+v, %v", st, err)
+	if status, err := c.Status("req-000001"); err != nil || status.Done != 3 || status.Running != 2 {
+		t.Errorf("status: %+v, %v", status, err)
 	}
-	if st, err := c.Cancel("req-000001"); err != nil || st.Phase != wire.PhaseCancelled {
-		t.Errorf("cancel: %+v, %v", st, err)
+	if status, err := c.Cancel("req-000001"); err != nil || status.Phase != wire.PhaseCancelled {
+		t.Errorf("cancel: %+v, %v", status, err)
 	}
 	if _, err := c.Status("req-000002"); !errors.Is(err, ErrNotFound) {
 		t.Errorf("unknown: %v", err)
--- a/cmd/lilacthread/bound.go
+++ b/cmd/lilacthread/bound.go
@@ -27,90 +27,90 @@
 		return usageError{errors.New("bound: name the aims with --begun, --done, --deadline or --aim")}
 	}
 	var log strings.Builder
-	for _, name := range b.Log {
-		raw, err := os.ReadFile(name)
+	for _, path := range b.Log {
+		raw, err := os.ReadFile(path)
 		if err != nil {
 			return usageError{err}
 		}
 		log.Write(append(raw, '\n'))
 	}
 	if len(b.Begun)+len(b.Done)+len(b.Deadline) > 0 {
-		if err := b.shares(log.String()); err != nil {
+		if err := b.printShares(log.String()); err != nil {
 			return err
 		}
 	}
 	if len(b.Aim) > 0 {
-		return b.figure(log.String())
+		return b.printScores(log.String())
 	}
 	return nil
 }
 
 // read makes a day of the log, in which there must be something.
-func (b *boundCmd) read(log string, aims bound.ObjectiveWindows) (*bound.Recording, map[string]*bound.Observed, error) {
-	day, served, err := bound.ReadLog(strings.NewReader(log), aims)
-	if err == nil && (len(day.Jobs) == 0 || len(day.Capacity) == 0) {
+func (b *boundCmd) readRecording(log string, windows bound.ObjectiveWindows) (*bound.Recording, map[string]*bound.Observed, error) {
+	recording, observed, err := bound.ReadLog(strings.NewReader(log), windows)
+	if err == nil && (len(recording.Jobs) == 0 || len(recording.Capacity) == 0) {
 		err = errors.New("bound: the log has no jobs of these classes, or not what machines had (level debug)")
 	}
 	if err != nil {
 		return nil, nil, usageError{err}
 	}
-	return day, served, nil
+	return recording, observed, nil
 }
 
 // shares tells what part of each account's jobs was served, and could have been.
-func (b *boundCmd) shares(log string) error {
-	micros := func(in map[string]float64) map[string]clock.Micros {
+func (b *boundCmd) printShares(log string) error {
+	toMicros := func(seconds map[string]float64) map[string]clock.Micros {
 		out := map[string]clock.Micros{}
-		for class, s := range in {
+		for class, s := range seconds {
 			out[class] = clock.FromSeconds(s)
 		}
 		return out
 	}
-	day, served, err := b.read(log, bound.ObjectiveWindows{StartWithin: micros(b.Begun), FinishWithin: micros(b.Done), DeadlineClasses: b.Deadline})
+	recording, observed, err := b.readRecording(log, bound.ObjectiveWindows{StartWithin: toMicros(b.Begun), FinishWithin: toMicros(b.Done), DeadlineClasses: b.Deadline})
 	if err != nil {
 		return err
 	}
-	r := bound.ComputeBounds(day)
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "team/class\tjobs\tbegun\tdone\treachable with all known\t")
-	for _, name := range slices.Sorted(maps.Keys(served)) {
-		s := served[name]
-		fmt.Fprintf(t, "%s\t%d\t%.2f\t%.2f\t%.2f\t\n", name, s.Jobs, float64(s.StartedInTime)/float64(s.Jobs), float64(s.FinishedInTime)/float64(s.Jobs), r.GreedyShare[name])
+	bounds := bound.ComputeBounds(recording)
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "team/class\tjobs\tbegun\tdone\treachable with all known\t")
+	for _, name := range slices.Sorted(maps.Keys(observed)) {
+		account := observed[name]
+		fmt.Fprintf(table, "%s\t%d\t%.2f\t%.2f\t%.2f\t\n", name, account.Jobs, float64(account.StartedInTime)/float64(account.Jobs), float64(account.FinishedInTime)/float64(account.Jobs), bounds.GreedyShare[name])
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Printf("no scheduler serves more than %.2f of every one, nor more than %.2f of all in the mean\n", r.MinShareBound, r.MeanShareBound)
+	fmt.Printf("no scheduler serves more than %.2f of every one, nor more than %.2f of all in the mean\n", bounds.MinShareBound, bounds.MeanShareBound)
 	return nil
 }
 
 // figure tells what the named aims were worth, and at most could have been: each as if the
 // machines were there for it alone.
-func (b *boundCmd) figure(log string) error {
-	var aims []bound.Objective
-	var was, most []float64
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "aim\tserved\tworth\tat most\tworth\t")
+func (b *boundCmd) printScores(log string) error {
+	var objectives []bound.Objective
+	var shares, upperBounds []float64
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "aim\tserved\tworth\tat most\tworth\t")
 	for _, text := range b.Aim {
-		a, err := bound.ParseObjective(text)
+		objective, err := bound.ParseObjective(text)
 		if err != nil {
 			return usageError{err}
 		}
-		day, served, err := b.read(log, a.Windows)
+		recording, observed, err := b.readRecording(log, objective.Windows)
 		if err != nil {
 			return err
 		}
-		jobs, good := 0, 0
-		for _, s := range served {
-			jobs, good = jobs+s.Jobs, good+max(s.StartedInTime, s.FinishedInTime)
+		jobs, inTime := 0, 0
+		for _, s := range observed {
+			jobs, inTime = jobs+s.Jobs, inTime+max(s.StartedInTime, s.FinishedInTime)
 		}
-		part, best := float64(good)/float64(jobs), bound.MeanBound(day)
-		aims, was, most = append(aims, a), append(was, part), append(most, best)
-		fmt.Fprintf(t, "%s\t%.3f\t%.2f\t%.3f\t%.2f\t\n", text, part, a.Score(part), best, a.Score(best))
+		share, upperBound := float64(inTime)/float64(jobs), bound.MeanBound(recording)
+		objectives, shares, upperBounds = append(objectives, objective), append(shares, share), append(upperBounds, upperBound)
+		fmt.Fprintf(table, "%s\t%.3f\t%.2f\t%.3f\t%.2f\t\n", text, share, objective.Score(share), upperBound, objective.Score(upperBound))
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Printf("the day was worth %.2f by these aims; no scheduler reaches more than %.2f\n", bound.MeanScore(aims, was), bound.MeanScore(aims, most))
+	fmt.Printf("the day was worth %.2f by these aims; no scheduler reaches more than %.2f\n", bound.MeanScore(objectives, shares), bound.MeanScore(objectives, upperBounds))
 	return nil
 }
--- a/cmd/lilacthread/main.go
+++ b/cmd/lilacthread/main.go
@@ -44,19 +44,19 @@
 type usageError struct{ error }
 
 // policies is what the operators set beyond the platform's settings.
-type policies struct {
+type policyFlags struct {
 	With   []string `help:"Switch on what deploy/NAME.star sets, as built in; may be repeated." placeholder:"NAME"`
 	Policy string   `type:"path" help:"The operators' policy (Starlark)."`
 }
 
 type serveCmd struct {
 	Config string `required:"" type:"path" help:"The platform's settings file (JSON)."`
-	policies
+	policyFlags
 }
 
 // load reads the settings and, on top of the defaults and of what --with names, the
 // operators' policy.
-func (p *policies) load(cfgPath string) (*config.Config, *policy.Policy, error) {
+func (p *policyFlags) load(cfgPath string) (*config.Config, *policy.Policy, error) {
 	cfg, err := config.Load(cfgPath)
 	if err != nil {
 		return nil, nil, usageError{err}
@@ -103,7 +103,7 @@
 
 type checkCmd struct {
 	File string `arg:"" type:"path" help:"The platform's settings file (JSON)."`
-	policies
+	policyFlags
 }
 
 func (c *checkCmd) Run() error {
@@ -114,12 +114,12 @@
 	return nil
 }
 
-type target struct {
+type serviceFlags struct {
 	Addr string `required:"" env:"LILACTHREAD_ADDR" help:"Address of the service, host:port."`
 }
 
 type submitCmd struct {
-	target
+	serviceFlags
 	ID         string   `arg:"" help:"Job id, like req-000412."`
 	Class      string   `required:"" help:"Class of jobs."`
 	Team       string   `required:"" help:"Team whose limits apply."`
@@ -150,47 +150,47 @@
 		Tasks:    s.Tasks, CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.Memory, Image: s.Image, ImageGB: s.ImageGB,
 		Types: s.Type, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot,
 		Estimate: s.Estimate, CheckpointInterval: s.Checkpoint, SaveDuration: s.Save, Deadline: s.Deadline, DependsOn: s.Awaits}
-	return show(client.New(s.Addr).Submit(job))
+	return printStatus(client.New(s.Addr).Submit(job))
 }
 
 type statusCmd struct {
-	target
+	serviceFlags
 	ID string `arg:"" help:"Job id."`
 }
 
-func (s *statusCmd) Run() error { return show(client.New(s.Addr).Status(s.ID)) }
+func (s *statusCmd) Run() error { return printStatus(client.New(s.Addr).Status(s.ID)) }
 
 type cancelCmd struct {
-	target
+	serviceFlags
 	ID string `arg:"" help:"Job id."`
 }
 
-func (s *cancelCmd) Run() error { return show(client.New(s.Addr).Cancel(s.ID)) }
+func (s *cancelCmd) Run() error { return printStatus(client.New(s.Addr).Cancel(s.ID)) }
 
-func show(st *wire.JobStatus, err error) error {
+func printStatus(status *wire.JobStatus, err error) error {
 	if err != nil {
 		return err
 	}
 	names := map[string]string{wire.PhaseCancelled: "cancelled"}
-	phase := st.Phase
+	phase := status.Phase
 	if n := names[phase]; n != "" {
 		phase = n
 	}
-	return json.NewEncoder(os.Stdout).Encode(map[string]any{"id": st.ID, "state": phase, "done": st.Done, "running": st.Running})
+	return json.NewEncoder(os.Stdout).Encode(map[string]any{"id": status.ID, "state": phase, "done": status.Done, "running": status.Running})
 }
 
 type admissionCmd struct {
-	target
+	serviceFlags
 	JSON bool `name:"json" help:"As JSON."`
 }
 
 func (s *admissionCmd) Run() error {
-	return view(s.JSON, client.New(s.Addr).Admission, printAdmission)
+	return printAnswer(s.JSON, client.New(s.Addr).Admission, printAdmission)
 }
 
 // view asks a node and prints the answer, as JSON or as a table.
-func view[T any](asJSON bool, ask func() (*T, error), print func(io.Writer, *T) error) error {
-	answer, err := ask()
+func printAnswer[T any](asJSON bool, query func() (*T, error), print func(io.Writer, *T) error) error {
+	answer, err := query()
 	if err != nil {
 		return err
 	}
@@ -209,53 +209,53 @@
 }
 
 // printAdmission prints the table, a line an account.
-func printAdmission(w io.Writer, a *wire.AdmissionStatus) error {
-	mode := map[bool]string{false: "usual order", true: "overload"}[a.Overloaded]
+func printAdmission(w io.Writer, status *wire.AdmissionStatus) error {
+	mode := map[bool]string{false: "usual order", true: "overload"}[status.Overloaded]
 	switch {
-	case !a.Enabled:
+	case !status.Enabled:
 		mode = "off"
-	case a.Term == 0:
+	case status.Term == 0:
 		mode = "no valid table: this node takes its base only"
 	}
-	fmt.Fprintf(w, "node %s (%s), table %d of term %d: %s\n", a.Node, roleOf(a.IsLeader), a.Number, a.Term, mode)
-	fmt.Fprintf(w, "may make %.1f changes a second; %d submissions wait, the oldest for %.3f s\n", a.Rate, a.Waiting, a.OldestSeconds)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "team\tclass\theld\twaiting\tfloor\tshare\trate\tpart\tspread\tqueued\ttaken\trefused\tknown\taccepted p50/p99 ms\tstarted p50/p99 s\tin time\t")
-	for _, x := range a.Accounts {
-		class, inTime := x.Class, "-"
+	fmt.Fprintf(w, "node %s (%s), table %d of term %d: %s\n", status.Node, roleOf(status.IsLeader), status.Number, status.Term, mode)
+	fmt.Fprintf(w, "may make %.1f changes a second; %d submissions wait, the oldest for %.3f s\n", status.Rate, status.Waiting, status.OldestSeconds)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "team\tclass\theld\twaiting\tfloor\tshare\trate\tpart\tspread\tqueued\ttaken\trefused\tknown\taccepted p50/p99 ms\tstarted p50/p99 s\tin time\t")
+	for _, account := range status.Accounts {
+		class, inTime := account.Class, "-"
 		if class == "" {
 			class = "(others)"
 		}
-		if x.FinishedJobs > 0 {
-			inTime = fmt.Sprintf("%d of %d", x.FinishedInTime, x.FinishedJobs)
+		if account.FinishedJobs > 0 {
+			inTime = fmt.Sprintf("%d of %d", account.FinishedInTime, account.FinishedJobs)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%d s\t%d\t%d\t%d\t%d\t%d/%d\t%.1f/%.1f\t%s\t\n", x.Team, class,
-			x.Held, x.Waiting, x.MinShare, x.Share, x.Rate, x.NodeRate, x.Slots, x.Queued, x.Accepted, x.Refused, x.Duplicates,
-			x.AcceptP50Millis, x.AcceptP99Millis, float64(x.StartP50Millis)/1000, float64(x.StartP99Millis)/1000, inTime)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%d s\t%d\t%d\t%d\t%d\t%d/%d\t%.1f/%.1f\t%s\t\n", account.Team, class,
+			account.Held, account.Waiting, account.MinShare, account.Share, account.Rate, account.NodeRate, account.Slots, account.Queued, account.Accepted, account.Refused, account.Duplicates,
+			account.AcceptP50Millis, account.AcceptP99Millis, float64(account.StartP50Millis)/1000, float64(account.StartP99Millis)/1000, inTime)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 type relaysCmd struct {
-	target
+	serviceFlags
 	JSON bool `name:"json" help:"As JSON."`
 }
 
 func (c *relaysCmd) Run() error {
-	return view(c.JSON, client.New(c.Addr).Relays, printRelays)
+	return printAnswer(c.JSON, client.New(c.Addr).Relays, printRelays)
 }
 
 // printRelays prints who carries whom, and this node's counters.
-func printRelays(w io.Writer, r *wire.RelayStatus) error {
-	mode := map[bool]string{false: "workers report to the leader", true: "relaying"}[r.Active]
-	fmt.Fprintf(w, "node %s (%s): %s, members %v (table %d of term %d)\n", r.Node, roleOf(r.IsLeader), mode, r.Members, r.Number, r.Term)
-	for _, name := range slices.Sorted(maps.Keys(r.WorkersPerRelay)) {
-		fmt.Fprintf(w, "  %s carries %d workers\n", name, r.WorkersPerRelay[name])
+func printRelays(w io.Writer, status *wire.RelayStatus) error {
+	mode := map[bool]string{false: "workers report to the leader", true: "relaying"}[status.Active]
+	fmt.Fprintf(w, "node %s (%s): %s, members %v (table %d of term %d)\n", status.Node, roleOf(status.IsLeader), mode, status.Members, status.Number, status.Term)
+	for _, name := range slices.Sorted(maps.Keys(status.WorkersPerRelay)) {
+		fmt.Fprintf(w, "  %s carries %d workers\n", name, status.WorkersPerRelay[name])
 	}
 	fmt.Fprintf(w, "%d workers report here, %d reports wait; relayed %d in %d batches (%d repeated, %d batches unanswered, latest answered in %.1f ms)\n",
-		r.Workers, r.QueuedReports, r.Relayed, r.Batches, r.Repeated, r.Unanswered, float64(r.BatchLatencyMicros)/1000)
+		status.Workers, status.QueuedReports, status.Relayed, status.Batches, status.Repeated, status.Unanswered, float64(status.BatchLatencyMicros)/1000)
 	_, err := fmt.Fprintf(w, "workers sent elsewhere %d, reports shed %d, orders sent %d, refused %d, malformed items %d\n",
-		r.Redirected, r.Shed, r.Orders, r.RefusedOrders, r.Malformed)
+		status.Redirected, status.Shed, status.Orders, status.RefusedOrders, status.Malformed)
 	return err
 }
 
@@ -266,16 +266,16 @@
 	return nil
 }
 
-func logging() error {
+func setUpLogging() error {
 	level := slog.LevelInfo
-	switch v := strings.ToLower(os.Getenv("LOG_LEVEL")); v {
+	switch value := strings.ToLower(os.Getenv("LOG_LEVEL")); value {
 	case "", "info":
 	case "error":
 		level = slog.LevelError
 	case "debug":
 		level = slog.LevelDebug
 	default:
-		return usageError{fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", v)}
+		return usageError{fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", value)}
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
 	return nil
@@ -292,7 +292,7 @@
 		}))
 	ctx, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
-	if err = logging(); err == nil {
+	if err = setUpLogging(); err == nil {
 		err = ctx.Run()
 	}
 	if err != nil {
--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -35,41 +35,41 @@
 }
 
 // errBroken ends a run in which a rule did not hold with exit code 1.
-var errBroken = errors.New("rules were broken")
+var errViolations = errors.New("rules were broken")
 
 // options prepares the controllers; close removes what was made for it.
-func (c *runCmd) options() (o scale.Options, close func(), err error) {
-	o = scale.Options{Program: c.Program, Progress: os.Stderr}
-	close = func() {}
-	for _, name := range c.With {
-		o.Args = append(o.Args, "--with", name)
+func (c *runCmd) options() (opts scale.Options, cleanUp func(), err error) {
+	opts = scale.Options{Program: c.Program, Progress: os.Stderr}
+	cleanUp = func() {}
+	for _, feature := range c.With {
+		opts.Args = append(opts.Args, "--with", feature)
 	}
 	if c.Policy != "" {
-		o.Args = append(o.Args, "--policy", c.Policy)
+		opts.Args = append(opts.Args, "--policy", c.Policy)
 	}
 	if c.Log != "" {
 		f, err := os.Create(c.Log)
 		if err != nil {
-			return o, close, err
+			return opts, cleanUp, err
 		}
-		o.Log, close = f, func() { f.Close() }
+		opts.Log, cleanUp = f, func() { f.Close() }
 	}
-	if o.Program == "" {
+	if opts.Program == "" {
 		dir, err := os.MkdirTemp("", "scaletest")
 		if err != nil {
-			return o, close, err
+			return opts, cleanUp, err
 		}
-		closeLog := close
-		close = func() {
+		closeLog := cleanUp
+		cleanUp = func() {
 			os.RemoveAll(dir)
 			closeLog()
 		}
-		o.Program = filepath.Join(dir, "lilacthread")
-		if out, err := exec.Command("go", "build", "-o", o.Program, "lilacthread/cmd/lilacthread").CombinedOutput(); err != nil {
-			return o, close, fmt.Errorf("build: %w\n%s", err, out)
+		opts.Program = filepath.Join(dir, "lilacthread")
+		if out, err := exec.Command("go", "build", "-o", opts.Program, "lilacthread/cmd/lilacthread").CombinedOutput(); err != nil {
+			return opts, cleanUp, fmt.Errorf("build: %w\n%s", err, out)
 		}
 	}
-	return o, close, nil
+	return opts, cleanUp, nil
 }
 
 func (c *runCmd) Run() error {
@@ -84,19 +84,19 @@
 	if c.Workers > 0 {
 		scenario.Workers = c.Workers
 	}
-	o, done, err := c.options()
-	defer done()
+	opts, cleanUp, err := c.options()
+	defer cleanUp()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	report, err := scale.Run(ctx, scenario, o)
+	report, err := scale.Run(ctx, scenario, opts)
 	if err != nil {
 		return err
 	}
 	if len(c.Slopes) > 0 {
-		fits, err := slopes(c.Slopes)
+		fits, err := fitReports(c.Slopes)
 		if err != nil {
 			return err
 		}
@@ -114,8 +114,8 @@
 	if err := report.Print(os.Stdout); err != nil {
 		return err
 	}
-	if len(report.Broken) > 0 {
-		return errBroken
+	if len(report.Violations) > 0 {
+		return errViolations
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 }
 
 func (c *fitCmd) Run() error {
-	fits, err := slopes(c.Reports)
+	fits, err := fitReports(c.Reports)
 	if err != nil {
 		return err
 	}
@@ -133,27 +133,27 @@
 }
 
 // slopes fits those of the reports in the files.
-func slopes(files []string) ([]scale.Fit, error) {
-	var list []*scale.Report
+func fitReports(files []string) ([]scale.Fit, error) {
+	var reports []*scale.Report
 	for _, name := range files {
 		raw, err := os.ReadFile(name)
 		if err != nil {
 			return nil, err
 		}
-		r := new(scale.Report)
-		if err := json.Unmarshal(raw, r); err != nil {
+		report := new(scale.Report)
+		if err := json.Unmarshal(raw, report); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		list = append(list, r)
+		reports = append(reports, report)
 	}
-	return scale.Fits(list)
+	return scale.Fits(reports)
 }
 
 func main() {
 	ctx := kong.Parse(&cli, kong.Description("Plays a deployment of thousands of workers on this machine and measures each role."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "scaletest:", err)
-		if errors.Is(err, errBroken) {
+		if errors.Is(err, errViolations) {
 			os.Exit(1)
 		}
 		os.Exit(2)
--- a/internal/admit/account.go
+++ b/internal/admit/account.go
@@ -32,35 +32,35 @@
 // AccountIndex numbers the accounts of a deployment. All nodes have the same settings, so
 // all have the same numbers; Digest tells an index made from others apart.
 type AccountIndex struct {
-	Accounts       []Account
-	LongestTargets []Micros // by account: the widest aim of its class, or 0
-	Digest         uint32
-	index          map[Account]int
-	first          map[string]int // the account of a team's other classes
+	Accounts        []Account
+	LongestTargets  []Micros // by account: the widest aim of its class, or 0
+	Digest          uint32
+	byAccount       map[Account]int
+	defaultAccounts map[string]int // the account of a team's other classes
 }
 
 // NewAccountIndex makes the accounts of the teams, which are not empty, and of the classes
 // that the aims name.
-func NewAccountIndex(teams []string, aims []Objective) *AccountIndex {
-	b := &AccountIndex{index: map[Account]int{}, first: map[string]int{}}
-	widest := map[string]Micros{}
-	for _, a := range aims {
+func NewAccountIndex(teams []string, objectives []Objective) *AccountIndex {
+	b := &AccountIndex{byAccount: map[Account]int{}, defaultAccounts: map[string]int{}}
+	longest := map[string]Micros{}
+	for _, a := range objectives {
 		if a.Class != "" {
-			widest[a.Class] = max(widest[a.Class], a.Within)
+			longest[a.Class] = max(longest[a.Class], a.Within)
 		}
 	}
 	sum := xxhash.New()
 	add := func(a Account) {
-		b.index[a] = len(b.Accounts)
-		b.Accounts, b.LongestTargets = append(b.Accounts, a), append(b.LongestTargets, widest[a.Class])
+		b.byAccount[a] = len(b.Accounts)
+		b.Accounts, b.LongestTargets = append(b.Accounts, a), append(b.LongestTargets, longest[a.Class])
 		sum.WriteString(a.Team + "\x00" + a.Class + "\x00")
 	}
 	teams = slices.Clone(teams)
 	slices.Sort(teams)
 	for _, team := range slices.Compact(teams) {
-		b.first[team] = len(b.Accounts)
+		b.defaultAccounts[team] = len(b.Accounts)
 		add(Account{Team: team})
-		for _, class := range slices.Sorted(maps.Keys(widest)) {
+		for _, class := range slices.Sorted(maps.Keys(longest)) {
 			add(Account{Team: team, Class: class})
 		}
 	}
@@ -70,10 +70,10 @@
 
 // Of numbers the account of a job; -1 if the team is unknown.
 func (b *AccountIndex) IndexOf(team, class string) int {
-	if i, ok := b.index[Account{team, class}]; ok {
+	if i, ok := b.byAccount[Account{team, class}]; ok {
 		return i
 	}
-	if i, ok := b.first[team]; ok {
+	if i, ok := b.defaultAccounts[team]; ok {
 		return i
 	}
 	return -1
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -34,7 +34,7 @@
 
 // world is nodes that ask the leader of the moment for tables over a bad network, each
 // with a clock of its own, and what they believe they may spend.
-type world struct {
+type testCluster struct {
 	accounts   *AccountIndex
 	limits     Limits
 	now        Micros // true time
@@ -43,23 +43,23 @@
 	allocator  *Allocator
 	leader     int
 	term       uint64
-	flying     []reply
-	highest    []*Table // by node, the newest table taken
+	inFlight   []tableReply
+	latest     []*Table // by node, the newest table taken
 }
 
 // reply is an answer under way.
-type reply struct {
-	to    int
-	life  *Allowance
-	table *Table
-	asked Micros
+type tableReply struct {
+	to          int
+	recipient   *Allowance
+	table       *Table
+	requestedAt Micros
 }
 
 // local is a node's steady clock: up to 0.05% fast or slow.
-func (w *world) local(node int) Micros { return w.now + w.now*Micros(w.skew[node])/10_000 }
+func (w *testCluster) localTime(node int) Micros { return w.now + w.now*Micros(w.skew[node])/10_000 }
 
-func newWorld(nodes, classes int, skew []int64) *world {
-	w := &world{accounts: testAccounts(classes), limits: LimitsOf(100, nodes), skew: skew, now: clock.Second, highest: make([]*Table, nodes)}
+func newTestCluster(nodes, classes int, skew []int64) *testCluster {
+	w := &testCluster{accounts: testAccounts(classes), limits: LimitsOf(100, nodes), skew: skew, now: clock.Second, latest: make([]*Table, nodes)}
 	for range nodes {
 		w.allowances = append(w.allowances, NewAllowance(w.accounts, w.limits))
 	}
@@ -68,59 +68,59 @@
 	return w
 }
 
-func (w *world) elect(node int) {
+func (w *testCluster) elect(node int) {
 	w.term++
 	w.leader = node
-	w.allocator = NewAllocator(w.accounts, fmt.Sprint(node), w.term, w.local(node), w.limits)
+	w.allocator = NewAllocator(w.accounts, fmt.Sprint(node), w.term, w.localTime(node), w.limits)
 }
 
 // ask has a node send its notice and the leader answer; the answer is under way.
-func (w *world) ask(node int) {
-	now := w.local(w.leader)
-	w.allocator.RecordNotice(fmt.Sprint(node), w.allowances[node].Notice(func(int) int { return 0 }, w.local(node)), now)
-	w.flying = append(w.flying, reply{node, w.allowances[node], w.allocator.TableFor(fmt.Sprint(node), now), w.local(node)})
+func (w *testCluster) requestTable(node int) {
+	now := w.localTime(w.leader)
+	w.allocator.RecordNotice(fmt.Sprint(node), w.allowances[node].Notice(func(int) int { return 0 }, w.localTime(node)), now)
+	w.inFlight = append(w.inFlight, tableReply{node, w.allowances[node], w.allocator.TableFor(fmt.Sprint(node), now), w.localTime(node)})
 }
 
-func (w *world) deliver(i int) error {
-	r := w.flying[i]
-	w.flying = slices.Delete(w.flying, i, i+1)
+func (w *testCluster) deliver(i int) error {
+	r := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	p := w.allowances[r.to]
-	if p != r.life { // restarted meanwhile
+	if p != r.recipient { // restarted meanwhile
 		return nil
 	}
-	if p.ApplyTable(r.table, r.asked) {
-		if old := w.highest[r.to]; old != nil && !r.table.Newer(old) {
+	if p.ApplyTable(r.table, r.requestedAt) {
+		if old := w.latest[r.to]; old != nil && !r.table.Newer(old) {
 			return fmt.Errorf("table %d/%d replaced %d/%d", r.table.Term, r.table.Number, old.Term, old.Number)
 		}
-		w.highest[r.to] = r.table
+		w.latest[r.to] = r.table
 	}
 	return nil
 }
 
 // check: parts in use, with the leader's own claim, never exceed an account or the pool.
-func (w *world) check() error {
-	spent := make([]int64, w.accounts.Len())
-	pool := int64(0)
-	var same map[[2]uint64][]Entry
+func (w *testCluster) check() error {
+	inUse := make([]int64, w.accounts.Len())
+	poolInUse := int64(0)
+	var tables map[[2]uint64][]Entry
 	for n, p := range w.allowances {
-		t := p.Table(w.local(n))
+		t := p.Table(w.localTime(n))
 		if t == nil {
 			continue
 		}
 		sum := int64(0)
 		for a, e := range t.Accounts {
-			spent[a] += int64(e.NodeRate)
+			inUse[a] += int64(e.NodeRate)
 			sum += int64(e.NodeRate)
 		}
-		pool += sum
+		poolInUse += sum
 		if sum > 0 && n == w.leader && t.Term == w.term {
 			return fmt.Errorf("the leader gave itself a part")
 		}
-		if same == nil {
-			same = map[[2]uint64][]Entry{}
+		if tables == nil {
+			tables = map[[2]uint64][]Entry{}
 		}
 		key := [2]uint64{t.Term, t.Number}
-		if o := same[key]; o != nil {
+		if o := tables[key]; o != nil {
 			for a := range o {
 				for job := range 20 {
 					id := fmt.Sprintf("req-%06d", job)
@@ -130,19 +130,19 @@
 				}
 			}
 		}
-		same[key] = t.Accounts
+		tables[key] = t.Accounts
 	}
-	if pool > w.limits.Pool {
-		return fmt.Errorf("parts of %d in use, the pool is %d", pool, w.limits.Pool)
+	if poolInUse > w.limits.Pool {
+		return fmt.Errorf("parts of %d in use, the pool is %d", poolInUse, w.limits.Pool)
 	}
 	// What the leader would make itself, it does on top of all others.
-	if out := w.allocator.Outstanding(w.local(w.leader)); pool > out {
-		return fmt.Errorf("parts of %d in use, the leader counts on %d", pool, out)
+	if out := w.allocator.Outstanding(w.localTime(w.leader)); poolInUse > out {
+		return fmt.Errorf("parts of %d in use, the leader counts on %d", poolInUse, out)
 	}
-	most := w.limits.Pool + w.limits.Base*int64(len(w.allowances))
-	for a, s := range spent {
-		if s > most {
-			return fmt.Errorf("account %d: %d of %d in use", a, s, most)
+	limit := w.limits.Pool + w.limits.Base*int64(len(w.allowances))
+	for a, s := range inUse {
+		if s > limit {
+			return fmt.Errorf("account %d: %d of %d in use", a, s, limit)
 		}
 	}
 	return nil
@@ -150,31 +150,31 @@
 
 // TestPartsWithinPool plays losses, delays, reorderings, restarts, leaders that change
 // and clocks that drift.
-func TestPartsWithinPool(t *testing.T) {
+func TestGrantsWithinPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 6).Draw(t, "nodes")
-		w := newWorld(nodes, 2, rapid.SliceOfN(rapid.Int64Range(-5, 5), nodes, nodes).Draw(t, "skew"))
+		w := newTestCluster(nodes, 2, rapid.SliceOfN(rapid.Int64Range(-5, 5), nodes, nodes).Draw(t, "skew"))
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			node := rapid.IntRange(0, nodes-1).Draw(t, "node")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1:
 				w.now += Micros(rapid.IntRange(1, 2_500_000).Draw(t, "dt"))
 			case 2:
-				w.allocator.BuildTable(w.local(w.leader), false, nil, nil)
+				w.allocator.BuildTable(w.localTime(w.leader), false, nil, nil)
 			case 3, 4, 5:
-				w.ask(node)
+				w.requestTable(node)
 			case 6, 7:
-				if len(w.flying) > 0 {
-					if err := w.deliver(rapid.IntRange(0, len(w.flying)-1).Draw(t, "which")); err != nil {
+				if len(w.inFlight) > 0 {
+					if err := w.deliver(rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "which")); err != nil {
 						t.Fatal(err)
 					}
 				}
 			case 8:
-				w.allowances[node].RecordSubmission(rapid.IntRange(0, w.accounts.Len()-1).Draw(t, "account"), rapid.IntRange(1, 500).Draw(t, "load"), w.local(node))
+				w.allowances[node].RecordSubmission(rapid.IntRange(0, w.accounts.Len()-1).Draw(t, "account"), rapid.IntRange(1, 500).Draw(t, "load"), w.localTime(node))
 			case 9:
 				if rapid.Bool().Draw(t, "restart") {
 					w.allowances[node] = NewAllowance(w.accounts, w.limits)
-					w.highest[node] = nil
+					w.latest[node] = nil
 				} else {
 					w.elect(node)
 				}
@@ -189,28 +189,28 @@
 // TestHandOver explores every order of events of a hand-over with three nodes to a
 // depth: tables made, asked for, delivered late or lost, seconds that pass, a node
 // that restarts, leaders that change.
-func TestHandOver(t *testing.T) {
+func TestGrantsAcrossLeaderChanges(t *testing.T) {
 	const depth = 7
 	states, seen := 0, map[string]bool{}
 	var explore func(path []int)
-	play := func(path []int) (*world, bool) {
-		w := newWorld(3, 1, []int64{0, 5, -5})
+	replay := func(path []int) (*testCluster, bool) {
+		w := newTestCluster(3, 1, []int64{0, 5, -5})
 		for _, step := range path {
-			if !w.step(step) {
+			if !w.apply(step) {
 				return nil, false
 			}
 		}
 		return w, true
 	}
 	explore = func(path []int) {
-		w, ok := play(path)
+		w, ok := replay(path)
 		if !ok {
 			return
 		}
 		if err := w.check(); err != nil {
 			t.Fatalf("%v: %v", path, err)
 		}
-		key := w.key() + fmt.Sprint(depth-len(path))
+		key := w.stateKey() + fmt.Sprint(depth-len(path))
 		if seen[key] {
 			return
 		}
@@ -219,7 +219,7 @@
 		if len(path) == depth {
 			return
 		}
-		for step := range steps {
+		for step := range numEvents {
 			explore(append(path[:len(path):len(path)], step))
 		}
 	}
@@ -230,51 +230,51 @@
 	}
 }
 
-const steps = 9
+const numEvents = 9
 
 // step does one of the events; false if it can't happen now.
-func (w *world) step(n int) bool {
-	switch n {
+func (w *testCluster) apply(event int) bool {
+	switch event {
 	case 0: // a second with load at two nodes, and the table of it
 		w.now += clock.Second
-		w.allowances[1].RecordSubmission(1, 300, w.local(1))
-		w.allowances[2].RecordSubmission(1, 300, w.local(2))
-		w.allocator.BuildTable(w.local(w.leader), false, nil, nil)
+		w.allowances[1].RecordSubmission(1, 300, w.localTime(1))
+		w.allowances[2].RecordSubmission(1, 300, w.localTime(2))
+		w.allocator.BuildTable(w.localTime(w.leader), false, nil, nil)
 	case 1, 2:
-		w.ask(n)
+		w.requestTable(event)
 	case 3, 4: // the oldest or the newest answer arrives
-		if len(w.flying) < n-2 {
+		if len(w.inFlight) < event-2 {
 			return false
 		}
 		i := 0
-		if n == 4 {
-			i = len(w.flying) - 1
+		if event == 4 {
+			i = len(w.inFlight) - 1
 		}
 		return w.deliver(i) == nil
 	case 5:
 		w.now += 5 * clock.Second / 2
 	case 6, 7:
-		if w.leader == 6-n+1 {
+		if w.leader == 6-event+1 {
 			return false
 		}
-		w.elect(n - 6 + 1)
+		w.elect(event - 6 + 1)
 	case 8:
-		w.allowances[1], w.highest[1] = NewAllowance(w.accounts, w.limits), nil
+		w.allowances[1], w.latest[1] = NewAllowance(w.accounts, w.limits), nil
 	}
 	return true
 }
 
 // key tells states apart: times are relative, so that equal states meet.
-func (w *world) key() string {
-	s := fmt.Sprint(w.term, w.leader, w.allocator.number, w.allocator.grantsFrom-w.local(w.leader) > 0, w.now)
+func (w *testCluster) stateKey() string {
+	s := fmt.Sprint(w.term, w.leader, w.allocator.number, w.allocator.grantsFrom-w.localTime(w.leader) > 0, w.now)
 	for n, p := range w.allowances {
-		if t := p.Table(w.local(n)); t != nil {
-			s += fmt.Sprint("|", t.Term, t.Number, t.Accounts[1].NodeRate, p.until-w.local(n))
+		if t := p.Table(w.localTime(n)); t != nil {
+			s += fmt.Sprint("|", t.Term, t.Number, t.Accounts[1].NodeRate, p.validUntil-w.localTime(n))
 		}
-		s += fmt.Sprint(";", p.seen[1].rate > 1)
+		s += fmt.Sprint(";", p.arrivals[1].rate > 1)
 	}
-	for _, r := range w.flying {
-		s += fmt.Sprint("/", r.to, r.life == w.allowances[r.to], r.asked-w.now)
+	for _, r := range w.inFlight {
+		s += fmt.Sprint("/", r.to, r.recipient == w.allowances[r.to], r.requestedAt-w.now)
 		if r.table != nil {
 			s += fmt.Sprint(r.table.Term, r.table.Number, r.table.Accounts[1].NodeRate)
 		}
@@ -284,32 +284,32 @@
 
 // TestPartsEndInTime: at the very instant at which the leader counts a part as ended, its
 // holder does not use it any more, however their clocks differ and the answer was late.
-func TestPartsEndInTime(t *testing.T) {
+func TestGrantsExpire(t *testing.T) {
 	for _, skew := range [][]int64{{5, -5, 0}, {-5, 5, 0}, {5, -5, 5}} {
-		for late := Micros(0); late < 4*clock.Second; late += 100 * clock.Millisecond {
-			w := newWorld(3, 1, skew)
-			load := func(node int) { w.allowances[node].RecordSubmission(1, 500, w.local(node)) }
-			next := func() { w.allocator.BuildTable(w.local(0), false, nil, nil) }
+		for delay := Micros(0); delay < 4*clock.Second; delay += 100 * clock.Millisecond {
+			w := newTestCluster(3, 1, skew)
+			load := func(node int) { w.allowances[node].RecordSubmission(1, 500, w.localTime(node)) }
+			buildTable := func() { w.allocator.BuildTable(w.localTime(0), false, nil, nil) }
 			load(1)
-			w.ask(1) // the leader learns of the load
-			w.flying = nil
-			next()
-			asked := w.local(1)
-			w.ask(1)
-			w.now += late
-			w.flying[0].asked = asked
+			w.requestTable(1) // the leader learns of the load
+			w.inFlight = nil
+			buildTable()
+			requestedAt := w.localTime(1)
+			w.requestTable(1)
+			w.now += delay
+			w.inFlight[0].requestedAt = requestedAt
 			if err := w.deliver(0); err != nil {
 				t.Fatal(err)
 			}
 			for end := w.now + 4*clock.Second; w.now < end; w.now += clock.Millisecond {
-				if w.allocator.Outstanding(w.local(0)) > 0 {
+				if w.allocator.Outstanding(w.localTime(0)) > 0 {
 					continue
 				}
 				load(2)
-				w.ask(2)
-				next()
-				w.ask(2)
-				for len(w.flying) > 0 {
+				w.requestTable(2)
+				buildTable()
+				w.requestTable(2)
+				for len(w.inFlight) > 0 {
 					if err := w.deliver(0); err != nil {
 						t.Fatal(err)
 					}
@@ -317,7 +317,7 @@
 				break
 			}
 			if err := w.check(); err != nil {
-				t.Fatalf("skew %v, %v late: %v", skew, late, err)
+				t.Fatalf("skew %v, %v late: %v", skew, delay, err)
 			}
 		}
 	}
@@ -325,8 +325,8 @@
 
 // TestPartsFollowDemand: a node with demand gets the pool, one that has none gives it
 // back within the life of a table.
-func TestPartsFollowDemand(t *testing.T) {
-	w := newWorld(3, 1, []int64{0, 0, 0})
+func TestGrantsFollowDemand(t *testing.T) {
+	w := newTestCluster(3, 1, []int64{0, 0, 0})
 	round := func(busy ...int) {
 		w.now += clock.Second
 		for _, n := range busy {
@@ -335,30 +335,30 @@
 			}
 		}
 		for n := range w.allowances {
-			w.ask(n)
+			w.requestTable(n)
 		}
 		w.allocator.BuildTable(w.now, false, nil, nil)
 		for n := range w.allowances {
-			w.ask(n)
+			w.requestTable(n)
 		}
-		for len(w.flying) > 0 {
+		for len(w.inFlight) > 0 {
 			if err := w.deliver(0); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	base, all := float64(w.limits.Base)/1000, float64(w.limits.Base+w.limits.Pool)/1000
+	base, baseAndPool := float64(w.limits.Base)/1000, float64(w.limits.Base+w.limits.Pool)/1000
 	for range 6 {
 		round(1)
 	}
-	if r := w.allowances[1].Rate(w.now); r < all-0.1 {
-		t.Errorf("alone with demand: %v of %v", r, all)
+	if r := w.allowances[1].Rate(w.now); r < baseAndPool-0.1 {
+		t.Errorf("alone with demand: %v of %v", r, baseAndPool)
 	}
 	for range 20 {
 		round(2)
 	}
-	if r, s := w.allowances[1].Rate(w.now), w.allowances[2].Rate(w.now); r > base+1 || s < all-1.5 {
-		t.Errorf("after the demand moved: %v and %v of %v", r, s, all)
+	if idleRate, busyRate := w.allowances[1].Rate(w.now), w.allowances[2].Rate(w.now); idleRate > base+1 || busyRate < baseAndPool-1.5 {
+		t.Errorf("after the demand moved: %v and %v of %v", idleRate, busyRate, baseAndPool)
 	}
 	w.now += 4 * clock.Second
 	if r := w.allowances[2].Rate(w.now); r != base {
@@ -369,29 +369,29 @@
 // TestTurns: whoever comes back when told is taken within MaxSlots tables of his first
 // attempt, also while the number of slots changes, and those refused together do not
 // come back together.
-func TestTurns(t *testing.T) {
+func TestSlotsUntil(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := fmt.Sprintf("req-%06d", rapid.IntRange(0, 999999).Draw(t, "job"))
-		tab := &Table{Number: uint64(rapid.IntRange(1, 100).Draw(t, "number")), Accounts: make([]Entry, 1)}
+		table := &Table{Number: uint64(rapid.IntRange(1, 100).Draw(t, "number")), Accounts: make([]Entry, 1)}
 		slots := uint32(1) << rapid.IntRange(0, 4).Draw(t, "slots")
 		waited := 0
 		for {
-			tab.Accounts[0].Slots = slots
-			wait := tab.SlotsUntil(0, job)
+			table.Accounts[0].Slots = slots
+			wait := table.SlotsUntil(0, job)
 			if wait == 0 {
 				break
 			}
-			tab.Number += uint64(wait)
+			table.Number += uint64(wait)
 			if waited += wait; waited >= MaxSlots {
 				t.Fatalf("%d tables", waited)
 			}
 			slots = uint32(1) << rapid.IntRange(0, 4).Draw(t, "slots")
 		}
 	})
-	tab := &Table{Number: 3, Accounts: []Entry{{Slots: 8}}}
+	table := &Table{Number: 3, Accounts: []Entry{{Slots: 8}}}
 	count := make([]int, 8)
 	for i := range 800 {
-		count[tab.SlotsUntil(0, fmt.Sprintf("req-%06d", i))]++
+		count[table.SlotsUntil(0, fmt.Sprintf("req-%06d", i))]++
 	}
 	if slices.Max(count) > 150 || slices.Min(count) < 50 {
 		t.Errorf("not spread: %v", count)
@@ -405,8 +405,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const accounts = 4
 		q := NewQueue[item](accounts, Bounds{Count: 60, Bytes: 4000})
-		in, out := 0, 0
-		passed := make([]int, accounts) // changes of others since an account waits and was not served
+		pushed, popped := 0, 0
+		servedAhead := make([]int, accounts) // changes of others since an account waits and was not served
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "push") {
 				x := item{rapid.IntRange(0, accounts-1).Draw(t, "account"), rapid.IntRange(1, 6).Draw(t, "cost")}
@@ -418,7 +418,7 @@
 					continue
 				}
 				q.Push(x.account, Rank(rapid.IntRange(0, 2).Draw(t, "rank")), x.cost, bytes, 0, x)
-				in++
+				pushed++
 				if q.Len() > 60 || q.bytes > 4000 {
 					t.Fatal("bounds")
 				}
@@ -431,12 +431,12 @@
 			if !ok {
 				continue
 			}
-			out++
+			popped++
 			for a := range accounts {
 				if a == x.account || q.QueuedCost(a) == 0 {
-					passed[a] = 0
-				} else if passed[a] += x.cost; passed[a] > 2*(accounts-1)*(quantum+6) {
-					t.Fatalf("account %d was passed by %d changes", a, passed[a])
+					servedAhead[a] = 0
+				} else if servedAhead[a] += x.cost; servedAhead[a] > 2*(accounts-1)*(quantum+6) {
+					t.Fatalf("account %d was passed by %d changes", a, servedAhead[a])
 				}
 			}
 		}
@@ -444,10 +444,10 @@
 			if _, ok := q.Pop(1, true, func(item) bool { return true }); !ok {
 				t.Fatal("stuck")
 			}
-			out++
+			popped++
 		}
-		if in != out || q.Cost() != 0 || q.bytes != 0 {
-			t.Fatalf("%d in, %d out", in, out)
+		if pushed != popped || q.Cost() != 0 || q.bytes != 0 {
+			t.Fatalf("%d in, %d out", pushed, popped)
 		}
 	})
 }
@@ -488,15 +488,15 @@
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(30, 500).Draw(t, "rate")
-		floors := rapid.SampledFrom([]MinShares{WriteMinShares, ReadMinShares}).Draw(t, "floors")
-		b := NewBudget(rate, floors)
-		greedy := RequestClass(rapid.IntRange(0, len(floors)-1).Draw(t, "greedy"))
-		modest := RequestClass(rapid.IntRange(0, len(floors)-1).Draw(t, "modest"))
+		minShares := rapid.SampledFrom([]MinShares{WriteMinShares, ReadMinShares}).Draw(t, "floors")
+		b := NewBudget(rate, minShares)
+		greedy := RequestClass(rapid.IntRange(0, len(minShares)-1).Draw(t, "greedy"))
+		modest := RequestClass(rapid.IntRange(0, len(minShares)-1).Draw(t, "modest"))
 		if greedy == modest {
 			return
 		}
 		b.SetWaiting(modest, true)
-		spent := make([]int, len(floors))
+		spent := make([]int, len(minShares))
 		at := time.UnixMicro(1e12)
 		const seconds = 20
 		for step := range seconds * 100 {
@@ -508,11 +508,11 @@
 				spent[modest]++
 			}
 		}
-		if least := int(floors[modest]*rate*seconds*0.8) - 4; spent[modest] < least {
-			t.Fatalf("use %d got %d of its floor's %d beside %d", modest, spent[modest], least, greedy)
+		if minimum := int(minShares[modest]*rate*seconds*0.8) - 4; spent[modest] < minimum {
+			t.Fatalf("use %d got %d of its floor's %d beside %d", modest, spent[modest], minimum, greedy)
 		}
-		if most := int(rate*(seconds+1)) + 8; spent[greedy]+spent[modest] > most {
-			t.Fatalf("%d spent of %d", spent[greedy]+spent[modest], most)
+		if maximum := int(rate*(seconds+1)) + 8; spent[greedy]+spent[modest] > maximum {
+			t.Fatalf("%d spent of %d", spent[greedy]+spent[modest], maximum)
 		}
 		b.SetWaiting(modest, false)
 		at = at.Add(5 * time.Second)
@@ -524,31 +524,31 @@
 
 // TestShares: a team gets its part by its guarantee and no more than it can use, what one
 // leaves others get, and the shares are those of the whole room.
-func TestShares(t *testing.T) {
+func TestTeamShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		accounts := testAccounts(rapid.IntRange(1, 4).Draw(t, "classes"))
 		teams := []Team{{"t", rapid.Float64Range(0, 500).Draw(t, "guarantee"), 0}, {"u", 100, rapid.SampledFrom([]float64{0, 300}).Draw(t, "limit")}}
 		s := NewTeamShares(accounts, teams, Settings{Enabled: true, OverloadBacklog: clock.Second})
 		demands := make([]Demand, accounts.Len())
-		wants, sum := make([]float64, 2), 0.0
+		teamDemands, sum := make([]float64, 2), 0.0
 		for i := range demands {
 			demands[i] = Demand{Held: rapid.Float64Range(0, 50).Draw(t, "held"), Waiting: float64(rapid.IntRange(0, 3).Draw(t, "some")) * 400}
 			for j, team := range teams {
 				if accounts.Accounts[i].Team == team.Name {
-					wants[j] += demands[i].Held + demands[i].Waiting
+					teamDemands[j] += demands[i].Held + demands[i].Waiting
 				}
 			}
 		}
 		if l := teams[1].Limit; l > 0 {
-			wants[1] = min(wants[1], l)
+			teamDemands[1] = min(teamDemands[1], l)
 		}
 		capacity := rapid.Float64Range(1, 2000).Draw(t, "capacity")
 		given := 0.0
 		for j, share := range s.divide(capacity, demands) {
-			sum += wants[j]
+			sum += teamDemands[j]
 			guarantee := max(teams[j].Guarantee, 0.001)
-			if least := min(wants[j], capacity*guarantee/(teams[0].Guarantee+teams[1].Guarantee+0.001)); share < least-0.1 || share > wants[j]+0.1 {
-				t.Fatalf("team %d gets %v of %v wanted, at least %v", j, share, wants[j], least)
+			if minimum := min(teamDemands[j], capacity*guarantee/(teams[0].Guarantee+teams[1].Guarantee+0.001)); share < minimum-0.1 || share > teamDemands[j]+0.1 {
+				t.Fatalf("team %d gets %v of %v wanted, at least %v", j, share, teamDemands[j], minimum)
 			}
 			given += share
 		}
@@ -561,65 +561,65 @@
 // TestTurns of the floor: of each account just as many jobs have a turn as it lacks, those
 // that take least; the account that is served least comes first, so accounts whose bursts
 // differ tenfold are served alike at any moment; what they have beyond is spare.
-func TestTurnsOfFloor(t *testing.T) {
+func TestMinServedShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const accounts = 3
-		floors := []float64{0.55, 0.55, rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "floor")}
-		s := NewObjectiveTracker(floors)
+		minShares := []float64{0.55, 0.55, rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "floor")}
+		s := NewObjectiveTracker(minShares)
 		now := Micros(0)
 		for range rapid.IntRange(0, 30).Draw(t, "over") {
 			now += clock.Second
 			s.RecordFinished(rapid.IntRange(-1, accounts).Draw(t, "of"), rapid.Bool().Draw(t, "good"), now)
 		}
 		if rapid.Bool().Draw(t, "takeover") {
-			next := NewObjectiveTracker(floors)
+			next := NewObjectiveTracker(minShares)
 			next.Restore(s.Counts(now), now)
 			s = next
 		}
-		cases := make([]UnfinishedJob, rapid.IntRange(0, 60).Draw(t, "cases"))
+		jobs := make([]UnfinishedJob, rapid.IntRange(0, 60).Draw(t, "cases"))
 		counts := s.Counts(now)
-		all, good, open := make([]float64, accounts), make([]float64, accounts), make([]int, accounts)
-		for i := range cases {
-			c := &cases[i]
+		total, onTime, open := make([]float64, accounts), make([]float64, accounts), make([]int, accounts)
+		for i := range jobs {
+			c := &jobs[i]
 			c.Account = rapid.IntRange(-1, accounts-1).Draw(t, "account")
 			c.Feasibility = Feasibility(rapid.IntRange(0, 3).Draw(t, "prospect"))
 			c.RemainingWork, c.ID = float64(rapid.IntRange(0, 9).Draw(t, "rest")), string(rune('a'+i))
 			if c.Account >= 0 {
-				all[c.Account]++
+				total[c.Account]++
 				switch c.Feasibility {
 				case OnTime:
-					good[c.Account]++
+					onTime[c.Account]++
 				case Feasible, AtRisk:
 					open[c.Account]++
 				}
 			}
 		}
-		turns := s.Evaluate(now, cases)
+		statuses := s.Evaluate(now, jobs)
 		for a := range accounts {
-			jobs, served := all[a]+counts[2*a], good[a]+counts[2*a+1]
-			lacks := max(int(math.Ceil(floors[a]*jobs-served-1e-9)), 0)
-			given, largest, least := 0, 0.0, math.Inf(1)
-			for i, c := range cases {
+			counted, served := total[a]+counts[2*a], onTime[a]+counts[2*a+1]
+			missing := max(int(math.Ceil(minShares[a]*counted-served-1e-9)), 0)
+			needed, largest, smallest := 0, 0.0, math.Inf(1)
+			for i, c := range jobs {
 				if c.Account != a || c.Feasibility != Feasible {
-					if c.Account == a && turns[i].Needed {
-						given++
+					if c.Account == a && statuses[i].Needed {
+						needed++
 					}
 					continue
 				}
-				if turns[i].Needed {
-					given, largest = given+1, max(largest, c.RemainingWork)
+				if statuses[i].Needed {
+					needed, largest = needed+1, max(largest, c.RemainingWork)
 				} else {
-					least = min(least, c.RemainingWork)
+					smallest = min(smallest, c.RemainingWork)
 				}
-				if turns[i].Needed == turns[i].Surplus {
-					t.Fatalf("%+v: %+v", c, turns[i])
+				if statuses[i].Needed == statuses[i].Surplus {
+					t.Fatalf("%+v: %+v", c, statuses[i])
 				}
 			}
-			if want := min(lacks, open[a]); given != want {
-				t.Fatalf("account %d of %v jobs, %v served: %d have a turn, %d lack", a, jobs, served, given, want)
+			if want := min(missing, open[a]); needed != want {
+				t.Fatalf("account %d of %v jobs, %v served: %d have a turn, %d lack", a, counted, served, needed, want)
 			}
-			if given < open[a] && largest > least {
-				t.Fatalf("a job of %v has a turn before one of %v", largest, least)
+			if needed < open[a] && largest > smallest {
+				t.Fatalf("a job of %v has a turn before one of %v", largest, smallest)
 			}
 		}
 	})
@@ -627,26 +627,26 @@
 
 // TestServedAlike: two classes whose bursts differ tenfold get their turns in like measure,
 // as the index by Jain shows wherever the turns are cut off, and a small one is not drowned.
-func TestServedAlike(t *testing.T) {
+func TestServedSharesAreEven(t *testing.T) {
 	s := NewObjectiveTracker([]float64{0.55, 0.55, 0.55})
-	var cases []UnfinishedJob
+	var jobs []UnfinishedJob
 	for a, n := range []int{400, 40, 4} {
 		for i := range n {
-			cases = append(cases, UnfinishedJob{Account: a, Feasibility: Feasible, RemainingWork: float64(1 + i%7), ID: fmt.Sprint(i)})
+			jobs = append(jobs, UnfinishedJob{Account: a, Feasibility: Feasible, RemainingWork: float64(1 + i%7), ID: fmt.Sprint(i)})
 		}
 	}
-	turns := s.Evaluate(0, cases)
-	order := make([]int, 0, len(cases))
-	for i := range cases {
-		if turns[i].Needed {
+	statuses := s.Evaluate(0, jobs)
+	order := make([]int, 0, len(jobs))
+	for i := range jobs {
+		if statuses[i].Needed {
 			order = append(order, i)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(turns[a].ServedShare, turns[b].ServedShare) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(statuses[a].ServedShare, statuses[b].ServedShare) })
 	for _, cut := range []int{100, 150, 200, len(order)} {
 		n := [3]float64{}
 		for _, i := range order[:cut] {
-			n[cases[i].Account]++
+			n[jobs[i].Account]++
 		}
 		a, b, c := n[0]/400, n[1]/40, n[2]/4
 		if jain := (a + b + c) * (a + b + c) / (3 * (a*a + b*b + c*c)); jain < 0.93 {
@@ -657,29 +657,29 @@
 
 // TestMode: overload begins and ends late, so that the order does not flap, and not
 // while there are machines to be had.
-func TestMode(t *testing.T) {
+func TestOverloadMode(t *testing.T) {
 	accounts := testAccounts(1)
 	s := NewTeamShares(accounts, []Team{{"t", 0, 0}}, Settings{Enabled: true, OverloadBacklog: 30 * clock.Second})
 	demands := make([]Demand, accounts.Len())
-	judge := func(at int, waiting float64, room bool) bool {
+	evaluate := func(at int, waiting float64, canRent bool) bool {
 		demands[1] = Demand{Held: 100, Waiting: waiting, RemainingWork: (100 + waiting) * 50}
-		return s.Evaluate(Micros(at)*clock.Second, 100, room, demands) != nil
+		return s.Evaluate(Micros(at)*clock.Second, 100, canRent, demands) != nil
 	}
 	for _, c := range []struct {
 		at      int
 		waiting float64
-		room    bool
+		canRent bool
 		want    bool
 	}{{0, 10, false, false}, {10, 1000, true, false}, {20, 1000, false, false}, {24, 1000, false, true},
 		{25, 50, false, true}, {26, 5, false, true}, {27, 500, true, true}, {30, 5, true, true}, {40, 5, true, false}} {
-		if got := judge(c.at, c.waiting, c.room); got != c.want {
+		if got := evaluate(c.at, c.waiting, c.canRent); got != c.want {
 			t.Errorf("at %d s with %v waiting: overload %v", c.at, c.waiting, got)
 		}
 	}
 }
 
 // TestNotices: a refusal is known to all nodes, bounded, and forgotten.
-func TestNotices(t *testing.T) {
+func TestRefusalNotices(t *testing.T) {
 	accounts := testAccounts(1)
 	a, b := NewAllowance(accounts, LimitsOf(100, 2)), NewAllowance(accounts, LimitsOf(100, 2))
 	for i := range 3 * maxRememberedRefusals {
@@ -724,7 +724,7 @@
 	for i := range b.N {
 		job := jobs[i%len(jobs)]
 		account := accounts.IndexOf("t", "c250")
-		if turn := p.Table(1).SlotsUntil(account, job); turn > 0 || q.CostAhead(account, RankNew, 1) > 10 {
+		if slots := p.Table(1).SlotsUntil(account, job); slots > 0 || q.CostAhead(account, RankNew, 1) > 10 {
 			p.RecordRefusal(account, 1, job, 4, 1)
 		}
 	}
--- a/internal/admit/allowance.go
+++ b/internal/admit/allowance.go
@@ -13,21 +13,21 @@
 // service's limit, so a node that is cut off from the leader needs nobody's leave to
 // fall back to its base.
 type Allowance struct {
-	accounts *AccountIndex
-	limits   Limits
-	table    *Table
-	until    Micros // the table's end on this node's clock
-	seen     []arrival
-	refusals memory    // jobs that were refused, here or at a peer
-	fresh    []Refusal // refused here since the last notice
-	counts   []Counts
+	accounts       *AccountIndex
+	limits         Limits
+	table          *Table
+	validUntil     Micros // the table's end on this node's clock
+	arrivals       []arrivalStats
+	refusals       refusalMemory // jobs that were refused, here or at a peer
+	unsentRefusals []Refusal     // refused here since the last notice
+	counts         []Counts
 }
 
 // arrival smooths what an account's submissions ask for.
-type arrival struct {
-	rate    float64 // changes a second
-	refused float64 // changes that will come back
-	at      Micros
+type arrivalStats struct {
+	rate      float64 // changes a second
+	refused   float64 // changes that will come back
+	updatedAt Micros
 }
 
 // Counts is what became of an account's submissions at this node.
@@ -37,8 +37,8 @@
 
 // NewAllowance makes the allowance of a node.
 func NewAllowance(accounts *AccountIndex, limits Limits) *Allowance {
-	return &Allowance{accounts: accounts, limits: limits, seen: make([]arrival, accounts.Len()), counts: make([]Counts, accounts.Len()),
-		refusals: memory{byHash: map[uint32]*remembered{}}}
+	return &Allowance{accounts: accounts, limits: limits, arrivals: make([]arrivalStats, accounts.Len()), counts: make([]Counts, accounts.Len()),
+		refusals: refusalMemory{byHash: map[uint32]*refusalRecord{}}}
 }
 
 // SetLimits follows the state service's limits.
@@ -46,20 +46,20 @@
 
 // Put takes a table over that was asked for at the given time. A table of an older
 // term or number, or made from other settings, changes nothing.
-func (p *Allowance) ApplyTable(t *Table, asked Micros) bool {
+func (p *Allowance) ApplyTable(t *Table, requestedAt Micros) bool {
 	if t == nil || t.Digest != p.accounts.Digest || len(t.Accounts) != p.accounts.Len() || t.ValidFor <= 0 || t.ValidFor > tableLifetime {
 		return false
 	}
 	if !t.Newer(p.table) {
 		return false
 	}
-	p.table, p.until = t, asked+t.ValidFor
+	p.table, p.validUntil = t, requestedAt+t.ValidFor
 	return true
 }
 
 // Table is the valid table, or nil.
 func (p *Allowance) Table(now Micros) *Table {
-	if p.table == nil || now >= p.until {
+	if p.table == nil || now >= p.validUntil {
 		return nil
 	}
 	return p.table
@@ -68,50 +68,50 @@
 // WasOver reports whether the machines were overloaded when this node last heard of
 // it, not long ago: an election takes longer than a table is valid.
 func (p *Allowance) WasOverloaded(now Micros) bool {
-	return p.table != nil && p.table.Overloaded && now < p.until+overLife
+	return p.table != nil && p.table.Overloaded && now < p.validUntil+overloadLifetime
 }
 
 // overLife is how long an overload that one leader saw is likely to go on for the next.
-const overLife = 15 * clock.Second
+const overloadLifetime = 15 * clock.Second
 
 // Rate is the changes a second that this node may spend on submissions.
 func (p *Allowance) Rate(now Micros) float64 {
 	rate := p.limits.Base
 	if t := p.Table(now); t != nil {
-		part := int64(0)
+		granted := int64(0)
 		for i := range t.Accounts {
-			part += int64(t.Accounts[i].NodeRate)
+			granted += int64(t.Accounts[i].NodeRate)
 		}
-		rate += min(part, p.limits.Pool)
+		rate += min(granted, p.limits.Pool)
 	}
 	return float64(rate) / milli
 }
 
 // window is the memory of arrivals.
-const window = 2 * clock.Second
+const arrivalTimeConstant = 2 * clock.Second
 
-func (a *arrival) fade(now Micros) {
-	if dt := now - a.at; dt > 0 {
-		f := math.Exp(-float64(dt) / float64(window))
-		a.rate, a.refused, a.at = a.rate*f, a.refused*f, now
+func (a *arrivalStats) decay(now Micros) {
+	if dt := now - a.updatedAt; dt > 0 {
+		factor := math.Exp(-float64(dt) / float64(arrivalTimeConstant))
+		a.rate, a.refused, a.updatedAt = a.rate*factor, a.refused*factor, now
 	}
 }
 
 // Saw notes a submission that asks for so many changes.
-func (p *Allowance) RecordSubmission(account, changes int, now Micros) {
+func (p *Allowance) RecordSubmission(account, writes int, now Micros) {
 	if account < 0 {
 		return
 	}
-	a := &p.seen[account]
-	a.fade(now)
-	a.rate += float64(changes) / window.Seconds()
+	a := &p.arrivals[account]
+	a.decay(now)
+	a.rate += float64(writes) / arrivalTimeConstant.Seconds()
 }
 
 // Took counts a submission that was accepted, or was known.
-func (p *Allowance) CountAccepted(account int, known bool) {
+func (p *Allowance) CountAccepted(account int, duplicate bool) {
 	switch {
 	case account < 0:
-	case known:
+	case duplicate:
 		p.counts[account].Duplicates++
 	default:
 		p.counts[account].Accepted++
@@ -119,17 +119,17 @@
 }
 
 // Refused notes a submission that was told to come back.
-func (p *Allowance) RecordRefusal(account, changes int, job string, cpus float64, now Micros) {
+func (p *Allowance) RecordRefusal(account, writes int, job string, cpus float64, now Micros) {
 	if account < 0 {
 		return
 	}
-	a := &p.seen[account]
-	a.fade(now)
-	a.refused += float64(changes)
+	a := &p.arrivals[account]
+	a.decay(now)
+	a.refused += float64(writes)
 	p.counts[account].Refused++
-	t := Refusal{Hash(job), uint32(account), clampUint32(int64(math.Ceil(min(cpus, math.MaxInt32))))}
-	if p.refusals.add(t, now) && len(p.fresh) < maxNoticeRefusals {
-		p.fresh = append(p.fresh, t)
+	refusal := Refusal{Hash(job), uint32(account), clampUint32(int64(math.Ceil(min(cpus, math.MaxInt32))))}
+	if p.refusals.add(refusal, now) && len(p.unsentRefusals) < maxNoticeRefusals {
+		p.unsentRefusals = append(p.unsentRefusals, refusal)
 	}
 }
 
@@ -137,7 +137,7 @@
 // a newcomer of its account.
 func (p *Allowance) WasRefused(job string, now Micros) bool {
 	r, ok := p.refusals.byHash[Hash(job)]
-	return ok && now-r.at < toldLife
+	return ok && now-r.refusedAt < refusalLifetime
 }
 
 // Accepted notes that a job, refused before or not, is accepted.
@@ -153,7 +153,7 @@
 func (p *Allowance) ExpectedCPUs(now Micros) []float64 {
 	sums := make([]float64, p.accounts.Len())
 	for _, h := range p.refusals.order {
-		if r := p.refusals.byHash[h]; r.expected && now-r.at < expectedLife && int(r.account) < len(sums) {
+		if r := p.refusals.byHash[h]; r.expected && now-r.refusedAt < expectedRetryWindow && int(r.account) < len(sums) {
 			sums[r.account] += float64(r.cpus)
 		}
 	}
@@ -162,7 +162,7 @@
 
 // expectedLife is how long a refused job is waited for: nobody is told to come back later
 // than MaxSlots seconds on.
-const expectedLife = (MaxSlots + 4) * clock.Second
+const expectedRetryWindow = (MaxSlots + 4) * clock.Second
 
 // HearRefusals takes in whom a peer refused.
 func (p *Allowance) MergeRefusals(n *Notice, now Micros) {
@@ -179,11 +179,11 @@
 
 // Notice is what this node tells its peers, with what waits in its queue.
 func (p *Allowance) Notice(queued func(account int) int, now Micros) *Notice {
-	n := &Notice{Digest: p.accounts.Digest, Accounts: make([]Arrivals, p.accounts.Len()), Refusals: p.fresh}
-	p.fresh = nil
+	n := &Notice{Digest: p.accounts.Digest, Accounts: make([]Arrivals, p.accounts.Len()), Refusals: p.unsentRefusals}
+	p.unsentRefusals = nil
 	for i := range n.Accounts {
-		a := &p.seen[i]
-		a.fade(now)
+		a := &p.arrivals[i]
+		a.decay(now)
 		n.Accounts[i] = Arrivals{Rate: clampUint32(int64(a.rate * milli)), Queued: clampUint32(int64(queued(i))), Refused: clampUint32(int64(a.refused))}
 	}
 	return n
@@ -193,34 +193,34 @@
 func (p *Allowance) Counts(account int) Counts { return p.counts[account] }
 
 // memory holds hashes of jobs for a while, a bounded number of them.
-type memory struct {
-	byHash map[uint32]*remembered
+type refusalMemory struct {
+	byHash map[uint32]*refusalRecord
 	order  []uint32
 }
 
-type remembered struct {
-	at       Micros
-	account  uint32
-	cpus     uint32
-	expected bool // not accepted yet, as far as this node knows
+type refusalRecord struct {
+	refusedAt Micros
+	account   uint32
+	cpus      uint32
+	expected  bool // not accepted yet, as far as this node knows
 }
 
 const (
 	maxRememberedRefusals = 8192
-	toldLife              = 60 * clock.Second // no user tries for longer
+	refusalLifetime       = 60 * clock.Second // no user tries for longer
 )
 
 // add reports whether the hash is new.
-func (m *memory) add(t Refusal, now Micros) bool {
-	if _, ok := m.byHash[t.Hash]; ok {
+func (m *refusalMemory) add(refusal Refusal, now Micros) bool {
+	if _, ok := m.byHash[refusal.Hash]; ok {
 		return false
 	}
-	for len(m.order) > 0 && (len(m.order) >= maxRememberedRefusals || now-m.byHash[m.order[0]].at >= toldLife) {
+	for len(m.order) > 0 && (len(m.order) >= maxRememberedRefusals || now-m.byHash[m.order[0]].refusedAt >= refusalLifetime) {
 		delete(m.byHash, m.order[0])
 		m.order = m.order[1:]
 	}
-	m.byHash[t.Hash] = &remembered{now, t.Account, t.CPUs, true}
-	m.order = append(m.order, t.Hash)
+	m.byHash[refusal.Hash] = &refusalRecord{now, refusal.Account, refusal.CPUs, true}
+	m.order = append(m.order, refusal.Hash)
 	if cap(m.order) > 4*maxRememberedRefusals {
 		m.order = slices.Clone(m.order)
 	}
@@ -230,7 +230,7 @@
 // Spread is when a user who is refused should come back, in seconds: after the wait
 // that stands before him, and not together with all others.
 func RetryAfterSeconds(wait Micros, job string) int {
-	most := int64(MaxSlots)
-	seconds := min(max((int64(wait)+int64(clock.Second)-1)/int64(clock.Second), 1), most)
-	return int(min(seconds+int64(Hash(job))%seconds, most))
+	maxSeconds := int64(MaxSlots)
+	seconds := min(max((int64(wait)+int64(clock.Second)-1)/int64(clock.Second), 1), maxSeconds)
+	return int(min(seconds+int64(Hash(job))%seconds, maxSeconds))
 }
--- a/internal/admit/budget.go
+++ b/internal/admit/budget.go
@@ -38,30 +38,30 @@
 // its bucket holds. So no burst of one use keeps another waiting for longer than its
 // floor takes.
 type Budget struct {
-	floors MinShares
-	all    *rate.Limiter
-	own    []*rate.Limiter
-	wants  []bool
-	taken  []time.Time // when Take was last asked
+	minShares MinShares
+	total     *rate.Limiter
+	perClass  []*rate.Limiter
+	waiting   []bool
+	lastAllow []time.Time // when Take was last asked
 }
 
 // NewBudget makes a budget of so many a second.
-func NewBudget(perSecond float64, floors MinShares) *Budget {
-	b := &Budget{floors: floors, all: rate.NewLimiter(rate.Limit(perSecond), burst(perSecond)),
-		wants: make([]bool, len(floors)), taken: make([]time.Time, len(floors))}
-	for _, f := range floors {
-		b.own = append(b.own, rate.NewLimiter(rate.Limit(perSecond*f), burst(perSecond*f)))
+func NewBudget(perSecond float64, minShares MinShares) *Budget {
+	b := &Budget{minShares: minShares, total: rate.NewLimiter(rate.Limit(perSecond), burst(perSecond)),
+		waiting: make([]bool, len(minShares)), lastAllow: make([]time.Time, len(minShares))}
+	for _, share := range minShares {
+		b.perClass = append(b.perClass, rate.NewLimiter(rate.Limit(perSecond*share), burst(perSecond*share)))
 	}
 	return b
 }
 
 // Take spends one if there is room. A use that asks so wants something for a second.
-func (b *Budget) Allow(at time.Time, u RequestClass) bool {
-	b.taken[u] = at
-	if b.Available(at, u) < 1 {
+func (b *Budget) Allow(now time.Time, class RequestClass) bool {
+	b.lastAllow[class] = now
+	if b.Available(now, class) < 1 {
 		return false
 	}
-	b.Spend(at, u, 1)
+	b.Spend(now, class, 1)
 	return true
 }
 
@@ -70,51 +70,51 @@
 func burst(perSecond float64) int { return max(int(perSecond), 4) }
 
 // Set changes the rate.
-func (b *Budget) SetRate(at time.Time, perSecond float64) {
-	if b.all.Limit() == rate.Limit(perSecond) {
+func (b *Budget) SetRate(now time.Time, perSecond float64) {
+	if b.total.Limit() == rate.Limit(perSecond) {
 		return
 	}
-	set := func(l *rate.Limiter, r float64) {
-		l.SetLimitAt(at, rate.Limit(r))
-		l.SetBurstAt(at, burst(r))
+	setLimiter := func(limiter *rate.Limiter, perSecond float64) {
+		limiter.SetLimitAt(now, rate.Limit(perSecond))
+		limiter.SetBurstAt(now, burst(perSecond))
 	}
-	set(b.all, perSecond)
-	for u := range b.own {
-		set(b.own[u], perSecond*b.floors[u])
+	setLimiter(b.total, perSecond)
+	for class := range b.perClass {
+		setLimiter(b.perClass[class], perSecond*b.minShares[class])
 	}
 }
 
 // Floor is the rate that a use gets whatever the others want.
-func (b *Budget) MinRate(u RequestClass) float64 { return b.Rate() * b.floors[u] }
+func (b *Budget) MinRate(class RequestClass) float64 { return b.Rate() * b.minShares[class] }
 
 // Want notes whether a use has something waiting.
-func (b *Budget) SetWaiting(u RequestClass, wants bool) { b.wants[u] = wants }
+func (b *Budget) SetWaiting(class RequestClass, waiting bool) { b.waiting[class] = waiting }
 
 // Room is how many changes a use may spend now.
-func (b *Budget) Available(at time.Time, u RequestClass) float64 {
-	have := b.all.TokensAt(at)
-	for o := range b.own {
-		if RequestClass(o) != u && (b.wants[o] || at.Sub(b.taken[o]) < time.Second) {
-			have -= b.Reserved(at, RequestClass(o))
+func (b *Budget) Available(now time.Time, class RequestClass) float64 {
+	available := b.total.TokensAt(now)
+	for other := range b.perClass {
+		if RequestClass(other) != class && (b.waiting[other] || now.Sub(b.lastAllow[other]) < time.Second) {
+			available -= b.Reserved(now, RequestClass(other))
 		}
 	}
-	return max(have, b.Reserved(at, u))
+	return max(available, b.Reserved(now, class))
 }
 
 // Left is what is left for all uses; Own is what of it is one use's own floor.
-func (b *Budget) Remaining(at time.Time) float64 { return b.all.TokensAt(at) }
-func (b *Budget) Reserved(at time.Time, u RequestClass) float64 {
-	return max(min(b.own[u].TokensAt(at), b.all.TokensAt(at)), 0)
+func (b *Budget) Remaining(now time.Time) float64 { return b.total.TokensAt(now) }
+func (b *Budget) Reserved(now time.Time, class RequestClass) float64 {
+	return max(min(b.perClass[class].TokensAt(now), b.total.TokensAt(now)), 0)
 }
 
 // Burst is the most that may be spent at once.
-func (b *Budget) Burst() int { return b.all.Burst() }
+func (b *Budget) Burst() int { return b.total.Burst() }
 
 // Rate is the changes a second.
-func (b *Budget) Rate() float64 { return float64(b.all.Limit()) }
+func (b *Budget) Rate() float64 { return float64(b.total.Limit()) }
 
 // Spend takes n changes for a use.
-func (b *Budget) Spend(at time.Time, u RequestClass, n int) {
-	b.all.AllowN(at, min(n, max(int(b.all.TokensAt(at)), 0)))
-	b.own[u].AllowN(at, min(n, max(int(b.own[u].TokensAt(at)), 0)))
+func (b *Budget) Spend(now time.Time, class RequestClass, n int) {
+	b.total.AllowN(now, min(n, max(int(b.total.TokensAt(now)), 0)))
+	b.perClass[class].AllowN(now, min(n, max(int(b.perClass[class].TokensAt(now)), 0)))
 }
--- a/internal/admit/objective_tracker.go
+++ b/internal/admit/objective_tracker.go
@@ -32,64 +32,64 @@
 // which of those that wait must be, so that of every account at least a given part is.
 // Whatever machines are left beyond that go by the users' own order.
 type ObjectiveTracker struct {
-	floors []float64 // the part of its jobs that each account is to be served
-	past   []past
+	minShares []float64 // the part of its jobs that each account is to be served
+	finished  []finishedCounts
 }
 
 // past counts jobs that are over; both fade.
-type past struct {
-	jobs, good float64
-	at         Micros
+type finishedCounts struct {
+	jobs, met float64
+	updatedAt Micros
 }
 
 // servedMemory is how long a job that is over weighs in the served share.
-const servedMemory = 300 * clock.Second
+const finishedTimeConstant = 300 * clock.Second
 
 // NewServed makes the counts of a deployment's accounts, each with its floor.
-func NewObjectiveTracker(floors []float64) *ObjectiveTracker {
-	return &ObjectiveTracker{floors: floors, past: make([]past, len(floors))}
+func NewObjectiveTracker(minShares []float64) *ObjectiveTracker {
+	return &ObjectiveTracker{minShares: minShares, finished: make([]finishedCounts, len(minShares))}
 }
 
-func (p *past) fade(now Micros) {
-	if dt := now - p.at; dt > 0 {
-		f := math.Exp(-float64(dt) / float64(servedMemory))
-		p.jobs, p.good, p.at = p.jobs*f, p.good*f, now
+func (p *finishedCounts) decay(now Micros) {
+	if dt := now - p.updatedAt; dt > 0 {
+		factor := math.Exp(-float64(dt) / float64(finishedTimeConstant))
+		p.jobs, p.met, p.updatedAt = p.jobs*factor, p.met*factor, now
 	}
 }
 
 // Over counts a job that is over; good if it was served as its users wanted it.
-func (s *ObjectiveTracker) RecordFinished(account int, good bool, now Micros) {
-	if account < 0 || account >= len(s.past) {
+func (s *ObjectiveTracker) RecordFinished(account int, met bool, now Micros) {
+	if account < 0 || account >= len(s.finished) {
 		return
 	}
-	p := &s.past[account]
-	p.fade(now)
+	p := &s.finished[account]
+	p.decay(now)
 	p.jobs++
-	if good {
-		p.good++
+	if met {
+		p.met++
 	}
 }
 
 // Counts gives the jobs of late and those of them that were served, of each account in
 // turn: what Restore takes over in the next term.
 func (s *ObjectiveTracker) Counts(now Micros) []float64 {
-	out := make([]float64, 0, 2*len(s.past))
-	for a := range s.past {
-		s.past[a].fade(now)
-		out = append(out, s.past[a].jobs, s.past[a].good)
+	out := make([]float64, 0, 2*len(s.finished))
+	for a := range s.finished {
+		s.finished[a].decay(now)
+		out = append(out, s.finished[a].jobs, s.finished[a].met)
 	}
 	return out
 }
 
 // Restore takes over the counts that were given at the time.
 func (s *ObjectiveTracker) Restore(counts []float64, at Micros) {
-	if len(counts) != 2*len(s.past) {
+	if len(counts) != 2*len(s.finished) {
 		return
 	}
-	for a := range s.past {
-		jobs, good := counts[2*a], counts[2*a+1]
-		if jobs >= 0 && good >= 0 && good <= jobs && jobs < math.MaxInt32 {
-			s.past[a] = past{jobs, good, at}
+	for a := range s.finished {
+		jobs, met := counts[2*a], counts[2*a+1]
+		if jobs >= 0 && met >= 0 && met <= jobs && jobs < math.MaxInt32 {
+			s.finished[a] = finishedCounts{jobs, met, at}
 		}
 	}
 }
@@ -106,37 +106,37 @@
 // Least first, since a job counts as one whatever it takes: half of the jobs of a class
 // are a fifth of its work or so, and the rest of the machines can go to whom the users
 // put first.
-func (s *ObjectiveTracker) Evaluate(now Micros, cases []UnfinishedJob) []MinShareStatus {
-	turns := make([]MinShareStatus, len(cases))
-	all, good := make([]float64, len(s.past)), make([]float64, len(s.past))
-	for a := range s.past {
-		p := &s.past[a]
-		p.fade(now)
-		all[a], good[a] = p.jobs, p.good
+func (s *ObjectiveTracker) Evaluate(now Micros, jobs []UnfinishedJob) []MinShareStatus {
+	statuses := make([]MinShareStatus, len(jobs))
+	total, served := make([]float64, len(s.finished)), make([]float64, len(s.finished))
+	for a := range s.finished {
+		p := &s.finished[a]
+		p.decay(now)
+		total[a], served[a] = p.jobs, p.met
 	}
-	order := make([]int, 0, len(cases))
-	for i, c := range cases {
-		if c.Account < 0 || c.Account >= len(all) {
+	order := make([]int, 0, len(jobs))
+	for i, job := range jobs {
+		if job.Account < 0 || job.Account >= len(total) {
 			continue
 		}
-		all[c.Account]++
+		total[job.Account]++
 		order = append(order, i)
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		x, y := &cases[a], &cases[b]
+		x, y := &jobs[a], &jobs[b]
 		return cmp.Or(cmp.Compare(x.Feasibility, y.Feasibility), cmp.Compare(x.RemainingWork, y.RemainingWork), cmp.Compare(x.ReadyAt, y.ReadyAt), cmp.Compare(x.ID, y.ID))
 	})
 	for _, i := range order {
-		c := &cases[i]
-		lacks := good[c.Account] < s.floors[c.Account]*all[c.Account]
+		job := &jobs[i]
+		belowMinimum := served[job.Account] < s.minShares[job.Account]*total[job.Account]
 		switch {
-		case c.Feasibility == Infeasible || !lacks:
-			turns[i].Surplus = true
+		case job.Feasibility == Infeasible || !belowMinimum:
+			statuses[i].Surplus = true
 			continue
-		case c.Feasibility != OnTime:
-			turns[i].Needed, turns[i].ServedShare = true, good[c.Account]/all[c.Account]
+		case job.Feasibility != OnTime:
+			statuses[i].Needed, statuses[i].ServedShare = true, served[job.Account]/total[job.Account]
 		}
-		good[c.Account]++
+		served[job.Account]++
 	}
-	return turns
+	return statuses
 }
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -29,23 +29,23 @@
 	RankRetry     Rank = iota // was refused before
 	RankDependent             // a later stage of a pipeline that was accepted
 	RankNew
-	ranks
+	numRanks
 )
 
-type entry[T any] struct {
+type queued[T any] struct {
 	item        T
 	cost, bytes int
-	at          Micros
+	arrivedAt   Micros
 }
 
 type lane[T any] struct {
-	entries [ranks][]entry[T]
-	costs   [ranks]int
+	entries [numRanks][]queued[T]
+	costs   [numRanks]int
 	count   int
 	cost    int
 	bytes   int
 	deficit int
-	fresh   bool // its turn has not begun
+	newTurn bool // its turn has not begun
 }
 
 // quantum is the changes that a lane may take in a turn: most submissions ask for one.
@@ -56,7 +56,7 @@
 	return &Queue[T]{bounds: bounds, lanes: make([]lane[T], accounts+1)}
 }
 
-func (q *Queue[T]) lane(account int) int {
+func (q *Queue[T]) laneIndex(account int) int {
 	if account < 0 || account >= len(q.lanes)-1 {
 		return len(q.lanes) - 1
 	}
@@ -67,31 +67,31 @@
 // number and in bytes, so that one account's burst leaves the others half of the
 // queue, whoever comes first.
 func (q *Queue[T]) Fits(account, bytes int) bool {
-	l := &q.lanes[q.lane(account)]
+	l := &q.lanes[q.laneIndex(account)]
 	return l.count < q.bounds.Count-q.count && l.bytes+bytes <= q.bounds.Bytes-q.bytes
 }
 
 // Push lets a submission wait. The caller has asked Fits, or hands back what he took:
 // that keeps its place by the time at which it came.
-func (q *Queue[T]) Push(account int, rank Rank, cost, bytes int, at Micros, item T) {
-	i := q.lane(account)
+func (q *Queue[T]) Push(account int, rank Rank, cost, bytes int, arrivedAt Micros, item T) {
+	i := q.laneIndex(account)
 	l := &q.lanes[i]
 	if l.count == 0 {
 		q.ring = append(q.ring, i)
-		l.deficit, l.fresh = 0, true
+		l.deficit, l.newTurn = 0, true
 	}
-	list := l.entries[rank]
-	place := len(list)
-	for place > 0 && list[place-1].at > at {
-		place--
+	entries := l.entries[rank]
+	pos := len(entries)
+	for pos > 0 && entries[pos-1].arrivedAt > arrivedAt {
+		pos--
 	}
-	l.entries[rank] = slices.Insert(list, place, entry[T]{item, cost, bytes, at})
+	l.entries[rank] = slices.Insert(entries, pos, queued[T]{item, cost, bytes, arrivedAt})
 	l.costs[rank] += cost
 	l.count, l.cost, l.bytes = l.count+1, l.cost+cost, l.bytes+bytes
 	q.count, q.cost, q.bytes = q.count+1, q.cost+cost, q.bytes+bytes
 }
 
-func (l *lane[T]) head() *entry[T] {
+func (l *lane[T]) head() *queued[T] {
 	for r := range l.entries {
 		if len(l.entries[r]) > 0 {
 			return &l.entries[r][0]
@@ -103,40 +103,40 @@
 // Pop gives the next submission if it asks for at most room changes and suits; what
 // does not suit, or finds no room, ends the batch: ok is false. The first of a batch
 // may ask for more than there is room, or it would wait for ever.
-func (q *Queue[T]) Pop(room int, first bool, suits func(T) bool) (item T, ok bool) {
+func (q *Queue[T]) Pop(maxCost int, firstOfBatch bool, accept func(T) bool) (item T, ok bool) {
 	for len(q.ring) > 0 {
 		i := q.ring[0]
 		l := &q.lanes[i]
-		if l.fresh {
+		if l.newTurn {
 			l.deficit += quantum
-			l.fresh = false
+			l.newTurn = false
 		}
-		e := l.head()
-		if e.cost > l.deficit {
+		head := l.head()
+		if head.cost > l.deficit {
 			// Its turn is over; the rest of its due stays with it.
-			l.fresh = true
+			l.newTurn = true
 			q.ring = append(q.ring[1:], i)
 			continue
 		}
-		if e.cost > room && !first || !suits(e.item) {
+		if head.cost > maxCost && !firstOfBatch || !accept(head.item) {
 			return item, false
 		}
-		item = e.item
-		l.deficit -= e.cost
-		q.drop(i, e)
+		item = head.item
+		l.deficit -= head.cost
+		q.removeHead(i, head)
 		return item, true
 	}
 	return item, false
 }
 
 // drop removes a lane's head.
-func (q *Queue[T]) drop(i int, e *entry[T]) {
+func (q *Queue[T]) removeHead(i int, head *queued[T]) {
 	l := &q.lanes[i]
-	cost, bytes := e.cost, e.bytes
+	cost, bytes := head.cost, head.bytes
 	for r := range l.entries {
 		if len(l.entries[r]) > 0 {
 			l.costs[r] -= cost
-			l.entries[r][0] = entry[T]{}
+			l.entries[r][0] = queued[T]{}
 			if l.entries[r] = l.entries[r][1:]; len(l.entries[r]) == 0 {
 				l.entries[r] = nil
 			}
@@ -163,14 +163,14 @@
 func (q *Queue[T]) Cost() int { return q.cost }
 
 // Queued is the changes that one account waits for.
-func (q *Queue[T]) QueuedCost(account int) int { return q.lanes[q.lane(account)].cost }
+func (q *Queue[T]) QueuedCost(account int) int { return q.lanes[q.laneIndex(account)].cost }
 
 // Oldest is since when the submission waits that came first; now if none does.
 func (q *Queue[T]) Oldest(now Micros) Micros {
 	for _, i := range q.ring {
-		for _, list := range q.lanes[i].entries {
-			if len(list) > 0 {
-				now = min(now, list[0].at)
+		for _, entries := range q.lanes[i].entries {
+			if len(entries) > 0 {
+				now = min(now, entries[0].arrivedAt)
 			}
 		}
 	}
@@ -180,15 +180,15 @@
 // Ahead is how many changes are served before a new submission of an account, which
 // asks for cost itself: what its lane holds, and as much of each other lane.
 func (q *Queue[T]) CostAhead(account int, rank Rank, cost int) int {
-	i := q.lane(account)
-	mine := cost
+	i := q.laneIndex(account)
+	ownCost := cost
 	for r := Rank(0); r <= rank; r++ {
-		mine += q.lanes[i].costs[r]
+		ownCost += q.lanes[i].costs[r]
 	}
-	sum := mine - cost
-	for _, k := range q.ring {
-		if k != i {
-			sum += min(q.lanes[k].cost, mine+quantum)
+	sum := ownCost - cost
+	for _, other := range q.ring {
+		if other != i {
+			sum += min(q.lanes[other].cost, ownCost+quantum)
 		}
 	}
 	return sum
--- a/internal/admit/share.go
+++ b/internal/admit/share.go
@@ -10,11 +10,11 @@
 // Shares settles when there is more to do than the machines can take, and how much of
 // them each team is due then, by its guarantee. Within a team Served says who goes first.
 type TeamShares struct {
-	accounts   *AccountIndex
-	teams      []Team
-	rules      Settings
-	Overloaded bool   // overloaded now
-	since      Micros // since when the other mode is called for; clock.Forever while it is not
+	accounts        *AccountIndex
+	teams           []Team
+	settings        Settings
+	Overloaded      bool   // overloaded now
+	modeChangeSince Micros // since when the other mode is called for; clock.Forever while it is not
 }
 
 // Team is what the settings say of one.
@@ -35,44 +35,44 @@
 
 // Floors are the parts of their jobs that the accounts are to be served, in turn.
 func (r Settings) AccountMinServedShares(accounts *AccountIndex) []float64 {
-	floors := make([]float64, accounts.Len())
+	shares := make([]float64, accounts.Len())
 	for i, a := range accounts.Accounts {
-		floors[i] = r.MinServedShare
-		if f, ok := r.ClassMinServedShares[a.Class]; ok {
-			floors[i] = f
+		shares[i] = r.MinServedShare
+		if share, ok := r.ClassMinServedShares[a.Class]; ok {
+			shares[i] = share
 		}
 	}
-	return floors
+	return shares
 }
 
 // begins is when work waiting means overload: a quarter of the narrowest of the widest
 // aims of those who ask. What waits less than that is reached in time in the usual
 // order. Services are not among the demands: their aims are a few seconds.
-func (s *TeamShares) begins(demands []Demand) Micros {
-	if s.rules.OverloadBacklog > 0 {
-		return s.rules.OverloadBacklog
+func (s *TeamShares) overloadThreshold(demands []Demand) Micros {
+	if s.settings.OverloadBacklog > 0 {
+		return s.settings.OverloadBacklog
 	}
-	least := clock.Forever
-	for a, w := range s.accounts.LongestTargets {
-		if w > 0 && demands[a].Held+demands[a].Waiting > 0 {
-			least = min(least, w)
+	shortest := clock.Forever
+	for a, target := range s.accounts.LongestTargets {
+		if target > 0 && demands[a].Held+demands[a].Waiting > 0 {
+			shortest = min(shortest, target)
 		}
 	}
-	if least == clock.Forever {
-		return defaultBegins
+	if shortest == clock.Forever {
+		return defaultOverloadBacklog
 	}
-	return max(least/4, beginsLeast)
+	return max(shortest/4, minOverloadBacklog)
 }
 
 const (
-	defaultBegins = 75 * clock.Second
-	beginsLeast   = 60 * clock.Second // while a fleet starts, more than that can wait for its boots
-	settles       = 3 * clock.Second  // how long a change of mode must be called for
+	defaultOverloadBacklog = 75 * clock.Second
+	minOverloadBacklog     = 60 * clock.Second // while a fleet starts, more than that can wait for its boots
+	modeChangeDelay        = 3 * clock.Second  // how long a change of mode must be called for
 )
 
 // NewShares makes the shares of a deployment.
-func NewTeamShares(accounts *AccountIndex, teams []Team, rules Settings) *TeamShares {
-	return &TeamShares{accounts: accounts, teams: teams, rules: rules, since: clock.Forever}
+func NewTeamShares(accounts *AccountIndex, teams []Team, settings Settings) *TeamShares {
+	return &TeamShares{accounts: accounts, teams: teams, settings: settings, modeChangeSince: clock.Forever}
 }
 
 // Demand is what an account's unfinished work, services aside, asks of the machines.
@@ -93,8 +93,8 @@
 // for work that is not production, up or on their way. room tells whether machines can
 // still be rented. It reports nil, and leaves Over false, while the usual order serves
 // everybody.
-func (s *TeamShares) Evaluate(now Micros, capacity float64, room bool, demands []Demand) []float64 {
-	if !s.rules.Enabled || len(demands) != s.accounts.Len() {
+func (s *TeamShares) Evaluate(now Micros, capacity float64, canRent bool, demands []Demand) []float64 {
+	if !s.settings.Enabled || len(demands) != s.accounts.Len() {
 		s.Overloaded = false
 		return nil
 	}
@@ -107,15 +107,15 @@
 	if total := held + waiting; total > 0 && capacity > 0 {
 		backlog = clock.FromSeconds(math.Min(work*waiting/total/capacity, 1e9))
 	}
-	begins := s.begins(demands)
-	over := backlog > begins && !room
+	threshold := s.overloadThreshold(demands)
+	overloaded := backlog > threshold && !canRent
 	if s.Overloaded {
-		over = backlog > begins/3
+		overloaded = backlog > threshold/3
 	}
-	if over == s.Overloaded {
-		s.since = clock.Forever
-	} else if s.since = min(s.since, now); now-s.since >= settles {
-		s.Overloaded, s.since = over, clock.Forever
+	if overloaded == s.Overloaded {
+		s.modeChangeSince = clock.Forever
+	} else if s.modeChangeSince = min(s.modeChangeSince, now); now-s.modeChangeSince >= modeChangeDelay {
+		s.Overloaded, s.modeChangeSince = overloaded, clock.Forever
 	}
 	if !s.Overloaded {
 		return nil
@@ -125,26 +125,26 @@
 
 // divide shares out among the teams, by guarantee and up to their limits.
 func (s *TeamShares) divide(capacity float64, demands []Demand) []float64 {
-	asks := make([]quota.Request, len(s.teams))
+	requests := make([]quota.Request, len(s.teams))
 	for t, team := range s.teams {
 		for a, account := range s.accounts.Accounts {
 			if account.Team == team.Name {
-				asks[t].Demand += units(demands[a].Held + demands[a].Waiting)
+				requests[t].Demand += milliCPUs(demands[a].Held + demands[a].Waiting)
 			}
 		}
 		if team.Limit > 0 {
-			asks[t].Demand = min(asks[t].Demand, units(team.Limit))
+			requests[t].Demand = min(requests[t].Demand, milliCPUs(team.Limit))
 		}
-		asks[t].Weight = max(units(team.Guarantee), 1)
+		requests[t].Weight = max(milliCPUs(team.Guarantee), 1)
 	}
 	shares := make([]float64, len(s.teams))
-	for t, part := range quota.Divide(units(capacity), asks) {
-		shares[t] = float64(part) / milli
+	for t, share := range quota.Divide(milliCPUs(capacity), requests) {
+		shares[t] = float64(share) / milli
 	}
 	return shares
 }
 
 // units is thousandths of a CPU.
-func units(cpus float64) int64 {
+func milliCPUs(cpus float64) int64 {
 	return int64(math.Min(math.Max(cpus, 0)*milli, float64(quota.MaxAmount)))
 }
--- a/internal/admit/table.go
+++ b/internal/admit/table.go
@@ -33,8 +33,8 @@
 }
 
 // Newer reports whether the table replaces an older one.
-func (t *Table) Newer(than *Table) bool {
-	return than == nil || cmp.Or(cmp.Compare(t.Term, than.Term), cmp.Compare(t.Number, than.Number)) > 0
+func (t *Table) Newer(other *Table) bool {
+	return other == nil || cmp.Or(cmp.Compare(t.Term, other.Term), cmp.Compare(t.Number, other.Number)) > 0
 }
 
 // Turn says how many tables on a job's submission is taken: 0 means now. The answer
@@ -89,23 +89,23 @@
 // Shares of the state service's changes a second. What the leader does not hand out,
 // and what the bases of the others leave, is its own: at least half.
 const (
-	baseMost  = 0.12 // of one node
-	basesMost = 0.45 // of all
-	poolShare = 0.15
+	maxNodeBaseShare  = 0.12 // of one node
+	maxTotalBaseShare = 0.45 // of all
+	poolShare         = 0.15
 )
 
 // LimitsOf divides the changes a second that the state service takes among nodes.
-func LimitsOf(changes float64, nodes int) Limits {
-	base := min(baseMost, basesMost/float64(max(nodes, 1)))
-	return Limits{Base: int64(changes * base * milli), Pool: int64(changes * poolShare * milli)}
+func LimitsOf(writesPerSecond float64, controllers int) Limits {
+	base := min(maxNodeBaseShare, maxTotalBaseShare/float64(max(controllers, 1)))
+	return Limits{Base: int64(writesPerSecond * base * milli), Pool: int64(writesPerSecond * poolShare * milli)}
 }
 
 // valid is the life of a table, counted by its holder from when he asked and by the
 // leader from when it answered, with drift between the clocks.
 const (
-	tableLifetime = 3 * clock.Second
-	validMost     = tableLifetime + tableLifetime/500
-	noticeLife    = 5 * clock.Second
+	tableLifetime    = 3 * clock.Second
+	maxGrantLifetime = tableLifetime + tableLifetime/500
+	noticeLifetime   = 5 * clock.Second
 )
 
 // Allocator makes a leader's tables and keeps account of the parts that are out.
@@ -116,29 +116,29 @@
 	limits     Limits
 	grantsFrom Micros // before, parts of an earlier leader may be in use
 	number     uint64
-	shared     []Entry // of the current number, without parts
-	nodes      map[string]*holder
-	over       bool
+	entries    []Entry // of the current number, without parts
+	nodes      map[string]*nodeState
+	overloaded bool
 }
 
 // holder is a node that parts are given to.
-type holder struct {
-	notice *Notice
-	heard  Micros
-	part   []uint32 // under the current number
-	given  uint64   // the number under which it was worked out
-	out    []grant  // that may be in use
+type nodeState struct {
+	notice      *Notice
+	noticeAt    Micros
+	rates       []uint32 // under the current number
+	ratesNumber uint64   // the number under which it was worked out
+	grants      []grant  // that may be in use
 }
 
 type grant struct {
-	part []uint32
-	end  Micros
+	rates     []uint32
+	expiresAt Micros
 }
 
 // NewAllocator begins a term: parts of earlier terms are waited for. Before the first there
 // were none, as terms begin with 1 and are never forgotten.
 func NewAllocator(accounts *AccountIndex, self string, term uint64, now Micros, limits Limits) *Allocator {
-	g := &Allocator{accounts: accounts, self: self, term: term, limits: limits, grantsFrom: now + validMost, nodes: map[string]*holder{}}
+	g := &Allocator{accounts: accounts, self: self, term: term, limits: limits, grantsFrom: now + maxGrantLifetime, nodes: map[string]*nodeState{}}
 	if term <= 1 {
 		g.grantsFrom = now
 	}
@@ -155,60 +155,60 @@
 	}
 	h := g.nodes[node]
 	if h == nil {
-		h = &holder{}
+		h = &nodeState{}
 		g.nodes[node] = h
 	}
-	h.notice, h.heard = n, now
+	h.notice, h.noticeAt = n, now
 }
 
 // Next makes the table of the next second. demands and dues, of the machines, are
 // for those who look at it; dues may be nil.
-func (g *Allocator) BuildTable(now Micros, over bool, demands []Demand, dues []Entitlement) {
+func (g *Allocator) BuildTable(now Micros, overloaded bool, demands []Demand, entitlements []Entitlement) {
 	g.number++
-	g.over = over
+	g.overloaded = overloaded
 	n := g.accounts.Len()
-	g.shared = make([]Entry, n)
-	asks := make([]quota.Request, n)
+	g.entries = make([]Entry, n)
+	requests := make([]quota.Request, n)
 	backlog := make([]int64, n)
 	active := int64(0)
 	for _, h := range g.nodes {
-		if now-h.heard > noticeLife {
+		if now-h.noticeAt > noticeLifetime {
 			continue
 		}
-		for a, x := range h.notice.Accounts {
-			asks[a].Demand += want(x)
-			backlog[a] += int64(x.Queued) + int64(x.Refused)
+		for a, arrivals := range h.notice.Accounts {
+			requests[a].Demand += demandOf(arrivals)
+			backlog[a] += int64(arrivals.Queued) + int64(arrivals.Refused)
 		}
 	}
-	for a := range asks {
-		if asks[a].Demand > 0 {
+	for a := range requests {
+		if requests[a].Demand > 0 {
 			active++
 		}
 	}
 	// Together the nodes take their bases too; the leader's own rate is for it to see.
 	total := g.limits.Pool + g.limits.Base*int64(max(len(g.nodes), 1))
-	for a := range asks {
-		asks[a].Minimum, asks[a].Weight = total/(2*max(active, 1)), 1
+	for a := range requests {
+		requests[a].Minimum, requests[a].Weight = total/(2*max(active, 1)), 1
 	}
-	for a, rate := range quota.Divide(total, asks) {
-		e := &g.shared[a]
-		e.Rate, e.Slots = clampUint32(rate), slots(backlog[a], max(rate, total/max(active, 1)))
+	for a, rate := range quota.Divide(total, requests) {
+		e := &g.entries[a]
+		e.Rate, e.Slots = clampUint32(rate), slotsFor(backlog[a], max(rate, total/max(active, 1)))
 		if a < len(demands) {
 			e.Held, e.Waiting = clampUint32(int64(demands[a].Held)), clampUint32(int64(demands[a].Waiting))
 		}
-		if a < len(dues) {
-			e.MinShare, e.Share = clampUint32(int64(dues[a].MinShare)), clampUint32(int64(dues[a].Share))
+		if a < len(entitlements) {
+			e.MinShare, e.Share = clampUint32(int64(entitlements[a].MinShare)), clampUint32(int64(entitlements[a].Share))
 		}
 	}
 }
 
 // want is what a node could use for an account: what arrives and, within a second,
 // what waits.
-func want(x Arrivals) int64 { return int64(x.Rate) + int64(x.Queued)*milli }
+func demandOf(arrivals Arrivals) int64 { return int64(arrivals.Rate) + int64(arrivals.Queued)*milli }
 
 // slots is over how many seconds submissions are to be spread: those that a backlog
 // takes, as a power of two.
-func slots(backlog, rate int64) uint32 {
+func slotsFor(backlog, rate int64) uint32 {
 	seconds := uint64(backlog * milli / max(rate, 1))
 	if seconds <= 1 {
 		return 1
@@ -226,80 +226,80 @@
 	if g.number == 0 {
 		return nil
 	}
-	t := &Table{Term: g.term, Number: g.number, Digest: g.accounts.Digest, ValidFor: tableLifetime, Overloaded: g.over,
-		Accounts: slices.Clone(g.shared)}
+	t := &Table{Term: g.term, Number: g.number, Digest: g.accounts.Digest, ValidFor: tableLifetime, Overloaded: g.overloaded,
+		Accounts: slices.Clone(g.entries)}
 	h := g.nodes[node]
 	if h == nil || node == g.self || now < g.grantsFrom {
 		return t
 	}
-	if h.given != g.number {
-		h.part, h.given = g.part(node, now), g.number
+	if h.ratesNumber != g.number {
+		h.rates, h.ratesNumber = g.nodeRates(node, now), g.number
 	}
-	h.out = append(h.out, grant{h.part, now + validMost})
+	h.grants = append(h.grants, grant{h.rates, now + maxGrantLifetime})
 	for a := range t.Accounts {
-		t.Accounts[a].NodeRate = h.part[a]
+		t.Accounts[a].NodeRate = h.rates[a]
 	}
 	return t
 }
 
 // part works out a node's part of each account: what it could use of the rate, as far
 // as others' parts leave it.
-func (g *Allocator) part(node string, now Micros) []uint32 {
-	out := make([]uint32, g.accounts.Len())
+func (g *Allocator) nodeRates(node string, now Micros) []uint32 {
+	rates := make([]uint32, g.accounts.Len())
 	inUse := int64(0) // of the pool, by others
 	for name, h := range g.nodes {
 		if name != node {
-			inUse += h.most(now)
+			inUse += h.maxInUse(now)
 		}
 	}
 	free := g.limits.Pool - inUse
-	for a := range out {
-		wants := make([]quota.Request, 0, len(g.nodes))
-		at, others := -1, int64(0)
+	for a := range rates {
+		requests := make([]quota.Request, 0, len(g.nodes))
+		index, others := -1, int64(0)
 		for name, h := range g.nodes {
-			if now-h.heard <= noticeLife && name != g.self {
+			if now-h.noticeAt <= noticeLifetime && name != g.self {
 				if name == node {
-					at = len(wants)
+					index = len(requests)
 				}
-				wants = append(wants, quota.Request{Demand: want(h.notice.Accounts[a]), Weight: 1})
+				requests = append(requests, quota.Request{Demand: demandOf(h.notice.Accounts[a]), Weight: 1})
 			}
 			if name != node {
-				others += int64(h.inUse(a, now))
+				others += int64(h.maxAccountInUse(a, now))
 			}
 		}
-		if at < 0 {
+		if index < 0 {
 			continue
 		}
-		fair := quota.Divide(int64(g.shared[a].Rate), wants)[at]
-		out[a] = clampUint32(min(fair, int64(g.shared[a].Rate)-others, free))
-		free -= int64(out[a])
+		fairRate := quota.Divide(int64(g.entries[a].Rate), requests)[index]
+		rates[a] = clampUint32(min(fairRate, int64(g.entries[a].Rate)-others, free))
+		free -= int64(rates[a])
 	}
-	return out
+	return rates
 }
 
 // inUse is the most of an account that a node may be using.
-func (h *holder) inUse(account int, now Micros) uint32 {
-	most := uint32(0)
-	for _, x := range h.out {
-		if now < x.end {
-			most = max(most, x.part[account])
+func (h *nodeState) maxAccountInUse(account int, now Micros) uint32 {
+	highest := uint32(0)
+	for _, x := range h.grants {
+		if now < x.expiresAt {
+			highest = max(highest, x.rates[account])
 		}
 	}
-	return most
+	return highest
 }
 
 // most is the most of the pool that a node may be using.
-func (h *holder) most(now Micros) int64 {
-	h.out = slices.DeleteFunc(h.out, func(x grant) bool { return now >= x.end })
-	most := int64(0)
-	for _, x := range h.out {
+func (h *nodeState) maxInUse(now Micros) int64 {
+	h.grants = slices.DeleteFunc(h.grants, func(x grant) bool { return now >= x.expiresAt })
+	highest := int64(0)
+	for _, x := range h.grants {
 		sum := int64(0)
-		for _, p := range x.part {
+		for _, p := range x.rates {
 			sum += int64(p)
 		}
-		most = max(most, sum)
+		highest = max(highest, sum)
 	}
-	return most
+	return highest
 }
 
 // Out is what of the pool others may be using: the leader does without it.
@@ -307,9 +307,9 @@
 	if now < g.grantsFrom {
 		return g.limits.Pool
 	}
-	out := int64(0)
+	outstanding := int64(0)
 	for _, h := range g.nodes {
-		out += h.most(now)
+		outstanding += h.maxInUse(now)
 	}
-	return out
+	return outstanding
 }
--- a/internal/bound/bound.go
+++ b/internal/bound/bound.go
@@ -55,22 +55,22 @@
 
 // grid is a day in slots.
 type grid struct {
-	slotCapacity []float64 // CPU-seconds of each slot
-	from, to     []int     // of each job: its first slot and the one after its last
-	work         []float64
-	account      []int
-	hopeless     []bool    // more work than all room in its window: cannot be served
-	count        []float64 // jobs by account
-	names        []string
+	slotCapacity       []float64 // CPU-seconds of each slot
+	firstSlot, endSlot []int     // of each job: its first slot and the one after its last
+	work               []float64
+	accountIndex       []int
+	infeasible         []bool    // more work than all room in its window: cannot be served
+	jobCount           []float64 // jobs by account
+	accounts           []string
 }
 
 // cut puts a day into slots; nil if there is nothing in it.
-func newGrid(d *Recording) *grid {
-	if len(d.Jobs) == 0 || len(d.Capacity) == 0 {
+func newGrid(recording *Recording) *grid {
+	if len(recording.Jobs) == 0 || len(recording.Capacity) == 0 {
 		return nil
 	}
 	start, end := clock.Forever, -clock.Forever
-	for _, j := range d.Jobs {
+	for _, j := range recording.Jobs {
 		start, end = min(start, j.From), max(end, j.To)
 	}
 	if end <= start {
@@ -78,74 +78,74 @@
 	}
 	g := &grid{slotCapacity: make([]float64, int((end-start+slotLength-1)/slotLength))}
 	for i := range g.slotCapacity {
-		a := start + Micros(i)*slotLength
-		g.slotCapacity[i] = capacity(d.Capacity, a, a+slotLength)
+		slotStart := start + Micros(i)*slotLength
+		g.slotCapacity[i] = cpuSecondsBetween(recording.Capacity, slotStart, slotStart+slotLength)
 	}
 	index := map[string]int{}
-	for _, j := range d.Jobs {
-		a, known := index[j.Account]
+	for _, j := range recording.Jobs {
+		account, known := index[j.Account]
 		if !known {
-			a = len(g.names)
-			index[j.Account] = a
-			g.names, g.count = append(g.names, j.Account), append(g.count, 0)
+			account = len(g.accounts)
+			index[j.Account] = account
+			g.accounts, g.jobCount = append(g.accounts, j.Account), append(g.jobCount, 0)
 		}
-		g.count[a]++
-		first := int((j.From - start) / slotLength)
-		g.from, g.to = append(g.from, first), append(g.to, max(int((j.To-start+slotLength-1)/slotLength), first+1))
-		g.work, g.account = append(g.work, j.Work), append(g.account, a)
-		g.hopeless = append(g.hopeless, sum(g.slotCapacity[first:g.to[len(g.to)-1]]) < j.Work)
+		g.jobCount[account]++
+		firstSlot := int((j.From - start) / slotLength)
+		g.firstSlot, g.endSlot = append(g.firstSlot, firstSlot), append(g.endSlot, max(int((j.To-start+slotLength-1)/slotLength), firstSlot+1))
+		g.work, g.accountIndex = append(g.work, j.Work), append(g.accountIndex, account)
+		g.infeasible = append(g.infeasible, sum(g.slotCapacity[firstSlot:g.endSlot[len(g.endSlot)-1]]) < j.Work)
 	}
 	return g
 }
 
 // capacity is the CPU-seconds between two instants.
-func capacity(room []CapacityStep, from, to Micros) float64 {
-	all := 0.0
-	for i, s := range room {
-		a, b := s.At, to
+func cpuSecondsBetween(steps []CapacityStep, from, to Micros) float64 {
+	total := 0.0
+	for i, s := range steps {
+		stepStart, stepEnd := s.At, to
 		if i == 0 {
-			a = min(a, from) // before the record begins, what it begins with
+			stepStart = min(stepStart, from) // before the record begins, what it begins with
 		}
-		if i+1 < len(room) {
-			b = min(b, room[i+1].At)
+		if i+1 < len(steps) {
+			stepEnd = min(stepEnd, steps[i+1].At)
 		}
-		if a, b := max(a, from), b; b > a {
-			all += s.CPUs * (b - a).Seconds()
+		if a, b := max(stepStart, from), stepEnd; b > a {
+			total += s.CPUs * (b - a).Seconds()
 		}
 	}
-	return all
+	return total
 }
 
 // Best works a day out.
-func ComputeBounds(d *Recording) Result {
-	g := newGrid(d)
+func ComputeBounds(recording *Recording) Result {
+	g := newGrid(recording)
 	if g == nil {
 		return Result{GreedyShare: map[string]float64{}}
 	}
-	equal, reached := g.equal(), g.greedy()
-	r := Result{MinShareBound: min(g.least(equal, reached), 1), MeanShareBound: g.mean(equal, reached), GreedyShare: map[string]float64{}}
-	for a, name := range g.names {
-		r.GreedyShare[name] = reached[a]
+	weights, greedyShares := g.equalWeights(), g.greedyShares()
+	r := Result{MinShareBound: min(g.minShareBound(weights, greedyShares), 1), MeanShareBound: g.meanShareBound(weights, greedyShares), GreedyShare: map[string]float64{}}
+	for a, name := range g.accounts {
+		r.GreedyShare[name] = greedyShares[a]
 	}
 	return r
 }
 
 // Mean is the part of Best's result that costs little.
-func MeanBound(d *Recording) float64 {
-	if g := newGrid(d); g != nil {
-		return g.mean(g.equal(), g.greedy())
+func MeanBound(recording *Recording) float64 {
+	if g := newGrid(recording); g != nil {
+		return g.meanShareBound(g.equalWeights(), g.greedyShares())
 	}
 	return 0
 }
 
-func (g *grid) mean(equal, reached []float64) float64 {
-	mean, _ := g.bound(equal, dot(equal, reached))
-	return min(mean, 1)
+func (g *grid) meanShareBound(weights, greedyShares []float64) float64 {
+	upperBound, _ := g.weightedBound(weights, dot(weights, greedyShares))
+	return min(upperBound, 1)
 }
 
 // equal weighs all accounts alike.
-func (g *grid) equal() []float64 {
-	weights := make([]float64, len(g.names))
+func (g *grid) equalWeights() []float64 {
+	weights := make([]float64, len(g.accounts))
 	for a := range weights {
 		weights[a] = 1 / float64(len(weights))
 	}
@@ -161,84 +161,84 @@
 // bound is the least upper bound found on the sum over accounts of weight times the part
 // of its jobs that is served, and those parts in the optimum under its prices. reached is
 // what can be served for certain: the search steps towards that.
-func (g *grid) bound(weights []float64, reached float64) (float64, []float64) {
-	worth := make([]float64, len(g.work))
-	for i, a := range g.account {
-		if !g.hopeless[i] {
-			worth[i] = weights[a] / g.count[a]
+func (g *grid) weightedBound(weights []float64, lowerBound float64) (float64, []float64) {
+	values := make([]float64, len(g.work))
+	for i, a := range g.accountIndex {
+		if !g.infeasible[i] {
+			values[i] = weights[a] / g.jobCount[a]
 		}
 	}
 	prices := make([]float64, len(g.slotCapacity))
-	uniform := g.uniform(worth)
+	initialPrice := g.uniformPrice(values)
 	for t := range prices {
-		prices[t] = uniform
+		prices[t] = initialPrice
 	}
-	best, parts := math.Inf(1), make([]float64, len(weights))
-	used := make([]float64, len(g.slotCapacity))
+	leastBound, shares := math.Inf(1), make([]float64, len(weights))
+	assigned := make([]float64, len(g.slotCapacity))
 	for round := range priceRounds {
 		total := 0.0
-		clear(used)
-		served := make([]float64, len(weights))
+		clear(assigned)
+		roundShares := make([]float64, len(weights))
 		for t, p := range prices {
 			total += p * g.slotCapacity[t]
 		}
 		for i, work := range g.work {
-			least := slices.Min(prices[g.from[i]:g.to[i]])
-			gain := worth[i] - work*least
-			if worth[i] == 0 || gain < -0.02*worth[i] {
+			minPrice := slices.Min(prices[g.firstSlot[i]:g.endSlot[i]])
+			gain := values[i] - work*minPrice
+			if values[i] == 0 || gain < -0.02*values[i] {
 				continue
 			}
-			part := 1.0 // a job at the margin is served in part
-			if gain < 0.02*worth[i] {
-				part = 0.5 + 25*gain/worth[i]
+			servedFraction := 1.0 // a job at the margin is served in part
+			if gain < 0.02*values[i] {
+				servedFraction = 0.5 + 25*gain/values[i]
 			}
 			total += max(gain, 0)
-			served[g.account[i]] += part / g.count[g.account[i]]
+			roundShares[g.accountIndex[i]] += servedFraction / g.jobCount[g.accountIndex[i]]
 			// Among slots of about the least price the work is spread by their room.
-			room := 0.0
-			for t := g.from[i]; t < g.to[i]; t++ {
-				if prices[t] <= 1.02*least {
-					room += g.slotCapacity[t] + 1e-9
+			cheapCapacity := 0.0
+			for t := g.firstSlot[i]; t < g.endSlot[i]; t++ {
+				if prices[t] <= 1.02*minPrice {
+					cheapCapacity += g.slotCapacity[t] + 1e-9
 				}
 			}
-			for t := g.from[i]; t < g.to[i]; t++ {
-				if prices[t] <= 1.02*least {
-					used[t] += part * work * (g.slotCapacity[t] + 1e-9) / room
+			for t := g.firstSlot[i]; t < g.endSlot[i]; t++ {
+				if prices[t] <= 1.02*minPrice {
+					assigned[t] += servedFraction * work * (g.slotCapacity[t] + 1e-9) / cheapCapacity
 				}
 			}
 		}
-		if total < best {
-			best = total
-			copy(parts, served)
+		if total < leastBound {
+			leastBound = total
+			copy(shares, roundShares)
 		}
-		norm := 0.0
+		squaredExcess := 0.0
 		for t := range prices {
-			d := used[t] - g.slotCapacity[t]
-			norm += d * d
+			excess := assigned[t] - g.slotCapacity[t]
+			squaredExcess += excess * excess
 		}
-		if norm == 0 || total <= reached {
+		if squaredExcess == 0 || total <= lowerBound {
 			break
 		}
-		step := (total - reached) / norm / math.Sqrt(1+float64(round)/20)
+		step := (total - lowerBound) / squaredExcess / math.Sqrt(1+float64(round)/20)
 		for t := range prices {
-			prices[t] = max(prices[t]+step*(used[t]-g.slotCapacity[t]), 0)
+			prices[t] = max(prices[t]+step*(assigned[t]-g.slotCapacity[t]), 0)
 		}
 	}
-	return best, parts
+	return leastBound, shares
 }
 
 // uniform is the best price if all time has the same: the cheapest jobs per work that all
 // room together can hold are worth more than it, the others less.
-func (g *grid) uniform(worth []float64) float64 {
-	order := make([]int, len(worth))
+func (g *grid) uniformPrice(values []float64) float64 {
+	order := make([]int, len(values))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(x, y int) int { return cmp.Compare(worth[y]*g.work[x], worth[x]*g.work[y]) })
-	left := sum(g.slotCapacity)
+	slices.SortFunc(order, func(x, y int) int { return cmp.Compare(values[y]*g.work[x], values[x]*g.work[y]) })
+	remaining := sum(g.slotCapacity)
 	for _, i := range order {
-		if left -= g.work[i]; left < 0 {
-			return worth[i] / g.work[i]
+		if remaining -= g.work[i]; remaining < 0 {
+			return values[i] / g.work[i]
 		}
 	}
 	return 0
@@ -246,86 +246,86 @@
 
 // least bounds the part that every account can be served to: for any weights that sum to
 // one it is at most their bound. Weights move to the accounts that are served least.
-func (g *grid) least(weights, reached []float64) float64 {
-	w := slices.Clone(weights)
-	best := math.Inf(1)
+func (g *grid) minShareBound(initialWeights, greedyShares []float64) float64 {
+	weights := slices.Clone(initialWeights)
+	leastBound := math.Inf(1)
 	for round := range shareRounds {
-		total, parts := g.bound(w, dot(w, reached))
-		best = min(best, total)
-		mean := dot(w, parts)
-		for a := range w {
-			w[a] *= math.Exp((mean - parts[a]) * 4 / math.Sqrt(1+float64(round)))
+		upperBound, shares := g.weightedBound(weights, dot(weights, greedyShares))
+		leastBound = min(leastBound, upperBound)
+		mean := dot(weights, shares)
+		for a := range weights {
+			weights[a] *= math.Exp((mean - shares[a]) * 4 / math.Sqrt(1+float64(round)))
 		}
-		all := sum(w)
-		for a := range w {
-			w[a] /= all
+		totalWeight := sum(weights)
+		for a := range weights {
+			weights[a] /= totalWeight
 		}
 	}
-	return best
+	return leastBound
 }
 
 func sum(list []float64) float64 {
-	all := 0.0
+	total := 0.0
 	for _, x := range list {
-		all += x
+		total += x
 	}
-	return all
+	return total
 }
 
 func dot(a, b []float64) float64 {
-	all := 0.0
+	total := 0.0
 	for i := range a {
-		all += a[i] * b[i]
+		total += a[i] * b[i]
 	}
-	return all
+	return total
 }
 
 // greedy serves the account that is served least, and of it the job that takes least, as
 // long as it fits into what is left of its window: a plan that could be kept if work could
 // be split at will.
-func (g *grid) greedy() []float64 {
-	left := slices.Clone(g.slotCapacity)
-	open := make([][]int, len(g.names))
-	for i, a := range g.account {
-		open[a] = append(open[a], i)
+func (g *grid) greedyShares() []float64 {
+	remaining := slices.Clone(g.slotCapacity)
+	pending := make([][]int, len(g.accounts))
+	for i, a := range g.accountIndex {
+		pending[a] = append(pending[a], i)
 	}
-	for a := range open {
-		slices.SortStableFunc(open[a], func(x, y int) int { return cmp.Compare(g.work[x], g.work[y]) })
+	for a := range pending {
+		slices.SortStableFunc(pending[a], func(x, y int) int { return cmp.Compare(g.work[x], g.work[y]) })
 	}
-	served := make([]float64, len(g.names))
+	servedJobs := make([]float64, len(g.accounts))
 	for {
 		a := -1
-		for b := range open {
-			if len(open[b]) > 0 && (a < 0 || served[b]/g.count[b] < served[a]/g.count[a]) {
+		for b := range pending {
+			if len(pending[b]) > 0 && (a < 0 || servedJobs[b]/g.jobCount[b] < servedJobs[a]/g.jobCount[a]) {
 				a = b
 			}
 		}
 		if a < 0 {
 			break
 		}
-		i := open[a][0]
-		open[a] = open[a][1:]
-		if g.fits(left, i) {
-			served[a]++
+		i := pending[a][0]
+		pending[a] = pending[a][1:]
+		if g.reserveLatest(remaining, i) {
+			servedJobs[a]++
 		}
 	}
-	for a := range served {
-		served[a] /= g.count[a]
+	for a := range servedJobs {
+		servedJobs[a] /= g.jobCount[a]
 	}
-	return served
+	return servedJobs
 }
 
 // fits takes a job's work from the end of its window, where it stands in nobody's way who
 // comes before, and reports whether there was room; if not, it takes nothing.
-func (g *grid) fits(left []float64, i int) bool {
+func (g *grid) reserveLatest(remaining []float64, i int) bool {
 	need := g.work[i]
-	if sum(left[g.from[i]:g.to[i]]) < need {
+	if sum(remaining[g.firstSlot[i]:g.endSlot[i]]) < need {
 		return false
 	}
-	for t := g.to[i] - 1; t >= g.from[i] && need > 0; t-- {
-		take := min(need, left[t])
-		left[t] -= take
-		need -= take
+	for t := g.endSlot[i] - 1; t >= g.firstSlot[i] && need > 0; t-- {
+		taken := min(need, remaining[t])
+		remaining[t] -= taken
+		need -= taken
 	}
 	return true
 }
--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -14,27 +14,27 @@
 const sec = clock.Second
 
 // TestKnown: days of which the best is plain.
-func TestKnown(t *testing.T) {
-	day := func(rooms float64, works ...float64) *Recording {
-		d := &Recording{Capacity: []CapacityStep{{0, rooms}}}
-		for i, w := range works {
+func TestComputeBoundsKnownCases(t *testing.T) {
+	newRecording := func(cpus float64, work ...float64) *Recording {
+		d := &Recording{Capacity: []CapacityStep{{0, cpus}}}
+		for i, w := range work {
 			d.Jobs = append(d.Jobs, Job{Account: fmt.Sprint("a", i%2), From: 0, To: 100 * sec, Work: w})
 		}
 		return d
 	}
 	for name, c := range map[string]struct {
-		d           *Recording
-		least, mean float64
+		recording           *Recording
+		minShare, meanShare float64
 	}{
-		"all":      {day(10, 100, 100, 100, 100), 1, 1},
-		"half":     {day(10, 500, 500, 500, 500), 0.5, 0.5},
-		"the rest": {day(10, 1000, 1, 1000, 1), 0.5, 0.75},
-		"none":     {day(10, 5000, 5000), 0, 0},
-		"one":      {day(10, 5000, 500), 0, 0.5},
+		"all":      {newRecording(10, 100, 100, 100, 100), 1, 1},
+		"half":     {newRecording(10, 500, 500, 500, 500), 0.5, 0.5},
+		"the rest": {newRecording(10, 1000, 1, 1000, 1), 0.5, 0.75},
+		"none":     {newRecording(10, 5000, 5000), 0, 0},
+		"one":      {newRecording(10, 5000, 500), 0, 0.5},
 	} {
-		r := ComputeBounds(c.d)
-		if math.Abs(r.MinShareBound-c.least) > 0.03 || math.Abs(r.MeanShareBound-c.mean) > 0.03 {
-			t.Errorf("%s: %+v, want %v and %v", name, r, c.least, c.mean)
+		r := ComputeBounds(c.recording)
+		if math.Abs(r.MinShareBound-c.minShare) > 0.03 || math.Abs(r.MeanShareBound-c.meanShare) > 0.03 {
+			t.Errorf("%s: %+v, want %v and %v", name, r, c.minShare, c.meanShare)
 		}
 	}
 	// What the machines have changes, and a window lies where there is nothing.
@@ -50,7 +50,7 @@
 
 // TestBoundHolds: no choice of jobs that fits their windows serves more than the bound,
 // tried over all choices of small days; nor does what the greedy plan reaches.
-func TestBoundHolds(t *testing.T) {
+func TestBoundsHoldForAllSubsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &Recording{Capacity: []CapacityStep{{0, float64(rapid.IntRange(1, 20).Draw(t, "room"))}, {60 * sec, float64(rapid.IntRange(0, 20).Draw(t, "later"))}}}
 		n := rapid.IntRange(1, 9).Draw(t, "jobs")
@@ -60,59 +60,59 @@
 				To: from + Micros(rapid.IntRange(1, 20).Draw(t, "long"))*slotLength, Work: float64(rapid.IntRange(1, 900).Draw(t, "work"))})
 		}
 		r, g := ComputeBounds(d), newGrid(d)
-		least, mean := 0.0, 0.0
-		for set := range 1 << n {
-			if !g.feasible(set) {
+		bestMinShare, bestMeanShare := 0.0, 0.0
+		for subset := range 1 << n {
+			if !g.feasible(subset) {
 				continue
 			}
-			parts := make([]float64, len(g.names))
+			shares := make([]float64, len(g.accounts))
 			for i := range n {
-				if set>>i&1 == 1 {
-					parts[g.account[i]] += 1 / g.count[g.account[i]]
+				if subset>>i&1 == 1 {
+					shares[g.accountIndex[i]] += 1 / g.jobCount[g.accountIndex[i]]
 				}
 			}
-			l, m := 1.0, 0.0
-			for _, p := range parts {
-				l, m = min(l, p), m+p/float64(len(parts))
+			minShare, meanShare := 1.0, 0.0
+			for _, p := range shares {
+				minShare, meanShare = min(minShare, p), meanShare+p/float64(len(shares))
 			}
-			least, mean = max(least, l), max(mean, m)
+			bestMinShare, bestMeanShare = max(bestMinShare, minShare), max(bestMeanShare, meanShare)
 		}
-		if least > r.MinShareBound+1e-9 || mean > r.MeanShareBound+1e-9 {
-			t.Fatalf("%v and %v can be served, the bounds are %v and %v", least, mean, r.MinShareBound, r.MeanShareBound)
+		if bestMinShare > r.MinShareBound+1e-9 || bestMeanShare > r.MeanShareBound+1e-9 {
+			t.Fatalf("%v and %v can be served, the bounds are %v and %v", bestMinShare, bestMeanShare, r.MinShareBound, r.MeanShareBound)
 		}
-		l := 1.0
+		greedyMinShare := 1.0
 		for _, part := range r.GreedyShare {
-			l = min(l, part)
+			greedyMinShare = min(greedyMinShare, part)
 		}
-		if l > least+1e-9 {
-			t.Fatalf("the plan reaches %v, the best is %v", l, least)
+		if greedyMinShare > bestMinShare+1e-9 {
+			t.Fatalf("the plan reaches %v, the best is %v", greedyMinShare, bestMinShare)
 		}
 	})
 }
 
 // feasible reports whether a set of jobs fits into its windows, by earliest end first,
 // which is optimal for work that can be split.
-func (g *grid) feasible(set int) bool {
+func (g *grid) feasible(subset int) bool {
 	need := make([]float64, len(g.work))
 	for i := range need {
-		if set>>i&1 == 1 {
+		if subset>>i&1 == 1 {
 			need[i] = g.work[i]
 		}
 	}
-	for t, room := range g.slotCapacity {
-		for room > 1e-9 {
+	for t, remaining := range g.slotCapacity {
+		for remaining > 1e-9 {
 			next := -1
 			for i := range need {
-				if need[i] > 1e-9 && g.from[i] <= t && t < g.to[i] && (next < 0 || g.to[i] < g.to[next]) {
+				if need[i] > 1e-9 && g.firstSlot[i] <= t && t < g.endSlot[i] && (next < 0 || g.endSlot[i] < g.endSlot[next]) {
 					next = i
 				}
 			}
 			if next < 0 {
 				break
 			}
-			take := min(room, need[next])
-			need[next] -= take
-			room -= take
+			taken := min(remaining, need[next])
+			need[next] -= taken
+			remaining -= taken
 		}
 	}
 	for _, n := range need {
@@ -124,41 +124,41 @@
 }
 
 // TestRead: a log with lines of others between gives the day, and bad ones are named.
-func TestRead(t *testing.T) {
+func TestReadLog(t *testing.T) {
 	const log = `    1.5000 node-1 time=2026-01-01T00:01:00.000Z level=DEBUG msg=fleet waiting=3 room=40
 hello
 time=2026-01-01T00:02:00.000Z level=DEBUG msg="job over" job=req-000001 team=core class=bulk kind=array phase=done tasks=4 cpus=2 ready=10 began=30 over=50 estimate=15
 time=2026-01-01T00:02:00.000Z level=DEBUG msg="job over" job=req-000002 team=core class=bulk kind=array phase=aborted tasks=4 cpus=2 ready=10 began=30 over=50 estimate=15
 time=2026-01-01T00:02:00.000Z level=DEBUG msg="job over" job=req-000003 team=core class=other kind=array phase=done tasks=4 cpus=2 ready=10 began=30 over=50 estimate=15 deadline=39
 `
-	aims := ObjectiveWindows{StartWithin: map[string]Micros{"bulk": 15 * sec}, FinishWithin: map[string]Micros{"bulk": 60 * sec}}
-	d, served, err := ReadLog(strings.NewReader(log), aims)
-	if err != nil || len(d.Jobs) != 1 || len(d.Capacity) != 1 || d.Capacity[0].CPUs != 40 {
-		t.Fatalf("%+v, %v", d, err)
+	windows := ObjectiveWindows{StartWithin: map[string]Micros{"bulk": 15 * sec}, FinishWithin: map[string]Micros{"bulk": 60 * sec}}
+	recording, observed, err := ReadLog(strings.NewReader(log), windows)
+	if err != nil || len(recording.Jobs) != 1 || len(recording.Capacity) != 1 || recording.Capacity[0].CPUs != 40 {
+		t.Fatalf("%+v, %v", recording, err)
 	}
-	j := d.Jobs[0]
-	if j.Work != 120 || j.To-j.From != 30*sec || d.Capacity[0].At != j.From-20*sec || *served["core/bulk"] != (Observed{1, 0, 1}) {
-		t.Errorf("%+v, %+v", j, served["core/bulk"])
+	j := recording.Jobs[0]
+	if j.Work != 120 || j.To-j.From != 30*sec || recording.Capacity[0].At != j.From-20*sec || *observed["core/bulk"] != (Observed{1, 0, 1}) {
+		t.Errorf("%+v, %+v", j, observed["core/bulk"])
 	}
-	d, served, err = ReadLog(strings.NewReader(log), ObjectiveWindows{DeadlineClasses: []string{"other"}})
-	if err != nil || len(d.Jobs) != 1 || d.Jobs[0].To-d.Jobs[0].From != 39*sec || *served["core/other"] != (Observed{1, 0, 0}) {
-		t.Errorf("by deadline: %+v, %v", d, err)
+	recording, observed, err = ReadLog(strings.NewReader(log), ObjectiveWindows{DeadlineClasses: []string{"other"}})
+	if err != nil || len(recording.Jobs) != 1 || recording.Jobs[0].To-recording.Jobs[0].From != 39*sec || *observed["core/other"] != (Observed{1, 0, 0}) {
+		t.Errorf("by deadline: %+v, %v", recording, err)
 	}
-	if _, _, err := ReadLog(strings.NewReader(strings.Replace(log, "tasks=4", "tasks=x", 1)), aims); err == nil || !strings.Contains(err.Error(), "line 3: tasks") {
+	if _, _, err := ReadLog(strings.NewReader(strings.Replace(log, "tasks=4", "tasks=x", 1)), windows); err == nil || !strings.Contains(err.Error(), "line 3: tasks") {
 		t.Error(err)
 	}
 }
 
 // TestFigure: worth is by the logarithm of what is missed, within its bounds; malformed
 // aims are named.
-func TestFigure(t *testing.T) {
+func TestObjectiveScores(t *testing.T) {
 	a, err := ParseObjective("done:bulk:300:1:0.01:2")
 	if err != nil || a.Windows.FinishWithin["bulk"] != 300*sec {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	for part, want := range map[float64]float64{0: 0, 0.9: 0.5, 0.99: 1, 1: 1} {
-		if got := a.Score(part); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v in time is worth %v, not %v", part, got, want)
+	for share, want := range map[float64]float64{0: 0, 0.9: 0.5, 0.99: 1, 1: 1} {
+		if got := a.Score(share); math.Abs(got-want) > 1e-9 {
+			t.Errorf("%v in time is worth %v, not %v", share, got, want)
 		}
 	}
 	b, err := ParseObjective("deadline:check::0.5:0.005:1")
--- a/internal/bound/record.go
+++ b/internal/bound/record.go
@@ -29,8 +29,8 @@
 // and of what the machines had for them. Lines of all controllers may stand together, and
 // each may have something before its time. A job's work is its tasks' expected time at
 // the end, which is what they took, smoothed.
-func ReadLog(r io.Reader, aims ObjectiveWindows) (*Recording, map[string]*Observed, error) {
-	d, served := &Recording{}, map[string]*Observed{}
+func ReadLog(r io.Reader, windows ObjectiveWindows) (*Recording, map[string]*Observed, error) {
+	recording, observed := &Recording{}, map[string]*Observed{}
 	raw, err := io.ReadAll(r)
 	if err != nil {
 		return nil, nil, err
@@ -40,74 +40,74 @@
 		if i < 0 || !strings.Contains(line, "job over") && !strings.Contains(line, "msg=fleet ") {
 			continue
 		}
-		f := map[string]string{}
-		dec := logfmt.NewDecoder(strings.NewReader(line[i:]))
-		for dec.ScanRecord() {
-			for dec.ScanKeyval() {
-				f[string(dec.Key())] = string(dec.Value())
+		fields := map[string]string{}
+		decoder := logfmt.NewDecoder(strings.NewReader(line[i:]))
+		for decoder.ScanRecord() {
+			for decoder.ScanKeyval() {
+				fields[string(decoder.Key())] = string(decoder.Value())
 			}
 		}
-		if err := dec.Err(); err != nil {
+		if err := decoder.Err(); err != nil {
 			return nil, nil, fmt.Errorf("line %d: %w", n+1, err)
 		}
-		at, err := time.Parse(time.RFC3339Nano, f["time"])
+		at, err := time.Parse(time.RFC3339Nano, fields["time"])
 		if err != nil {
 			return nil, nil, fmt.Errorf("line %d: %w", n+1, err)
 		}
 		now := Micros(at.UnixMicro())
-		var bad error
-		num := func(key string) float64 {
-			x, err := strconv.ParseFloat(f[key], 64)
-			if err != nil && bad == nil {
-				bad = fmt.Errorf("line %d: %s: %w", n+1, key, err)
+		var numberErr error
+		number := func(key string) float64 {
+			value, err := strconv.ParseFloat(fields[key], 64)
+			if err != nil && numberErr == nil {
+				numberErr = fmt.Errorf("line %d: %s: %w", n+1, key, err)
 			}
-			return x
+			return value
 		}
-		if f["msg"] == "fleet" {
-			d.Capacity = append(d.Capacity, CapacityStep{now, num("room")})
+		if fields["msg"] == "fleet" {
+			recording.Capacity = append(recording.Capacity, CapacityStep{now, number("room")})
 		} else {
-			d.add(f, now, num, aims, served)
+			recording.addJob(fields, now, number, windows, observed)
 		}
-		if bad != nil {
-			return nil, nil, bad
+		if numberErr != nil {
+			return nil, nil, numberErr
 		}
 	}
 	// Of controllers whose clocks differ; a leader's own lines are in order.
-	slices.SortStableFunc(d.Capacity, func(a, b CapacityStep) int { return cmp.Compare(a.At, b.At) })
-	return d, served, nil
+	slices.SortStableFunc(recording.Capacity, func(a, b CapacityStep) int { return cmp.Compare(a.At, b.At) })
+	return recording, observed, nil
 }
 
 // add enters a job that was over just now.
-func (d *Recording) add(f map[string]string, now Micros, num func(string) float64, aims ObjectiveWindows, served map[string]*Observed) {
-	class := f["class"]
-	begun, isBegun := aims.StartWithin[class]
-	done, isDone := aims.FinishWithin[class]
-	if slices.Contains(aims.DeadlineClasses, class) {
-		done, isDone = clock.FromSeconds(num("deadline")), true
+func (r *Recording) addJob(fields map[string]string, now Micros, number func(string) float64, windows ObjectiveWindows, observed map[string]*Observed) {
+	class := fields["class"]
+	startWithin, hasStartWindow := windows.StartWithin[class]
+	finishWithin, hasFinishWindow := windows.FinishWithin[class]
+	if slices.Contains(windows.DeadlineClasses, class) {
+		finishWithin, hasFinishWindow = clock.FromSeconds(number("deadline")), true
 	}
-	if f["phase"] != wire.PhaseDone || f["kind"] == wire.KindService || !isBegun && !isDone {
+	if fields["phase"] != wire.PhaseDone || fields["kind"] == wire.KindService || !hasStartWindow && !hasFinishWindow {
 		return
 	}
-	span := func(key string) Micros { return clock.FromSeconds(num(key)) }
-	ready := now - (span("over") - span("ready"))
-	j := Job{Account: f["team"] + "/" + class, From: ready, To: clock.Forever, Work: num("tasks") * num("cpus") * num("estimate")}
-	s := served[j.Account]
-	if s == nil {
-		s = &Observed{}
-		served[j.Account] = s
+	duration := func(key string) Micros { return clock.FromSeconds(number(key)) }
+	ready := now - (duration("over") - duration("ready"))
+	j := Job{Account: fields["team"] + "/" + class, From: ready, To: clock.Forever, Work: number("tasks") * number("cpus") * number("estimate")}
+	account := observed[j.Account]
+	if account == nil {
+		account = &Observed{}
+		observed[j.Account] = account
 	}
-	s.Jobs++
-	if isBegun {
-		j.To = ready + begun + span("estimate") // what is begun in time may run on
-		if b := span("began"); b > 0 && b-span("ready") <= begun {
-			s.StartedInTime++
+	account.Jobs++
+	if hasStartWindow {
+		j.To = ready + startWithin + duration("estimate") // what is begun in time may run on
+		if startedAt := duration("began"); startedAt > 0 && startedAt-duration("ready") <= startWithin {
+			account.StartedInTime++
 		}
 	}
-	if isDone {
-		j.To = min(j.To, ready+done)
-		if now-ready <= done {
-			s.FinishedInTime++
+	if hasFinishWindow {
+		j.To = min(j.To, ready+finishWithin)
+		if now-ready <= finishWithin {
+			account.FinishedInTime++
 		}
 	}
-	d.Jobs = append(d.Jobs, j)
+	r.Jobs = append(r.Jobs, j)
 }
--- a/internal/bound/score.go
+++ b/internal/bound/score.go
@@ -21,55 +21,55 @@
 // ParseAim reads KIND:CLASS:SECONDS:WORST:BEST:WEIGHT; the kind is begun, done, or, with
 // the seconds left empty, deadline.
 func ParseObjective(text string) (Objective, error) {
-	f := strings.Split(text, ":")
-	if len(f) != 6 {
+	fields := strings.Split(text, ":")
+	if len(fields) != 6 {
 		return Objective{}, fmt.Errorf("aim %q: not KIND:CLASS:SECONDS:WORST:BEST:WEIGHT", text)
 	}
 	numbers := [4]float64{}
-	for i, s := range f[2:] {
-		if i == 0 && s == "" && f[0] == "deadline" {
+	for i, field := range fields[2:] {
+		if i == 0 && field == "" && fields[0] == "deadline" {
 			continue
 		}
-		x, err := strconv.ParseFloat(s, 64)
-		if err != nil || !(x > 0 && x < 1e9) {
-			return Objective{}, fmt.Errorf("aim %q: %q is not a number above 0", text, s)
+		value, err := strconv.ParseFloat(field, 64)
+		if err != nil || !(value > 0 && value < 1e9) {
+			return Objective{}, fmt.Errorf("aim %q: %q is not a number above 0", text, field)
 		}
-		numbers[i] = x
+		numbers[i] = value
 	}
-	a := Objective{Class: f[1], Worst: numbers[1], Best: numbers[2], Weight: numbers[3]}
-	window := map[string]Micros{f[1]: clock.FromSeconds(numbers[0])}
-	switch f[0] {
+	objective := Objective{Class: fields[1], Worst: numbers[1], Best: numbers[2], Weight: numbers[3]}
+	window := map[string]Micros{fields[1]: clock.FromSeconds(numbers[0])}
+	switch fields[0] {
 	case "begun":
-		a.Windows.StartWithin = window
+		objective.Windows.StartWithin = window
 	case "done":
-		a.Windows.FinishWithin = window
+		objective.Windows.FinishWithin = window
 	case "deadline":
-		a.Windows.DeadlineClasses = []string{f[1]}
+		objective.Windows.DeadlineClasses = []string{fields[1]}
 	default:
 		return Objective{}, fmt.Errorf("aim %q: the kind is begun, done or deadline", text)
 	}
-	if a.Best >= a.Worst || a.Worst > 1 {
+	if objective.Best >= objective.Worst || objective.Worst > 1 {
 		return Objective{}, fmt.Errorf("aim %q: best must lie below worst, and worst at 1 at most", text)
 	}
-	return a, nil
+	return objective, nil
 }
 
 // Worth is what a day's part of jobs in time is worth: by the logarithm of what is missed,
 // so that half as many late is the same step anywhere.
-func (a Objective) Score(part float64) float64 {
-	missed := 1 - part
-	if missed <= a.Best {
+func (o Objective) Score(share float64) float64 {
+	missedShare := 1 - share
+	if missedShare <= o.Best {
 		return 1
 	}
-	return max(math.Log(a.Worst/missed)/math.Log(a.Worst/a.Best), 0)
+	return max(math.Log(o.Worst/missedShare)/math.Log(o.Worst/o.Best), 0)
 }
 
 // Figure is the weighted mean of the worth of aims, each served to the part given.
-func MeanScore(aims []Objective, parts []float64) float64 {
-	sum, weights := 0.0, 0.0
-	for i, a := range aims {
-		sum += a.Weight * a.Score(parts[i])
-		weights += a.Weight
+func MeanScore(objectives []Objective, shares []float64) float64 {
+	sum, totalWeight := 0.0, 0.0
+	for i, objective := range objectives {
+		sum += objective.Weight * objective.Score(shares[i])
+		totalWeight += objective.Weight
 	}
-	return sum / max(weights, 1e-300)
+	return sum / max(totalWeight, 1e-300)
 }
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -73,8 +73,8 @@
 )
 
 // batchBounds are those of batches to one controller; a frame holds 256 KB, a report 64 KB at most.
-func batchLimits(waiting int) BatchLimits {
-	return BatchLimits{MaxItems: 512, MaxBytes: 96 << 10, MaxInFlight: 4, MaxQueued: waiting}
+func batchLimits(maxQueued int) BatchLimits {
+	return BatchLimits{MaxItems: 512, MaxBytes: 96 << 10, MaxInFlight: 4, MaxQueued: maxQueued}
 }
 
 // Counts are a controller's counters since its start.
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -13,12 +13,12 @@
 
 // testHost is a controller whose peers and workers answer when the test says so.
 type testHost struct {
-	now    Micros
-	timers []timer
-	leader string
-	gone   map[string]bool
-	asked  []ask
-	orders []func(store.Outcome, *wire.Report)
+	now            Micros
+	timers         []timer
+	leader         string
+	unreachable    map[string]bool
+	calls          []call
+	orderCallbacks []func(store.Outcome, *wire.Report)
 }
 
 type timer struct {
@@ -26,17 +26,17 @@
 	f  func()
 }
 
-type ask struct {
-	to   string
-	m    *peer.Msg
-	done func(*peer.Msg)
+type call struct {
+	to      string
+	message *peer.Msg
+	done    func(*peer.Msg)
 }
 
 func (h *testHost) Now() Micros                       { return h.now }
 func (h *testHost) After(d Micros, f func())          { h.timers = append(h.timers, timer{h.now + d, f}) }
 func (h *testHost) NewMessage(kind fb.Kind) *peer.Msg { return &peer.Msg{Kind: kind} }
 func (h *testHost) Leader() string                    { return h.leader }
-func (h *testHost) Reachable(node string) bool        { return !h.gone[node] }
+func (h *testHost) Reachable(node string) bool        { return !h.unreachable[node] }
 
 func (h *testHost) Call(to string, m *peer.Msg, timeout Micros, done func(*peer.Msg)) {
 	answered := false
@@ -46,20 +46,20 @@
 			done(a)
 		}
 	}
-	h.asked = append(h.asked, ask{to, m, once})
+	h.calls = append(h.calls, call{to, m, once})
 	h.After(timeout, func() { once(nil) })
 }
 
 func (h *testHost) SendOrders(_ string, _ *wire.Orders, done func(store.Outcome, *wire.Report)) {
-	h.orders = append(h.orders, done)
+	h.orderCallbacks = append(h.orderCallbacks, done)
 }
 
 // run lets time pass, in small steps.
-func (h *testHost) run(d Micros) {
+func (h *testHost) advance(d Micros) {
 	for end := h.now + d; h.now < end; h.now += clock.Millisecond {
-		due := h.timers
+		timers := h.timers
 		h.timers = nil
-		for _, t := range due {
+		for _, t := range timers {
 			if t.at <= h.now {
 				t.f()
 			} else {
@@ -70,79 +70,79 @@
 }
 
 // next takes out the oldest message that was sent.
-func (h *testHost) next(t *testing.T) ask {
+func (h *testHost) nextCall(t *testing.T) call {
 	t.Helper()
-	h.run(2 * batchDelay)
-	if len(h.asked) == 0 {
+	h.advance(2 * batchDelay)
+	if len(h.calls) == 0 {
 		t.Fatal("nothing was sent")
 	}
-	a := h.asked[0]
-	h.asked = h.asked[1:]
-	return a
+	request := h.calls[0]
+	h.calls = h.calls[1:]
+	return request
 }
 
-const lease = 20 * clock.Second
+const workerLease = 20 * clock.Second
 
-func newHost() *testHost {
-	return &testHost{now: clock.Second, leader: "leader", gone: map[string]bool{}}
+func newTestHost() *testHost {
+	return &testHost{now: clock.Second, leader: "leader", unreachable: map[string]bool{}}
 }
 
-func testRelay(h *testHost, waiting int) *Relay {
-	r := NewRelay(h, "self", lease, waiting, 2)
+func newTestRelay(h *testHost, maxQueued int) *Relay {
+	r := NewRelay(h, "self", workerLease, maxQueued, 2)
 	r.ApplyTable(relay.Table{Term: 1, Number: 1, Members: []string{"self"}})
 	return r
 }
 
-func report(seq uint64, tasks ...wire.TaskReport) *wire.Report {
+func newReport(seq uint64, tasks ...wire.TaskReport) *wire.Report {
 	return &wire.Report{Machine: "m-1", Addr: "10.0.0.1:9", Type: "t", Zone: "a", Session: 1, Seq: seq, Token: 7, Tasks: tasks}
 }
 
 // codes collects the answers that a worker gets.
-func codes(got *[]int) func(ReportAnswer) {
+func recordCodes(got *[]int) func(ReportAnswer) {
 	return func(a ReportAnswer) { *got = append(*got, a.Code) }
 }
 
 // TestRepeatedReport follows a worker that has nothing new: the leader is sent its tasks
 // once, and again when it does not have them.
 func TestRepeatedReport(t *testing.T) {
-	h := newHost()
-	r, router, got := testRelay(h, 10), NewRouter(h, 7, 10), []int{}
-	r.RedirectTarget(report(1))
-	var seen []*wire.Report
-	decide := func(rep *wire.Report) ReportAnswer {
-		seen = append(seen, rep)
+	h := newTestHost()
+	r, router, got := newTestRelay(h, 10), NewRouter(h, 7, 10), []int{}
+	r.RedirectTarget(newReport(1))
+	var decided []*wire.Report
+	decide := func(report *wire.Report) ReportAnswer {
+		decided = append(decided, report)
 		return ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: 7}}
 	}
 	running := wire.TaskReport{Task: "req-000001/0", Attempt: 3, State: wire.TaskRunning}
-	step := func(rep *wire.Report, whole bool) {
+	step := func(report *wire.Report, full bool) {
 		t.Helper()
-		r.Forward(rep, codes(&got))
-		a := h.next(t)
-		if (a.m.RelayedReports[0].Body != nil) != whole {
-			t.Fatalf("report %d: whole is %v", rep.Seq, !whole)
+		r.Forward(report, recordCodes(&got))
+		request := h.nextCall(t)
+		if (request.message.RelayedReports[0].Body != nil) != full {
+			t.Fatalf("report %d: whole is %v", report.Seq, !full)
 		}
-		a.done(&peer.Msg{ReportAnswers: router.HandleReports("self", a.m.RelayedReports, decide)})
-		if last := seen[len(seen)-1]; whole && (last.Seq != rep.Seq || len(last.Tasks) != len(rep.Tasks)) {
-			t.Fatalf("report %d: the leader saw %+v", rep.Seq, last)
+		request.done(&peer.Msg{ReportAnswers: router.HandleReports("self", request.message.RelayedReports, decide)})
+		if last := decided[len(decided)-1]; full && (last.Seq != report.Seq || len(last.Tasks) != len(report.Tasks)) {
+			t.Fatalf("report %d: the leader saw %+v", report.Seq, last)
 		}
 	}
-	step(report(1, running), true)
-	step(report(2, running), false)
-	step(report(3, running), false)
-	step(report(4), true)     // the task is gone
+	step(newReport(1, running), true)
+	step(newReport(2, running), false)
+	step(newReport(3, running), false)
+	step(newReport(4), true)  // the task is gone
 	router.RemoveRoute("m-1") // it reported to the leader itself meanwhile
-	r.Forward(report(5), codes(&got))
-	a := h.next(t)
-	answers := router.HandleReports("self", a.m.RelayedReports, decide)
+	r.Forward(newReport(5), recordCodes(&got))
+	request := h.nextCall(t)
+	answers := router.HandleReports("self", request.message.RelayedReports, decide)
 	if answers[0].Code != codeNeedFullReport {
 		t.Fatalf("answered %d without the report that it repeats", answers[0].Code)
 	}
-	a.done(&peer.Msg{ReportAnswers: answers})
-	a = h.next(t)
-	if a.m.RelayedReports[0].Body == nil {
+	request.done(&peer.Msg{ReportAnswers: answers})
+	request = h.nextCall(t)
+	if request.message.RelayedReports[0].Body == nil {
 		t.Error("the report is not sent whole when it is asked for")
 	}
-	a.done(&peer.Msg{ReportAnswers: router.HandleReports("self", a.m.RelayedReports, decide)})
+	request.done(&peer.Msg{ReportAnswers: router.HandleReports("self", request.message.RelayedReports, decide)})
 	if len(got) != 5 || got[4] != 200 {
 		t.Errorf("answers %v", got)
 	}
@@ -155,27 +155,27 @@
 
 // TestUndecidedReports covers what becomes of reports that no leader decided.
 func TestUndecidedReports(t *testing.T) {
-	h := newHost()
-	r, got := testRelay(h, 10), []int{}
-	r.Forward(report(1), codes(&got))
-	a := h.next(t)
+	h := newTestHost()
+	r, got := newTestRelay(h, 10), []int{}
+	r.Forward(newReport(1), recordCodes(&got))
+	request := h.nextCall(t)
 	h.leader = "successor"
-	a.done(&peer.Msg{ReportAnswers: NotLeaderAnswers(1)})
-	h.run(maxRetryAge / 2)
-	if a = h.next(t); a.to != "successor" {
-		t.Fatalf("sent again to %s", a.to)
+	request.done(&peer.Msg{ReportAnswers: NotLeaderAnswers(1)})
+	h.advance(maxRetryAge / 2)
+	if request = h.nextCall(t); request.to != "successor" {
+		t.Fatalf("sent again to %s", request.to)
 	}
-	h.run(answerTimeout) // no answer, and nobody else leads: the worker looks elsewhere
+	h.advance(answerTimeout) // no answer, and nobody else leads: the worker looks elsewhere
 	if len(got) != 1 || got[0] != codeBusy {
 		t.Fatalf("answers %v", got)
 	}
 	h.leader = ""
-	r.Forward(report(2), codes(&got))
-	h.run(maxRetryAge / 2)
+	r.Forward(newReport(2), recordCodes(&got))
+	h.advance(maxRetryAge / 2)
 	if len(got) != 1 {
 		t.Error("sent away at once while a leader is being elected")
 	}
-	h.run(2 * maxRetryAge)
+	h.advance(2 * maxRetryAge)
 	if len(got) != 2 || got[1] != codeBusy {
 		t.Errorf("answers %v", got)
 	}
@@ -183,10 +183,10 @@
 
 // TestReportsShed bounds what waits while the leader does not answer.
 func TestReportsShed(t *testing.T) {
-	h := newHost()
-	r, got := testRelay(h, 3), []int{}
+	h := newTestHost()
+	r, got := newTestRelay(h, 3), []int{}
 	for seq := range uint64(40) {
-		r.Forward(report(seq+1), codes(&got))
+		r.Forward(newReport(seq+1), recordCodes(&got))
 	}
 	if len(got) != 37 || r.Shed != 37 {
 		t.Errorf("%d reports shed at once", len(got))
@@ -195,39 +195,39 @@
 
 // TestOrderOutcomes covers each way in which an order through another controller ends.
 func TestOrderOutcomes(t *testing.T) {
-	h := newHost()
+	h := newTestHost()
 	router := NewRouter(h, 7, 2)
 	var got []store.Outcome
-	send := func() ask {
+	send := func() call {
 		router.SendOrders("carrier", "10.0.0.1:9", &wire.Orders{Token: 7, Session: 1}, func(o store.Outcome, _ *wire.Report) { got = append(got, o) })
-		return h.next(t)
+		return h.nextCall(t)
 	}
-	expect := func(what string, want ...store.Outcome) {
+	expect := func(name string, want ...store.Outcome) {
 		t.Helper()
 		if len(got) != len(want) || len(want) > 0 && got[len(got)-1] != want[len(want)-1] {
-			t.Fatalf("%s: outcomes %v, want %v", what, got, want)
+			t.Fatalf("%s: outcomes %v, want %v", name, got, want)
 		}
 	}
-	a := send()
-	id := a.m.Orders[0].ID
+	request := send()
+	id := request.message.Orders[0].ID
 	router.HandleResults([]peer.OrderResult{{ID: id + 1}, {ID: id, Outcome: uint8(store.OK)}, {ID: id, Outcome: uint8(store.Failed)}})
 	expect("answered, once", store.OK)
-	a = send()
-	router.HandleResults([]peer.OrderResult{{ID: a.m.Orders[0].ID, Outcome: 250}})
+	request = send()
+	router.HandleResults([]peer.OrderResult{{ID: request.message.Orders[0].ID, Outcome: 250}})
 	expect("an outcome that makes no sense", store.OK, store.Unknown)
-	a = send()
-	a.done(nil) // the batch may have arrived all the same
-	h.run(OrderTimeout / 2)
+	request = send()
+	request.done(nil) // the batch may have arrived all the same
+	h.advance(OrderTimeout / 2)
 	expect("the batch unanswered", store.OK, store.Unknown)
-	h.run(OrderTimeout)
+	h.advance(OrderTimeout)
 	expect("no result", store.OK, store.Unknown, store.Unknown)
-	router.HandleResults([]peer.OrderResult{{ID: a.m.Orders[0].ID, Outcome: uint8(store.OK)}})
+	router.HandleResults([]peer.OrderResult{{ID: request.message.Orders[0].ID, Outcome: uint8(store.OK)}})
 	expect("a result too late", store.OK, store.Unknown, store.Unknown)
 }
 
 // TestOrdersExpire shows that an order that waited too long for its batch is not sent.
 func TestOrdersExpire(t *testing.T) {
-	h := newHost()
+	h := newTestHost()
 	router := NewRouter(h, 7, 100)
 	refused := 0
 	for range 8 {
@@ -236,46 +236,46 @@
 				refused++
 			}
 		})
-		h.run(2 * batchDelay)
+		h.advance(2 * batchDelay)
 	}
-	if len(h.asked) != batchLimits(1).MaxInFlight {
-		t.Fatalf("%d batches in flight", len(h.asked))
+	if len(h.calls) != batchLimits(1).MaxInFlight {
+		t.Fatalf("%d batches in flight", len(h.calls))
 	}
-	sent := len(h.asked)
-	h.run(maxQueueTime * 3 / 2)
+	sent := len(h.calls)
+	h.advance(maxQueueTime * 3 / 2)
 	if refused != 8-sent {
 		t.Errorf("%d refused in time", refused)
 	}
-	h.run(OrderTimeout)
-	if len(h.asked) != sent {
-		t.Errorf("%d batches sent after all", len(h.asked)-sent)
+	h.advance(OrderTimeout)
+	if len(h.calls) != sent {
+		t.Errorf("%d batches sent after all", len(h.calls)-sent)
 	}
 }
 
 // TestCarriedOrders covers the carrying side: each order is sent at once or refused, and
 // what can't be read is never fatal.
-func TestCarriedOrders(t *testing.T) {
-	h := newHost()
-	r := testRelay(h, 10)
+func TestRelayedOrders(t *testing.T) {
+	h := newTestHost()
+	r := newTestRelay(h, 10)
 	body := wire.Encode(&wire.Orders{Token: 7, Session: 1})
 	r.HandleOrders("leader", []peer.Order{{ID: 1, Addr: "a", Body: body}, {ID: 2, Addr: "a", Body: []byte{0xc1}}, {ID: 3, Body: body},
 		{ID: 4, Addr: "a", Body: body}, {ID: 5, Addr: "a", Body: body}})
-	h.orders[0](store.OK, report(2))
-	a := h.next(t)
+	h.orderCallbacks[0](store.OK, newReport(2))
+	request := h.nextCall(t)
 	outcome := map[uint64]store.Outcome{}
-	for _, x := range a.m.OrderResults {
-		outcome[x.ID] = store.Outcome(x.Outcome)
+	for _, result := range request.message.OrderResults {
+		outcome[result.ID] = store.Outcome(result.Outcome)
 	}
-	if a.m.Kind != fb.KindResults || len(h.orders) != 2 || outcome[1] != store.OK || outcome[2] != store.Refused ||
+	if request.message.Kind != fb.KindResults || len(h.orderCallbacks) != 2 || outcome[1] != store.OK || outcome[2] != store.Refused ||
 		outcome[3] != store.Refused || outcome[5] != store.Refused || r.Malformed != 2 || r.RefusedOrders != 1 {
-		t.Errorf("%d sent, outcomes %v, %d malformed, %d refused", len(h.orders), outcome, r.Malformed, r.RefusedOrders)
+		t.Errorf("%d sent, outcomes %v, %d malformed, %d refused", len(h.orderCallbacks), outcome, r.Malformed, r.RefusedOrders)
 	}
 }
 
 // TestMalformedBatch shows that a report that can't be read spoils no other of its batch.
 func TestMalformedBatch(t *testing.T) {
-	router := NewRouter(newHost(), 7, 10)
-	other := report(1)
+	router := NewRouter(newTestHost(), 7, 10)
+	other := newReport(1)
 	other.Machine = "m-2"
 	answers := router.HandleReports("carrier", []peer.RelayedReport{{Machine: "m-1", Body: []byte{0xc1}},
 		{Machine: "m-1", Body: wire.Encode(other)}, {Machine: "m-2", Body: wire.Encode(other)}},
--- a/internal/carrier/queue.go
+++ b/internal/carrier/queue.go
@@ -11,9 +11,9 @@
 
 // queue sends what is collected for one controller.
 type queue[T any] struct {
-	host    Host
-	batcher *relay.Batcher[T]
-	planned bool
+	host           Host
+	batcher        *relay.Batcher[T]
+	flushScheduled bool
 	// send sends a batch and calls done once it is answered or given up.
 	send func(items []T, done func())
 	// drop is told of items that waited too long and were not sent.
@@ -22,8 +22,8 @@
 
 // newOneWay makes a queue whose batches are acknowledged and no more: fill puts one into a
 // message of the kind given.
-func newOneWayQueue[T any](host Host, to string, waiting int, kind fb.Kind, fill func(*peer.Msg, []T), drop func(T)) *queue[T] {
-	return &queue[T]{host: host, batcher: relay.NewBatcher[T](batchLimits(waiting)), onExpired: drop,
+func newOneWayQueue[T any](host Host, to string, maxQueued int, kind fb.Kind, fill func(*peer.Msg, []T), onExpired func(T)) *queue[T] {
+	return &queue[T]{host: host, batcher: relay.NewBatcher[T](batchLimits(maxQueued)), onExpired: onExpired,
 		send: func(items []T, done func()) {
 			m := host.NewMessage(kind)
 			fill(m, items)
@@ -39,19 +39,19 @@
 	if q.batcher.Full() {
 		q.flush()
 	} else {
-		q.flushIn(batchDelay)
+		q.scheduleFlush(batchDelay)
 	}
 	return true
 }
 
 // flushIn plans a flush, unless one is planned.
-func (q *queue[T]) flushIn(d Micros) {
-	if q.planned {
+func (q *queue[T]) scheduleFlush(delay Micros) {
+	if q.flushScheduled {
 		return
 	}
-	q.planned = true
-	q.host.After(d, func() {
-		q.planned = false
+	q.flushScheduled = true
+	q.host.After(delay, func() {
+		q.flushScheduled = false
 		q.flush()
 	})
 }
@@ -72,6 +72,6 @@
 		})
 	}
 	if q.batcher.Len() > 0 { // they may have to be dropped before a batch is answered
-		q.flushIn(maxQueueTime / 4)
+		q.scheduleFlush(maxQueueTime / 4)
 	}
 }
--- a/internal/carrier/router.go
+++ b/internal/carrier/router.go
@@ -13,58 +13,58 @@
 // Router is the leader's side, in one term: it knows which controller carries which
 // worker, and sends orders through it.
 type Router struct {
-	host      Host
-	term      uint64
-	limit     int // of orders under way through one controller
-	members   *relay.Membership
-	routes    map[string]*route
-	orders    map[string]*queue[peer.Order]
-	waiting   map[uint64]*order
-	sent      uint64
-	underway  map[string]int // orders, by controller
-	judged    bool
-	Malformed uint64
+	host          Host
+	term          uint64
+	maxOrders     int // of orders under way through one controller
+	membership    *relay.Membership
+	routes        map[string]*route
+	orderQueues   map[string]*queue[peer.Order]
+	pendingOrders map[uint64]*pendingOrder
+	ordersSent    uint64
+	inFlight      map[string]int // orders, by controller
+	tableComputed bool
+	Malformed     uint64
 }
 
 // route is the way to a worker.
 type route struct {
-	via  string
-	last *wire.Report // the latest that was answered through that controller
+	via        string
+	lastReport *wire.Report // the latest that was answered through that controller
 }
 
 // order is one whose result is awaited.
-type order struct {
+type pendingOrder struct {
 	via  string
 	done func(store.Outcome, *wire.Report)
 }
 
 // NewRouter begins a term.
-func NewRouter(host Host, term uint64, limit int) *Router {
-	return &Router{host: host, term: term, limit: limit, members: relay.NewMembership(term, host.Now()), routes: map[string]*route{},
-		orders: map[string]*queue[peer.Order]{}, waiting: map[uint64]*order{}, underway: map[string]int{}}
+func NewRouter(host Host, term uint64, maxOrders int) *Router {
+	return &Router{host: host, term: term, maxOrders: maxOrders, membership: relay.NewMembership(term, host.Now()), routes: map[string]*route{},
+		orderQueues: map[string]*queue[peer.Order]{}, pendingOrders: map[uint64]*pendingOrder{}, inFlight: map[string]int{}}
 }
 
 // Judge decides who relays; it reports whether that changed.
-func (r *Router) UpdateMembership(self string, workers, from int, candidates []relay.Candidate) bool {
-	r.judged = true
-	return r.members.Update(r.host.Now(), self, workers, from, candidates)
+func (r *Router) UpdateMembership(self string, workers, minWorkers int, candidates []relay.Candidate) bool {
+	r.tableComputed = true
+	return r.membership.Update(r.host.Now(), self, workers, minWorkers, candidates)
 }
 
 // Table is what the leader tells the others; nil before it has decided for the first
 // time: until then they go on as under the leader before.
 func (r *Router) Table() *relay.Table {
-	if !r.judged {
+	if !r.tableComputed {
 		return nil
 	}
-	t := r.members.Table()
-	return &t
+	table := r.membership.Table()
+	return &table
 }
 
 // Carried counts the workers by the controller that carries them.
 func (r *Router) WorkersPerRelay() map[string]int {
 	count := map[string]int{}
-	for _, x := range r.routes {
-		count[x.via]++
+	for _, workerRoute := range r.routes {
+		count[workerRoute.via]++
 	}
 	return count
 }
@@ -74,44 +74,44 @@
 
 // Via is the controller through which a worker can be told something, or "".
 func (r *Router) RelayFor(machine string) string {
-	if x := r.routes[machine]; x != nil && r.host.Reachable(x.via) {
-		return x.via
+	if workerRoute := r.routes[machine]; workerRoute != nil && r.host.Reachable(workerRoute.via) {
+		return workerRoute.via
 	}
 	return ""
 }
 
 // MayOrder reports whether one more order may go through a controller.
-func (r *Router) CanSendOrders(via string) bool { return r.underway[via] < r.limit }
+func (r *Router) CanSendOrders(via string) bool { return r.inFlight[via] < r.maxOrders }
 
 // Reports answers a batch that a controller relays; decide is the leader's own decision on
 // one report.
 func (r *Router) HandleReports(from string, batch []peer.RelayedReport, decide func(*wire.Report) ReportAnswer) []peer.RelayedAnswer {
 	answers := make([]peer.RelayedAnswer, len(batch))
 	for i := range batch {
-		answers[i] = r.report(from, &batch[i], decide)
+		answers[i] = r.handleReport(from, &batch[i], decide)
 	}
 	return answers
 }
 
-func (r *Router) report(from string, item *peer.RelayedReport, decide func(*wire.Report) ReportAnswer) peer.RelayedAnswer {
-	report, code := r.restore(item)
+func (r *Router) handleReport(from string, item *peer.RelayedReport, decide func(*wire.Report) ReportAnswer) peer.RelayedAnswer {
+	report, code := r.restoreReport(item)
 	if report == nil {
 		return peer.RelayedAnswer{Code: code}
 	}
-	a := decide(report)
-	if a.Code != 200 {
+	answer := decide(report)
+	if answer.Code != 200 {
 		return peer.RelayedAnswer{Code: codeBusy}
 	}
 	r.routes[report.Machine] = &route{from, report}
-	out := peer.RelayedAnswer{Code: a.Code, Token: a.Body.Token}
-	if len(a.Body.Commands) > 0 {
-		out.Body = wire.Encode(&a.Body)
+	relayed := peer.RelayedAnswer{Code: answer.Code, Token: answer.Body.Token}
+	if len(answer.Body.Commands) > 0 {
+		relayed.Body = wire.Encode(&answer.Body)
 	}
-	return out
+	return relayed
 }
 
 // restore gives the whole report, or a code that says why it can't.
-func (r *Router) restore(item *peer.RelayedReport) (*wire.Report, int) {
+func (r *Router) restoreReport(item *peer.RelayedReport) (*wire.Report, int) {
 	if item.Body != nil {
 		report, err := wire.DecodeReport(item.Body)
 		if err != nil || report.Machine != item.Machine {
@@ -121,11 +121,11 @@
 		}
 		return report, 0
 	}
-	x := r.routes[item.Machine]
-	if x == nil || x.last.Session != item.Session || x.last.Seq != item.BaseSeq {
+	workerRoute := r.routes[item.Machine]
+	if workerRoute == nil || workerRoute.lastReport.Session != item.Session || workerRoute.lastReport.Seq != item.BaseSeq {
 		return nil, codeNeedFullReport
 	}
-	report := *x.last
+	report := *workerRoute.lastReport
 	report.Seq, report.Token = item.Seq, item.Token
 	return &report, 0
 }
@@ -133,55 +133,55 @@
 // Order sends commands to a worker through another controller. Without a result in time
 // the outcome is unknown: the order may yet be carried out.
 func (r *Router) SendOrders(via, addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
-	r.sent++
-	id := r.term<<32 | r.sent&0xffffffff
+	r.ordersSent++
+	id := r.term<<32 | r.ordersSent&0xffffffff
 	item := peer.Order{ID: id, Addr: addr, Body: wire.Encode(orders)}
-	r.waiting[id] = &order{via, done}
-	r.underway[via]++
-	if !r.queueTo(via).add(item, item.Size()) {
-		r.settle(id, store.Refused, nil)
+	r.pendingOrders[id] = &pendingOrder{via, done}
+	r.inFlight[via]++
+	if !r.orderQueue(via).add(item, item.Size()) {
+		r.finishOrder(id, store.Refused, nil)
 		return
 	}
-	r.host.After(OrderTimeout, func() { r.settle(id, store.Unknown, nil) })
+	r.host.After(OrderTimeout, func() { r.finishOrder(id, store.Unknown, nil) })
 }
 
-func (r *Router) queueTo(via string) *queue[peer.Order] {
-	q := r.orders[via]
+func (r *Router) orderQueue(via string) *queue[peer.Order] {
+	q := r.orderQueues[via]
 	if q == nil {
-		q = newOneWayQueue(r.host, via, r.limit, fb.KindOrders, func(m *peer.Msg, items []peer.Order) { m.Orders = items },
-			func(o peer.Order) { r.settle(o.ID, store.Refused, nil) }) // it was never sent
-		r.orders[via] = q
+		q = newOneWayQueue(r.host, via, r.maxOrders, fb.KindOrders, func(m *peer.Msg, items []peer.Order) { m.Orders = items },
+			func(expired peer.Order) { r.finishOrder(expired.ID, store.Refused, nil) }) // it was never sent
+		r.orderQueues[via] = q
 	}
 	return q
 }
 
 // settle ends the wait for an order's result.
-func (r *Router) settle(id uint64, outcome store.Outcome, report *wire.Report) {
-	o := r.waiting[id]
-	if o == nil {
+func (r *Router) finishOrder(id uint64, outcome store.Outcome, report *wire.Report) {
+	order := r.pendingOrders[id]
+	if order == nil {
 		return
 	}
-	delete(r.waiting, id)
-	r.underway[o.via]--
-	o.done(outcome, report)
+	delete(r.pendingOrders, id)
+	r.inFlight[order.via]--
+	order.done(outcome, report)
 }
 
 // Results takes in what became of orders. What is not of this term, or was given up, is
 // ignored.
 func (r *Router) HandleResults(results []peer.OrderResult) {
-	for _, x := range results {
+	for _, result := range results {
 		var report *wire.Report
-		if x.Body != nil {
+		if result.Body != nil {
 			var err error
-			if report, err = wire.DecodeReport(x.Body); err != nil {
+			if report, err = wire.DecodeReport(result.Body); err != nil {
 				r.Malformed++
 				report = nil
 			}
 		}
-		outcome := store.Outcome(x.Outcome)
+		outcome := store.Outcome(result.Outcome)
 		if outcome > store.Unknown {
 			outcome = store.Unknown
 		}
-		r.settle(x.ID, outcome, report)
+		r.finishOrder(result.ID, outcome, report)
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -26,32 +26,32 @@
 	return &HTTPClient{client: rpc.New(addr), post: post}
 }
 
-const timeout = 5 * time.Second
+const requestTimeout = 5 * time.Second
 
-func call[T any](h *HTTPClient, method, path string, in any, done func(store.Outcome, *T)) {
+func call[T any](h *HTTPClient, method, path string, request any, done func(store.Outcome, *T)) {
 	go func() {
-		out := new(T)
-		status, raw, _, err := h.client.Call(method, path, in, out, timeout)
-		o := store.Unknown
+		answer := new(T)
+		status, body, _, err := h.client.Call(method, path, request, answer, requestTimeout)
+		outcome := store.Unknown
 		switch {
 		case errors.Is(err, rpc.ErrNotSent):
-			o = store.Refused
+			outcome = store.Refused
 		case err != nil:
 		case status == http.StatusOK:
-			o = store.OK
+			outcome = store.OK
 		case status == http.StatusServiceUnavailable:
-			o = store.Refused
-			var p wire.Problem
-			if wire.Decode(raw, &p) == nil && p.Error == "no capacity" {
-				o = store.Failed
+			outcome = store.Refused
+			var problem wire.Problem
+			if wire.Decode(body, &problem) == nil && problem.Error == "no capacity" {
+				outcome = store.Failed
 			}
 		case status >= 400 && status < 500:
-			o = store.Refused
+			outcome = store.Refused
 		}
-		if o != store.OK {
+		if outcome != store.OK {
 			slog.Debug("cloud", "path", path, "status", status, "err", err)
 		}
-		h.post(func() { done(o, out) })
+		h.post(func() { done(outcome, answer) })
 	}()
 }
 
@@ -61,22 +61,22 @@
 }
 
 // Rent rents machines.
-func (h *HTTPClient) Rent(r *wire.RentRequest, done func(store.Outcome, []string)) {
-	call(h, http.MethodPost, "/machines", r, func(o store.Outcome, n *wire.MachineIDs) { done(o, n.Machines) })
+func (h *HTTPClient) Rent(request *wire.RentRequest, done func(store.Outcome, []string)) {
+	call(h, http.MethodPost, "/machines", request, func(outcome store.Outcome, answer *wire.MachineIDs) { done(outcome, answer.Machines) })
 }
 
 // Release returns machines.
 func (h *HTTPClient) Release(ids []string, done func(store.Outcome)) {
-	type none struct{}
+	type emptyAnswer struct{}
 	call(h, http.MethodPost, "/machines/release", &wire.MachineIDs{Machines: ids},
-		func(o store.Outcome, _ *none) { done(o) })
+		func(outcome store.Outcome, _ *emptyAnswer) { done(outcome) })
 }
 
 // List reads a page of machines.
 func (h *HTTPClient) List(after string, limit int, done func(store.Outcome, *wire.MachineList)) {
-	q := url.Values{"limit": {strconv.Itoa(limit)}}
+	query := url.Values{"limit": {strconv.Itoa(limit)}}
 	if after != "" {
-		q.Set("since", after)
+		query.Set("since", after)
 	}
-	call(h, http.MethodGet, "/machines?"+q.Encode(), nil, done)
+	call(h, http.MethodGet, "/machines?"+query.Encode(), nil, done)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -65,9 +65,9 @@
 	return s
 }
 
-func lower[T int | float64](have, next *T) {
+func lower[T int | float64](current, next *T) {
 	if next != nil {
-		*have = min(*have, *next)
+		*current = min(*current, *next)
 	}
 }
 
@@ -133,9 +133,9 @@
 }
 
 func (c *Config) check() error {
-	p := &c.Params
-	texts := []struct{ name, value string }{{"host_name", c.Name}, {"location", c.Zone}}
-	for _, t := range texts {
+	params := &c.Params
+	required := []struct{ name, value string }{{"host_name", c.Name}, {"location", c.Zone}}
+	for _, t := range required {
 		if t.value == "" {
 			return fmt.Errorf("%s: missing", t.name)
 		}
@@ -160,24 +160,24 @@
 		value, min, max float64
 	}
 	numbers := []number{
-		{"params.size", float64(p.Size), 1, 99},
-		{"params.workers.report_s", p.Workers.Report, 0.05, 600},
-		{"params.workers.lease_s", p.Workers.Lease, 1, 3600},
-		{"params.workers.gang_wait_s", p.Workers.GangWait, 0, 86400},
-		{"params.workers.gang_peer_s", p.Workers.GangPeer, 0, 3600},
-		{"params.workers.cancel_s", p.Workers.Cancel, p.Workers.Lease, 86400},
-		{"params.state.rps", p.State.RPS, 1, 1e6},
-		{"params.state.write_rps", p.State.WriteRPS, 1, 1e6},
-		{"params.state.value_kb", p.State.ValueKB, 1, 1024},
-		{"params.state.txn_ops", float64(p.State.TxnOps), 4, 10000},
-		{"params.cloud.rps", p.Cloud.RPS, 0.01, 1e6},
-		{"params.cloud.list_lag_s", p.Cloud.ListLag, 0, 3600},
-		{"params.resources.cpu_share", p.Resources.CPUShare, 0.01, 1024},
-		{"params.resources.memory_mb", p.Resources.MemoryMB, 32, 1 << 24},
-		{"params.resources.fd_limit", float64(p.Resources.FDLimit), 64, 1 << 24},
-		{"params.clock_error_ms", p.ClockError, 0, 1e7},
+		{"params.size", float64(params.Size), 1, 99},
+		{"params.workers.report_s", params.Workers.Report, 0.05, 600},
+		{"params.workers.lease_s", params.Workers.Lease, 1, 3600},
+		{"params.workers.gang_wait_s", params.Workers.GangWait, 0, 86400},
+		{"params.workers.gang_peer_s", params.Workers.GangPeer, 0, 3600},
+		{"params.workers.cancel_s", params.Workers.Cancel, params.Workers.Lease, 86400},
+		{"params.state.rps", params.State.RPS, 1, 1e6},
+		{"params.state.write_rps", params.State.WriteRPS, 1, 1e6},
+		{"params.state.value_kb", params.State.ValueKB, 1, 1024},
+		{"params.state.txn_ops", float64(params.State.TxnOps), 4, 10000},
+		{"params.cloud.rps", params.Cloud.RPS, 0.01, 1e6},
+		{"params.cloud.list_lag_s", params.Cloud.ListLag, 0, 3600},
+		{"params.resources.cpu_share", params.Resources.CPUShare, 0.01, 1024},
+		{"params.resources.memory_mb", params.Resources.MemoryMB, 32, 1 << 24},
+		{"params.resources.fd_limit", float64(params.Resources.FDLimit), 64, 1 << 24},
+		{"params.clock_error_ms", params.ClockError, 0, 1e7},
 	}
-	for i, t := range p.Teams {
+	for i, t := range params.Teams {
 		name := fmt.Sprintf("params.teams[%d]", i)
 		if t.Name == "" {
 			return fmt.Errorf("%s.name: missing", name)
@@ -189,11 +189,11 @@
 			numbers = append(numbers, number{name + f.name, f.value, 0, 1e9})
 		}
 	}
-	for i, o := range p.Objectives {
+	for i, o := range params.Objectives {
 		name := fmt.Sprintf("params.objectives[%d].", i)
 		numbers = append(numbers, number{name + "within_s", o.Within, 0, 1e7}, number{name + "share", o.Share, 0, 1})
 	}
-	if n := p.State.Next; n != nil {
+	if n := params.State.Next; n != nil {
 		next := func(name string, v *float64, min, max float64) {
 			if v != nil {
 				numbers = append(numbers, number{"params.state.next." + name, *v, min, max})
@@ -212,10 +212,10 @@
 			return fmt.Errorf("%s: %v is not between %v and %v", n.name, n.value, n.min, n.max)
 		}
 	}
-	if len(p.Zones) == 0 {
+	if len(params.Zones) == 0 {
 		return fmt.Errorf("params.zones: missing")
 	}
-	if len(p.Teams) == 0 {
+	if len(params.Teams) == 0 {
 		return fmt.Errorf("params.teams: missing")
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `{"host_name":"n0","location":"a","listen":"10.0.0.1:8080","peer_listen":"10.0.0.1:8081","extra":1,
+const validSettings = `{"host_name":"n0","location":"a","listen":"10.0.0.1:8080","peer_listen":"10.0.0.1:8081","extra":1,
 "peers":[{"host_name":"n1","location":"a","endpoint":"10.0.0.2:8081"}],
 "endpoints":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
 "params":{"size":2,"zones":["a"],"teams":[{"name":"t","cpus":0,"cpus_max":0}],
@@ -15,14 +15,14 @@
 "resources":{"cpu_share":0.1,"memory_mb":98,"fd_limit":900},"clock_error_ms":25}}`
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good))
+	c, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if low := c.Params.State.Lowest(); low.ValueBytes() != 2048 || low.TxnOps != 32 || low.WriteRPS != 100 {
-		t.Errorf("lowest limits: %+v", low)
+	if lowest := c.Params.State.Lowest(); lowest.ValueBytes() != 2048 || lowest.TxnOps != 32 || lowest.WriteRPS != 100 {
+		t.Errorf("lowest limits: %+v", lowest)
 	}
-	for old, field := range map[string]string{
+	for replacement, field := range map[string]string{
 		`"host_name":"n0"|"host_name":""`:       "host_name",
 		`"host_name":"n1"|"host_name":"n0"`:     "peers[0].host_name",
 		`"10.0.0.1:8080"|"nowhere"`:             "listen",
@@ -40,13 +40,13 @@
 		`"share":0.9|"share":9`:                 "params.objectives[0].share",
 		`"params":{"size":2|"params":{"size":0`: "params.size",
 	} {
-		from, to, _ := strings.Cut(old, "|")
-		if !strings.Contains(good, from) {
+		from, to, _ := strings.Cut(replacement, "|")
+		if !strings.Contains(validSettings, from) {
 			t.Fatalf("%s is not in the sample", from)
 		}
-		_, err := Parse([]byte(strings.Replace(good, from, to, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, from, to, 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), field+":") {
-			t.Errorf("%s: %v", old, err)
+			t.Errorf("%s: %v", replacement, err)
 		}
 	}
 }
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -22,11 +22,11 @@
 	for _, t := range cfg.Params.Teams {
 		teams = append(teams, t.Name)
 	}
-	var aims []admit.Objective
+	var objectives []admit.Objective
 	for _, o := range cfg.Params.Objectives {
-		aims = append(aims, admit.Objective{Class: o.Class, Within: clock.FromSeconds(o.Within)})
+		objectives = append(objectives, admit.Objective{Class: o.Class, Within: clock.FromSeconds(o.Within)})
 	}
-	return admit.NewAccountIndex(teams, aims)
+	return admit.NewAccountIndex(teams, objectives)
 }
 
 func admitTeams(cfg *config.Config) []admit.Team {
@@ -41,9 +41,9 @@
 type writeShareKind int
 
 const (
-	unheard   writeShareKind = iota // never greeted: counted as the next
-	admitting                       // its base, and its part of the table
-	fixed                           // the share of a node without admission
+	writeShareUnknown   writeShareKind = iota // never greeted: counted as the next
+	writeShareAdmission                       // its base, and its part of the table
+	writeShareFixed                           // the share of a node without admission
 )
 
 // submitLimits divides the changes that the state service takes.
@@ -55,23 +55,23 @@
 // the bases of the others and the parts that are out leave; the sum over all nodes
 // stays within what the state service takes, whoever leads and whoever is cut off.
 func (c *Core) writeRate(now Micros) float64 {
-	all := c.stateLimits().WriteRPS
+	total := c.stateLimits().WriteRPS
 	if !c.policy.Admission.Enabled {
-		return all * c.writeShare()
+		return total * c.writeShare()
 	}
 	if c.elector == nil || c.allocator == nil || !c.elector.HoldsValidLease() {
 		return c.allowance.Rate(now)
 	}
 	limits := c.submitLimits()
-	rate := all - float64(c.allocator.Outstanding(now))/1000
+	rate := total - float64(c.allocator.Outstanding(now))/1000
 	for _, p := range c.peers {
-		if p.writeShareKind == fixed {
-			rate -= all * followerShare
+		if p.writeShareKind == writeShareFixed {
+			rate -= total * followerShare
 		} else {
 			rate -= float64(limits.Base) / 1000
 		}
 	}
-	return max(rate, all*0.3)
+	return max(rate, total*0.3)
 }
 
 // electAdmission begins a term. What the last table said of the machines holds on: the
@@ -80,13 +80,13 @@
 	c.allocator = admit.NewAllocator(c.accountIndex, c.cfg.Name, c.term, now, c.submitLimits())
 	c.shares = admit.NewTeamShares(c.accountIndex, admitTeams(c.cfg), c.policy.Admission)
 	c.shares.Overloaded = c.allowance.WasOverloaded(now)
-	c.served = c.newServed()
-	c.demands, c.fairShares = make([]admit.Demand, c.accountIndex.Len()), nil
-	c.waitStats.start, c.waitStats.served = nil, make([]served, c.accountIndex.Len())
+	c.objectiveTracker = c.newObjectiveTracker()
+	c.accountDemands, c.fairShares = make([]admit.Demand, c.accountIndex.Len()), nil
+	c.waitStats.start, c.waitStats.finished = nil, make([]finishedCounts, c.accountIndex.Len())
 }
 
 // newServed counts nothing yet.
-func (c *Core) newServed() *admit.ObjectiveTracker {
+func (c *Core) newObjectiveTracker() *admit.ObjectiveTracker {
 	return admit.NewObjectiveTracker(c.policy.Admission.AccountMinServedShares(c.accountIndex))
 }
 
@@ -101,7 +101,7 @@
 	if c.Serving() && c.allocator != nil {
 		c.allocator.SetLimits(c.submitLimits())
 		c.allocator.RecordNotice(c.cfg.Name, notice, now)
-		c.allocator.BuildTable(now, c.shares.Overloaded, c.demands, c.fairShares)
+		c.allocator.BuildTable(now, c.shares.Overloaded, c.accountDemands, c.fairShares)
 		c.allowance.ApplyTable(c.allocator.TableFor(c.cfg.Name, now), now)
 	}
 	c.updateWriteRate()
@@ -111,20 +111,20 @@
 // noticeFor is what a peer is told of this node's notice: the arrivals of each account only
 // the leader has a use for, and with hundreds of teams they are most of what idle controllers
 // say to each other.
-func (c *Core) noticeFor(name string, n *admit.Notice) *admit.Notice {
-	if leader := c.elector.Leader(); n == nil || leader == "" || leader == name {
-		return n
+func (c *Core) noticeFor(name string, notice *admit.Notice) *admit.Notice {
+	if leader := c.elector.Leader(); notice == nil || leader == "" || leader == name {
+		return notice
 	}
-	return &admit.Notice{Digest: n.Digest, Refusals: n.Refusals}
+	return &admit.Notice{Digest: notice.Digest, Refusals: notice.Refusals}
 }
 
 // hearNotice takes a peer's notice in and gives it its table, if this node leads.
 func (c *Core) handleNotice(m *peer.Msg) *admit.Table {
 	now := c.env.Now()
 	if p := c.peers[m.Node]; p != nil {
-		p.writeShareKind = fixed
+		p.writeShareKind = writeShareFixed
 		if m.AdmissionNotice != nil {
-			p.writeShareKind = admitting
+			p.writeShareKind = writeShareAdmission
 		}
 	}
 	if m.AdmissionNotice == nil || !c.policy.Admission.Enabled {
@@ -141,14 +141,14 @@
 }
 
 // putTable takes a table over that came with the answer to a greeting.
-func (c *Core) applyAdmissionTable(t *admit.Table, asked Micros) {
-	if c.policy.Admission.Enabled && !c.Serving() && c.allowance.ApplyTable(t, asked) {
+func (c *Core) applyAdmissionTable(table *admit.Table, requestedAt Micros) {
+	if c.policy.Admission.Enabled && !c.Serving() && c.allowance.ApplyTable(table, requestedAt) {
 		c.updateWriteRate()
 	}
 }
 
 // rank is a submission's place among those of its account.
-func (c *Core) rank(job *wire.Job) admit.Rank {
+func (c *Core) submissionRank(job *wire.Job) admit.Rank {
 	switch {
 	case c.allowance.WasRefused(job.ID, c.env.Now()):
 		return admit.RankRetry
@@ -161,8 +161,8 @@
 // turn is in how many seconds the table has a submission come again, alike on all nodes;
 // 0 if now. A later stage of a pipeline that was accepted is not made to wait by it.
 func (c *Core) tableRetryAfter(job *wire.Job, account int, now Micros) int {
-	if t := c.allowance.Table(now); c.policy.Admission.Enabled && t != nil && len(job.DependsOn) == 0 {
-		return t.SlotsUntil(account, job.ID)
+	if table := c.allowance.Table(now); c.policy.Admission.Enabled && table != nil && len(job.DependsOn) == 0 {
+		return table.SlotsUntil(account, job.ID)
 	}
 	return 0
 }
@@ -176,13 +176,13 @@
 		return admit.RetryAfterSeconds(wait, job.ID)
 	}
 	if !q.Fits(account, wire.MaxBody/8) {
-		return admit.RetryAfterSeconds(clock.FromSeconds(float64(q.Cost())/max(c.submitRate(), 0.1)), job.ID)
+		return admit.RetryAfterSeconds(clock.FromSeconds(float64(q.Cost())/max(c.minSubmissionRate(), 0.1)), job.ID)
 	}
 	return 0
 }
 
 // submitRate is the changes a second that submissions surely get.
-func (c *Core) submitRate() float64 {
+func (c *Core) minSubmissionRate() float64 {
 	if c.Serving() {
 		return c.writeBudget.MinRate(admit.SubmissionWrites)
 	}
@@ -200,9 +200,9 @@
 // job of its class that came last.
 func (c *Core) expectedRetryDemand(now Micros) []sched.Unplaced {
 	var out []sched.Unplaced
-	for a, cpus := range c.allowance.ExpectedCPUs(now) {
-		if arr := c.arrivals[c.accountIndex.Accounts[a].Class]; cpus > 0 && arr != nil && arr.lastJob != nil {
-			out = append(out, sched.Unplaced{Job: arr.lastJob, Count: int(math.Ceil(cpus / arr.lastJob.TaskCPUs()))})
+	for account, cpus := range c.allowance.ExpectedCPUs(now) {
+		if stats := c.arrivals[c.accountIndex.Accounts[account].Class]; cpus > 0 && stats != nil && stats.lastJob != nil {
+			out = append(out, sched.Unplaced{Job: stats.lastJob, Count: int(math.Ceil(cpus / stats.lastJob.TaskCPUs()))})
 		}
 	}
 	return out
@@ -234,7 +234,7 @@
 			return
 		}
 		c.allowance.CountAccepted(account, true)
-		reply(answerOf(r))
+		reply(answerFromMessage(r))
 	})
 }
 
@@ -259,51 +259,51 @@
 // took notes a submission that was answered.
 func (c *Core) recordSubmission(s *submission, known bool) {
 	c.allowance.CountAccepted(s.account, known)
-	c.waitStats.note(&c.waitStats.accept, s.account, c.accountIndex.Len(), c.env.Now()-s.receivedAt)
+	c.waitStats.record(&c.waitStats.accept, s.account, c.accountIndex.Len(), c.env.Now()-s.receivedAt)
 }
 
 // waits are what users and jobs waited, by account.
 type waitStats struct {
-	accept []*hdrhistogram.Histogram // from a submission to its answer, at this node
-	start  []*hdrhistogram.Histogram // of the leader: until a job's first task ran
-	served []served                  // of the leader, in its term
+	accept   []*hdrhistogram.Histogram // from a submission to its answer, at this node
+	start    []*hdrhistogram.Histogram // of the leader: until a job's first task ran
+	finished []finishedCounts          // of the leader, in its term
 }
 
 // served counts jobs that are over, services aside.
-type served struct{ jobs, inTime uint64 }
+type finishedCounts struct{ jobs, inTime uint64 }
 
 // note enters a wait, in milliseconds.
-func (w *waitStats) note(list *[]*hdrhistogram.Histogram, account, accounts int, wait Micros) {
+func (w *waitStats) record(histograms *[]*hdrhistogram.Histogram, account, accounts int, wait Micros) {
 	if account < 0 {
 		return
 	}
-	if *list == nil {
-		*list = make([]*hdrhistogram.Histogram, accounts)
+	if *histograms == nil {
+		*histograms = make([]*hdrhistogram.Histogram, accounts)
 	}
-	h := (*list)[account]
+	h := (*histograms)[account]
 	if h == nil {
 		h = hdrhistogram.New(1, 3_600_000, 2)
-		(*list)[account] = h
+		(*histograms)[account] = h
 	}
 	h.RecordValue(min(max(int64(wait/clock.Millisecond), 1), 3_600_000)) // within the bounds: no error
 }
 
 // noteOver counts a job that is over: in time means within the widest aim of its class.
 func (c *Core) recordJobEnd(j *sched.Job) {
-	a := c.accountNumber(j.Spec)
-	if a < 0 || j.Service() || j.Cancelled || c.waitStats.served == nil {
+	account := c.accountNumber(j.Spec)
+	if account < 0 || j.Service() || j.Cancelled || c.waitStats.finished == nil {
 		return
 	}
-	s := &c.waitStats.served[a]
-	s.jobs++
-	widest := c.accountIndex.LongestTargets[a]
-	good := widest == 0 || j.EndedAt-j.ReadyAt <= widest
-	if good {
-		s.inTime++
+	counts := &c.waitStats.finished[account]
+	counts.jobs++
+	longestTarget := c.accountIndex.LongestTargets[account]
+	inTime := longestTarget == 0 || j.EndedAt-j.ReadyAt <= longestTarget
+	if inTime {
+		counts.inTime++
 	}
-	c.served.RecordFinished(a, good && (j.LastStartTarget == 0 || j.StartedAt <= j.LastStartTarget), c.env.Now())
+	c.objectiveTracker.RecordFinished(account, inTime && (j.LastStartTarget == 0 || j.StartedAt <= j.LastStartTarget), c.env.Now())
 	if j.StartedAt > 0 {
-		c.waitStats.note(&c.waitStats.start, a, c.accountIndex.Len(), j.StartedAt-j.ReadyAt)
+		c.waitStats.record(&c.waitStats.start, account, c.accountIndex.Len(), j.StartedAt-j.ReadyAt)
 	}
 }
 
@@ -312,18 +312,18 @@
 	now := c.env.Now()
 	out := &wire.AdmissionStatus{Node: c.cfg.Name, Enabled: c.policy.Admission.Enabled, IsLeader: c.Serving(), Rate: c.writeBudget.Rate(),
 		Waiting: c.submissions.queue.Len(), OldestSeconds: (now - c.submissions.queue.Oldest(now)).Seconds()}
-	t := c.allowance.Table(now)
-	if t != nil {
-		out.Term, out.Number, out.Overloaded = t.Term, t.Number, t.Overloaded
+	table := c.allowance.Table(now)
+	if table != nil {
+		out.Term, out.Number, out.Overloaded = table.Term, table.Number, table.Overloaded
 	}
 	for i, account := range c.accountIndex.Accounts {
-		n := c.allowance.Counts(i)
+		counts := c.allowance.Counts(i)
 		a := wire.AdmissionAccount{Team: account.Team, Class: account.Class, Queued: c.submissions.queue.QueuedCost(i),
-			Accepted: n.Accepted, Refused: n.Refused, Duplicates: n.Duplicates}
-		if t != nil {
-			e := t.Accounts[i]
-			a.Held, a.Waiting, a.MinShare, a.Share = e.Held, e.Waiting, e.MinShare, e.Share
-			a.Rate, a.NodeRate, a.Slots = float64(e.Rate)/1000, float64(e.NodeRate)/1000, e.Slots
+			Accepted: counts.Accepted, Refused: counts.Refused, Duplicates: counts.Duplicates}
+		if table != nil {
+			entry := table.Accounts[i]
+			a.Held, a.Waiting, a.MinShare, a.Share = entry.Held, entry.Waiting, entry.MinShare, entry.Share
+			a.Rate, a.NodeRate, a.Slots = float64(entry.Rate)/1000, float64(entry.NodeRate)/1000, entry.Slots
 		}
 		if w := c.waitStats.accept; w != nil && w[i] != nil {
 			a.AcceptP50Millis, a.AcceptP99Millis = w[i].ValueAtQuantile(50), w[i].ValueAtQuantile(99)
@@ -331,8 +331,8 @@
 		if w := c.waitStats.start; w != nil && w[i] != nil {
 			a.StartP50Millis, a.StartP99Millis = w[i].ValueAtQuantile(50), w[i].ValueAtQuantile(99)
 		}
-		if s := c.waitStats.served; out.IsLeader && s != nil {
-			a.FinishedJobs, a.FinishedInTime = s[i].jobs, s[i].inTime
+		if finished := c.waitStats.finished; out.IsLeader && finished != nil {
+			a.FinishedJobs, a.FinishedInTime = finished[i].jobs, finished[i].inTime
 		}
 		out.Accounts = append(out.Accounts, a)
 	}
@@ -350,24 +350,24 @@
 	if !c.policy.Admission.Enabled {
 		return nil
 	}
-	clear(c.demands)
+	clear(c.accountDemands)
 	var jobs []*sched.Job
 	for _, j := range c.jobs {
-		a := c.accountNumber(j.Spec)
-		if a < 0 || j.Service() || j.Priority >= wire.PriorityProduction || j.PlacedCount+len(j.Queue) == 0 {
+		account := c.accountNumber(j.Spec)
+		if account < 0 || j.Service() || j.Priority >= wire.PriorityProduction || j.PlacedCount+len(j.Queue) == 0 {
 			continue
 		}
-		d := &c.demands[a]
-		d.Held += float64(j.PlacedCount) * j.TaskCPUs()
+		demand := &c.accountDemands[account]
+		demand.Held += float64(j.PlacedCount) * j.TaskCPUs()
 		if j.Active() {
-			d.Waiting += float64(len(j.Queue)) * j.TaskCPUs()
-			d.RemainingWork += j.RemainingWork()
+			demand.Waiting += float64(len(j.Queue)) * j.TaskCPUs()
+			demand.RemainingWork += j.RemainingWork()
 			jobs = append(jobs, j)
 		}
 	}
-	was := c.shares.Overloaded
-	shares := c.shares.Evaluate(now, c.batchCapacity(), c.cloudHas(now), c.demands)
-	if was != c.shares.Overloaded {
+	wasOverloaded := c.shares.Overloaded
+	shares := c.shares.Evaluate(now, c.batchCapacity(), c.cloudHasCapacity(now), c.accountDemands)
+	if wasOverloaded != c.shares.Overloaded {
 		slog.Info("admission mode", "overload", c.shares.Overloaded, "term", c.term)
 	}
 	if shares == nil {
@@ -376,34 +376,34 @@
 	}
 	// Between teams the shares hold. Within a team, what its accounts lack for their floors
 	// goes first, and then its jobs in the users' order.
-	teams := map[string]*sched.FairShare{}
+	teamShares := map[string]*sched.FairShare{}
 	for i, t := range c.cfg.Params.Teams {
-		teams[t.Name] = &sched.FairShare{Share: shares[i]}
+		teamShares[t.Name] = &sched.FairShare{Share: shares[i]}
 	}
-	for i, d := range c.demands {
-		teams[c.accountIndex.Accounts[i].Team].Allocated += d.Held
+	for i, d := range c.accountDemands {
+		teamShares[c.accountIndex.Accounts[i].Team].Allocated += d.Held
 	}
-	cases := make([]admit.UnfinishedJob, len(jobs))
+	unfinished := make([]admit.UnfinishedJob, len(jobs))
 	for i, j := range jobs {
-		cases[i] = admit.UnfinishedJob{Account: c.accountNumber(j.Spec), Feasibility: j.Feasibility(now), RemainingWork: j.RemainingWork(), ReadyAt: j.ReadyAt, ID: j.ID}
+		unfinished[i] = admit.UnfinishedJob{Account: c.accountNumber(j.Spec), Feasibility: j.Feasibility(now), RemainingWork: j.RemainingWork(), ReadyAt: j.ReadyAt, ID: j.ID}
 	}
-	c.fairShares = make([]admit.Entitlement, len(c.demands))
+	c.fairShares = make([]admit.Entitlement, len(c.accountDemands))
 	for i := range c.fairShares {
-		c.fairShares[i].Share = teams[c.accountIndex.Accounts[i].Team].Share
+		c.fairShares[i].Share = teamShares[c.accountIndex.Accounts[i].Team].Share
 	}
-	for i, turn := range c.served.Evaluate(now, cases) {
+	for i, status := range c.objectiveTracker.Evaluate(now, unfinished) {
 		j := jobs[i]
-		j.MinShareStatus = turn
-		if turn.Needed {
-			c.fairShares[cases[i].Account].MinShare += float64(j.PlacedCount+len(j.Queue)) * j.TaskCPUs()
+		j.MinShareStatus = status
+		if status.Needed {
+			c.fairShares[unfinished[i].Account].MinShare += float64(j.PlacedCount+len(j.Queue)) * j.TaskCPUs()
 		}
 	}
-	none := &sched.FairShare{} // for what has no account
+	noShare := &sched.FairShare{} // for what has no account
 	return func(j *sched.Job) *sched.FairShare {
-		if d := teams[j.Spec.Team]; d != nil {
-			return d
+		if share := teamShares[j.Spec.Team]; share != nil {
+			return share
 		}
-		return none
+		return noShare
 	}
 }
 
@@ -422,7 +422,7 @@
 // half of the ordinary kinds that it lists of late. Spot machines don't count: they are
 // cheap and few, so they are asked for first and refused first, also on a calm day while
 // ordinary ones boot for work that was always to come.
-func (c *Core) cloudHas(now Micros) bool {
+func (c *Core) cloudHasCapacity(now Micros) bool {
 	kinds, refused := 0, 0
 	for _, t := range c.catalog {
 		for _, zone := range t.Zones {
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -18,22 +18,22 @@
 	urgent         []*pendingWrite // urgent: first come first served
 	delayed        []*pendingWrite // somebody waits, but not for this very write
 	background     []*pendingWrite
-	busy           bool
+	inFlight       bool
 	paused         bool
 	sizeReductions int // how often in a row the state service refused what was sent
-	limited        int // 429s in a row
+	rateLimitCount int // 429s in a row
 }
 
 // render gives a record's changes, or false if it has to wait.
-type render func() ([]wire.Change, bool)
+type renderFunc func() ([]wire.Change, bool)
 
 // record is what waits to be written: one key, or several that change together.
 type pendingWrite struct {
-	key    string
-	render render
-	done   []func()
-	class  int
-	since  Micros
+	key      string
+	render   renderFunc
+	done     []func()
+	class    int
+	queuedAt Micros
 }
 
 // Classes of records.
@@ -47,16 +47,16 @@
 // of the same record merge: where changes are scarce that keeps launches from
 // queueing behind the ends of other tasks.
 const (
-	soonAfter = 4 * clock.Second
-	lazyAfter = 2 * clock.Second
+	delayedMergeTime    = 4 * clock.Second
+	backgroundMergeTime = 2 * clock.Second
 )
 
 // wait is how long records that somebody waits for may stay unwritten now: not
 // at all while the budget is as good as untouched.
-func (w *committer) wait() Micros {
+func (w *committer) delayedWriteWait() Micros {
 	c := w.core
 	if left := c.writeBudget.Remaining(stdTime(c.env.Now())); left < 0.75*float64(c.writeBudget.Burst()) {
-		return soonAfter
+		return delayedMergeTime
 	}
 	return 0
 }
@@ -80,34 +80,34 @@
 }
 
 // add queues a record of any class.
-func (w *committer) add(key string, class int, f render, done func()) {
-	r := w.pending[key]
-	if r == nil {
-		r = &pendingWrite{key: key, since: w.core.env.Now(), class: -1}
-		w.pending[key] = r
+func (w *committer) add(key string, class int, render renderFunc, done func()) {
+	write := w.pending[key]
+	if write == nil {
+		write = &pendingWrite{key: key, queuedAt: w.core.env.Now(), class: -1}
+		w.pending[key] = write
 	}
-	r.render = f
+	write.render = render
 	if done != nil {
-		r.done = append(r.done, done)
+		write.done = append(write.done, done)
 	}
-	if class <= r.class {
+	if class <= write.class {
 		return
 	}
-	r.class = class
+	write.class = class
 	switch class {
 	case classUrgent:
-		w.urgent = append(w.urgent, r)
+		w.urgent = append(w.urgent, write)
 	case classDelayed:
-		w.delayed = append(w.delayed, r)
+		w.delayed = append(w.delayed, write)
 	default:
-		w.background = append(w.background, r)
+		w.background = append(w.background, write)
 	}
 }
 
 func (w *committer) reset() { *w = committer{core: w.core, pending: map[string]*pendingWrite{}} }
 
 // head gives the first record of a list that still belongs to it.
-func (w *committer) head(list *[]*pendingWrite, class int) *pendingWrite {
+func (w *committer) firstPending(list *[]*pendingWrite, class int) *pendingWrite {
 	for len(*list) > 0 {
 		if r := (*list)[0]; w.pending[r.key] == r && r.class == class {
 			return r
@@ -119,19 +119,19 @@
 
 // age is how long the first of the urgent records has waited.
 func (w *committer) oldestUrgentAge() Micros {
-	if r := w.head(&w.urgent, classUrgent); r != nil {
-		return w.core.env.Now() - r.since
+	if r := w.firstPending(&w.urgent, classUrgent); r != nil {
+		return w.core.env.Now() - r.queuedAt
 	}
 	return 0
 }
 
 // batch is a transaction being filled.
 type batch struct {
-	putOff  map[*pendingWrite]bool // not to be rendered yet
-	records []*pendingWrite
-	changes []wire.Change
-	spent   [classUrgent + 1]int // changes by class
-	size    int
+	notReady       map[*pendingWrite]bool // not to be rendered yet
+	records        []*pendingWrite
+	changes        []wire.Change
+	changesByClass [classUrgent + 1]int // changes by class
+	size           int
 }
 
 // Sizes of a transaction's JSON form beside its changes' keys and values.
@@ -156,75 +156,75 @@
 // kept.
 func (w *committer) startTransaction() {
 	c := w.core
-	if w.busy || w.paused || !c.elector.Leading() || c.env.Now() >= c.elector.LeaseDeadline() {
+	if w.inFlight || w.paused || !c.elector.Leading() || c.env.Now() >= c.elector.LeaseDeadline() {
 		return
 	}
 	now := c.env.Now()
-	due := func(r *pendingWrite, after Micros) bool { return r != nil && now-r.since >= after }
-	if w.head(&w.urgent, classUrgent) == nil && !due(w.head(&w.delayed, classDelayed), w.wait()) && !due(w.head(&w.background, classBackground), lazyAfter) {
+	due := func(r *pendingWrite, minAge Micros) bool { return r != nil && now-r.queuedAt >= minAge }
+	if w.firstPending(&w.urgent, classUrgent) == nil && !due(w.firstPending(&w.delayed, classDelayed), w.delayedWriteWait()) && !due(w.firstPending(&w.background, classBackground), backgroundMergeTime) {
 		return
 	}
-	urgent, at := w.head(&w.urgent, classUrgent) != nil, stdTime(now)
+	urgent, budgetTime := w.firstPending(&w.urgent, classUrgent) != nil, stdTime(now)
 	c.writeBudget.SetWaiting(admit.UrgentWrites, urgent)
-	c.writeBudget.SetWaiting(admit.TaskEndWrites, due(w.head(&w.delayed, classDelayed), soonAfter))
-	c.writeBudget.SetWaiting(admit.BackgroundWrites, due(w.head(&w.background, classBackground), 2*lazyAfter))
-	budget := c.writeBudget.Available(at, admit.UrgentWrites)
+	c.writeBudget.SetWaiting(admit.TaskEndWrites, due(w.firstPending(&w.delayed, classDelayed), delayedMergeTime))
+	c.writeBudget.SetWaiting(admit.BackgroundWrites, due(w.firstPending(&w.background, classBackground), 2*backgroundMergeTime))
+	budget := c.writeBudget.Available(budgetTime, admit.UrgentWrites)
 	if !urgent {
-		budget = max(c.writeBudget.Available(at, admit.TaskEndWrites), c.writeBudget.Available(at, admit.BackgroundWrites))
+		budget = max(c.writeBudget.Available(budgetTime, admit.TaskEndWrites), c.writeBudget.Available(budgetTime, admit.BackgroundWrites))
 	}
-	room := min(c.stateLimits().TxnOps>>min(w.sizeReductions, 16), int(budget))
-	if room < 1 && (w.sizeReductions == 0 || budget < 1) {
+	maxChanges := min(c.stateLimits().TxnOps>>min(w.sizeReductions, 16), int(budget))
+	if maxChanges < 1 && (w.sizeReductions == 0 || budget < 1) {
 		w.pauseFor(50 * clock.Millisecond)
 		return
 	}
-	b := &batch{putOff: map[*pendingWrite]bool{}}
-	full := w.fill(b, &w.urgent, classUrgent, max(room, 1), func(*pendingWrite) bool { return true }) ||
-		w.fill(b, &w.delayed, classDelayed, w.spare(admit.TaskEndWrites, room, len(b.changes), 4), func(r *pendingWrite) bool { return due(r, w.wait()/2) }) ||
-		w.fill(b, &w.background, classBackground, w.spare(admit.BackgroundWrites, room, len(b.changes), 2), func(r *pendingWrite) bool { return due(r, lazyAfter/2) })
-	if len(b.records) == 0 {
-		if full || len(b.putOff) > 0 { // the budget has no room for the first record, or all have to wait
+	txnBatch := &batch{notReady: map[*pendingWrite]bool{}}
+	noCapacity := w.fill(txnBatch, &w.urgent, classUrgent, max(maxChanges, 1), func(*pendingWrite) bool { return true }) ||
+		w.fill(txnBatch, &w.delayed, classDelayed, w.maxChangesFor(admit.TaskEndWrites, maxChanges, len(txnBatch.changes), 4), func(r *pendingWrite) bool { return due(r, w.delayedWriteWait()/2) }) ||
+		w.fill(txnBatch, &w.background, classBackground, w.maxChangesFor(admit.BackgroundWrites, maxChanges, len(txnBatch.changes), 2), func(r *pendingWrite) bool { return due(r, backgroundMergeTime/2) })
+	if len(txnBatch.records) == 0 {
+		if noCapacity || len(txnBatch.notReady) > 0 { // the budget has no room for the first record, or all have to wait
 			w.pauseFor(50 * clock.Millisecond)
 		}
 		return
 	}
-	w.busy = true
-	for class, n := range b.spent {
-		c.writeBudget.Spend(at, useOf[class], n)
+	w.inFlight = true
+	for class, n := range txnBatch.changesByClass {
+		c.writeBudget.Spend(budgetTime, requestClassOf[class], n)
 	}
-	c.writeBudget.SetWaiting(admit.UrgentWrites, w.head(&w.urgent, classUrgent) != nil)
-	w.send(c.term, b)
+	c.writeBudget.SetWaiting(admit.UrgentWrites, w.firstPending(&w.urgent, classUrgent) != nil)
+	w.send(c.term, txnBatch)
 }
 
 // useOf tells what the records of a class are spent on.
-var useOf = [...]admit.RequestClass{classBackground: admit.BackgroundWrites, classDelayed: admit.TaskEndWrites, classUrgent: admit.UrgentWrites}
+var requestClassOf = [...]admit.RequestClass{classBackground: admit.BackgroundWrites, classDelayed: admit.TaskEndWrites, classUrgent: admit.UrgentWrites}
 
 // spare is how many changes a transaction may hold once records join it that are
 // not urgent: they leave a part of a second's budget to those that are, but for
 // their own floor.
-func (w *committer) spare(use admit.RequestClass, room, used, part int) int {
+func (w *committer) maxChangesFor(requestClass admit.RequestClass, limit, used, reserveDivisor int) int {
 	c := w.core
 	at := stdTime(c.env.Now())
-	left := int(c.writeBudget.Remaining(at)) - c.writeBudget.Burst()/part
-	return min(room, max(left, used+int(c.writeBudget.Reserved(at, use)), used))
+	unreserved := int(c.writeBudget.Remaining(at)) - c.writeBudget.Burst()/reserveDivisor
+	return min(limit, max(unreserved, used+int(c.writeBudget.Reserved(at, requestClass)), used))
 }
 
 // fill moves records of one list into the batch; it reports whether the next one
 // found no room.
-func (w *committer) fill(b *batch, list *[]*pendingWrite, class, room int, want func(*pendingWrite) bool) bool {
+func (w *committer) fill(b *batch, list *[]*pendingWrite, class, maxChanges int, eligible func(*pendingWrite) bool) bool {
 	for {
-		r := w.head(list, class)
-		if r == nil || !want(r) {
+		r := w.firstPending(list, class)
+		if r == nil || !eligible(r) {
 			return false
 		}
-		if len(b.changes) >= room {
+		if len(b.changes) >= maxChanges {
 			return true
 		}
-		if b.putOff[r] {
+		if b.notReady[r] {
 			return false // all that is left waits for something
 		}
-		changes, ok := r.render()
-		if !ok {
-			b.putOff[r] = true
+		changes, ready := r.render()
+		if !ready {
+			b.notReady[r] = true
 			*list = append((*list)[1:], r)
 			continue
 		}
@@ -234,18 +234,18 @@
 		}
 		// A record of several changes goes whole or not at all; alone it may wait
 		// for the budget, but not for ever.
-		if len(b.changes)+len(changes) > room && (len(b.records) > 0 || len(changes) <= w.core.stateLimits().TxnOps && !w.enough(len(changes))) {
+		if len(b.changes)+len(changes) > maxChanges && (len(b.records) > 0 || len(changes) <= w.core.stateLimits().TxnOps && !w.budgetCovers(len(changes))) {
 			return true
 		}
 		*list = (*list)[1:]
 		delete(w.pending, r.key)
 		b.records, b.changes, b.size = append(b.records, r), append(b.changes, changes...), b.size+size
-		b.spent[class] += len(changes)
+		b.changesByClass[class] += len(changes)
 	}
 }
 
 // enough reports whether the budget covers n changes, as far as it ever can.
-func (w *committer) enough(n int) bool {
+func (w *committer) budgetCovers(n int) bool {
 	c := w.core
 	return c.writeBudget.Remaining(stdTime(c.env.Now())) >= float64(min(n, c.writeBudget.Burst()))
 }
@@ -261,10 +261,10 @@
 // requeue puts the records of a refused transaction back to the head of the urgent
 // queue, to be rendered again. Their order among each other stays: a cascade of
 // cancellations depends on it.
-func (w *committer) requeue(b *batch) {
+func (w *committer) requeue(refused *batch) {
 	var front []*pendingWrite
-	for _, r := range b.records {
-		r = w.again(r)
+	for _, r := range refused.records {
+		r = w.reinsert(r)
 		r.class = classUrgent
 		front = append(front, r)
 	}
@@ -275,10 +275,10 @@
 // where it came from, the urgent ones first of all. A record of three changes that came
 // to stand alone before all others, where the service took two and a half a second, would
 // otherwise never be taken, nor anything behind it: found by the scenario throttled.
-func (w *committer) putBack(b *batch) {
+func (w *committer) requeueInOwnClass(refused *batch) {
 	var lists [classUrgent + 1][]*pendingWrite
-	for _, r := range b.records {
-		r = w.again(r)
+	for _, r := range refused.records {
+		r = w.reinsert(r)
 		lists[r.class] = append(lists[r.class], r)
 	}
 	w.urgent = append(lists[classUrgent], w.urgent...)
@@ -287,7 +287,7 @@
 }
 
 // again takes a record that was sent back in, with what was put under its key since.
-func (w *committer) again(r *pendingWrite) *pendingWrite {
+func (w *committer) reinsert(r *pendingWrite) *pendingWrite {
 	if newer := w.pending[r.key]; newer != nil {
 		r.render, r.done, r.class = newer.render, append(r.done, newer.done...), max(r.class, newer.class)
 	}
@@ -300,21 +300,21 @@
 // values back.
 func (w *committer) send(term uint64, b *batch) {
 	c := w.core
-	ours := func() bool { return c.elector.Leading() && c.term == term && c.committer.busy }
-	again := func(ok bool) {
-		if ok && ours() {
+	stillCurrent := func() bool { return c.elector.Leading() && c.term == term && c.committer.inFlight }
+	resend := func(ok bool) {
+		if ok && stillCurrent() {
 			w.send(term, b)
 		}
 	}
 	txn := &wire.Txn{If: []wire.Guard{c.elector.Guard()}, Then: b.changes}
 	c.env.State().Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
-		if !ours() {
+		if !stillCurrent() {
 			return
 		}
 		switch o {
 		case store.OK:
 			c.lastStateContact = c.env.Now()
-			w.busy, w.sizeReductions, w.limited = false, 0, 0
+			w.inFlight, w.sizeReductions, w.rateLimitCount = false, 0, 0
 			for _, r := range b.records {
 				for _, f := range r.done {
 					f()
@@ -323,40 +323,40 @@
 			c.sendOrders()
 			w.startTransaction()
 		case store.Failed:
-			c.elector.VerifyLeadership(again)
+			c.elector.VerifyLeadership(resend)
 		case store.Refused:
-			c.env.After(150*clock.Millisecond, func() { again(true) })
+			c.env.After(150*clock.Millisecond, func() { resend(true) })
 		case store.RateLimited:
-			if w.limited++; w.limited%4 == 0 && (len(b.records) > 1 || b.records[0].class != classUrgent) {
+			if w.rateLimitCount++; w.rateLimitCount%4 == 0 && (len(b.records) > 1 || b.records[0].class != classUrgent) {
 				// So many changes at once may be more than it ever takes.
-				w.busy, w.sizeReductions = false, min(w.sizeReductions+1, 3)
-				w.putBack(b)
+				w.inFlight, w.sizeReductions = false, min(w.sizeReductions+1, 3)
+				w.requeueInOwnClass(b)
 				w.pauseFor(250 * clock.Millisecond)
 				return
 			}
-			c.env.After(250*clock.Millisecond, func() { again(true) })
+			c.env.After(250*clock.Millisecond, func() { resend(true) })
 		case store.Invalid:
-			w.refused(b)
+			w.handleInvalidTransaction(b)
 		default:
 			slog.Info("transaction without an answer, fencing", "records", len(b.records))
-			c.elector.Fence(again)
+			c.elector.Fence(resend)
 		}
 	})
 }
 
 // maxSqueeze is how often a transaction is made smaller before a single record
 // that is still refused is given up, so as not to hold up all others.
-const maxSqueeze = 6
+const maxSizeReductions = 6
 
 // refused deals with a transaction that the state service calls invalid: either
 // its limits were lowered, or one of the records is too large for them.
-func (w *committer) refused(b *batch) {
+func (w *committer) handleInvalidTransaction(refused *batch) {
 	c := w.core
-	w.busy = false
-	raised := c.raiseLevelOnSizeRefusal(b.changes)
-	w.requeue(b)
+	w.inFlight = false
+	raised := c.raiseLevelOnSizeRefusal(refused.changes)
+	w.requeue(refused)
 	if !raised {
-		if w.sizeReductions++; w.sizeReductions > maxSqueeze {
+		if w.sizeReductions++; w.sizeReductions > maxSizeReductions {
 			r := w.urgent[0]
 			slog.Error("record given up: the state service refuses it", "key", r.key)
 			w.urgent = w.urgent[1:]
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -16,16 +16,16 @@
 )
 
 // still is a world in which time stands still and nothing answers.
-type still struct{ Env }
+type frozenEnv struct{ Env }
 
-func (still) Now() Micros  { return 10 * clock.Second }
-func (still) Wall() Micros { return 1_700_000_010 * clock.Second }
+func (frozenEnv) Now() Micros  { return 10 * clock.Second }
+func (frozenEnv) Wall() Micros { return 1_700_000_010 * clock.Second }
 
 // loading makes a core as a new leader is while it reads its records.
 func newLoadingCore(level int, state config.StateLimits) *Core {
 	cfg := new(config.Config)
 	cfg.Params.State = state
-	c := &Core{accountIndex: newAccountIndex(cfg), served: admit.NewObjectiveTracker(nil), env: still{}, cfg: cfg, policy: policy.Default(), format: formatState{maxLevel: LevelTasks, level: level},
+	c := &Core{accountIndex: newAccountIndex(cfg), objectiveTracker: admit.NewObjectiveTracker(nil), env: frozenEnv{}, cfg: cfg, policy: policy.Default(), format: formatState{maxLevel: LevelTasks, level: level},
 		jobs: map[string]*sched.Job{}, finalRecords: map[string]finalRecord{}, machines: map[string]*sched.Machine{}, machineGroups: map[string]*machineGroup{}, allowance: admit.NewAllowance(newAccountIndex(cfg), admit.Limits{}),
 		teams: map[string]*sched.Team{"core": {Name: "core"}}, fetchRates: map[string]float64{}, arrivals: map[string]*arrivalStats{}}
 	c.committer = committer{core: c, pending: map[string]*pendingWrite{}}
@@ -38,17 +38,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := map[string][]byte{}
+	records := map[string][]byte{}
 	for line := range strings.Lines(string(raw)) {
 		key, value, ok := strings.Cut(strings.TrimSpace(line), " ")
 		if !ok || key == "#" {
 			continue
 		}
-		if out[key], err = hex.DecodeString(value); err != nil {
+		if records[key], err = hex.DecodeString(value); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return out
+	return records
 }
 
 func loadRecords(t *testing.T, c *Core, records map[string][]byte) {
@@ -68,13 +68,13 @@
 	for id, p := range progress {
 		c.restoreProgress(c.jobs[id], p)
 	}
-	found := c.restoreDoneTasks(tasks)
+	taskRecords := c.restoreDoneTasks(tasks)
 	for key, value := range records {
 		if strings.HasPrefix(key, machinePrefix) {
 			c.restoreMachine(&wire.Item{Key: key, Value: value})
 		}
 	}
-	for _, f := range found {
+	for _, f := range taskRecords {
 		c.restorePlacements(f)
 	}
 	c.sortMachines()
@@ -83,16 +83,16 @@
 // written renders what waits to be written.
 func renderPending(c *Core, t *testing.T) map[string][]byte {
 	t.Helper()
-	out := map[string][]byte{}
+	values := map[string][]byte{}
 	for _, r := range c.committer.pending {
 		changes, ok := r.render()
 		for _, ch := range changes {
 			if ok && ch.PutKey != "" {
-				out[ch.PutKey] = ch.Value
+				values[ch.PutKey] = ch.Value
 			}
 		}
 	}
-	return out
+	return values
 }
 
 func checkRestored(t *testing.T, c *Core) {
@@ -139,10 +139,10 @@
 			t.Errorf("%s: written %x\nproduction %x", key, got[key], records[key])
 		}
 	}
-	changes, why := c.jobChanges(c.jobs["req-000001"].Spec)
+	changes, rejectReason := c.jobChanges(c.jobs["req-000001"].Spec)
 	rec, err := decodeJobRecord(changes[0].Value, nil)
-	if why != "" || err != nil || rec.Job.Tasks != 12 || len(changes[0].Value) != len(records["j/req-000001"]) {
-		t.Errorf("job record: %s, %v, %d bytes", why, err, len(changes[0].Value))
+	if rejectReason != "" || err != nil || rec.Job.Tasks != 12 || len(changes[0].Value) != len(records["j/req-000001"]) {
+		t.Errorf("job record: %s, %v, %d bytes", rejectReason, err, len(changes[0].Value))
 	}
 
 	c.format.level = LevelTasks
@@ -167,10 +167,10 @@
 		records[key] = value
 	}
 	records["j/req-000001/s"] = wire.Encode(c.progressRecordOf(c.jobs["req-000001"]))
-	again := newLoadingCore(LevelTasks, c.cfg.Params.State)
-	loadRecords(t, again, records)
-	checkRestored(t, again)
-	if m := again.machines["m-000002"]; len(m.Placements) != 1 || !m.Placements["req-000001/4"].InJobRecord {
+	migrated := newLoadingCore(LevelTasks, c.cfg.Params.State)
+	loadRecords(t, migrated, records)
+	checkRestored(t, migrated)
+	if m := migrated.machines["m-000002"]; len(m.Placements) != 1 || !m.Placements["req-000001/4"].InJobRecord {
 		t.Errorf("placements of m-000002: %v", m.Placements)
 	}
 	var f finalRecord
