--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -87,7 +87,7 @@
 	reportingWorkers map[string]*reportingWorker // workers that reported while not leading
 	deferredReports  []func()                    // reports that came before the records were read
 	lateRenewals     int                         // leases renewed past this leader's deadline
-	longExpired      bool                        // it was past its deadline for long, in this term
+	leaseLongExpired bool                        // it was past its deadline for long, in this term
 	catalog          []wire.MachineType
 	submissions      submissionBatcher
 	forwarding       submissionForwarding
@@ -113,7 +113,7 @@
 	fetchRates          map[string]float64
 	committer           committer
 	finalReadWaiters    map[string][]*sched.Job // who waits for a final state to be read
-	attempts            uint64
+	attemptCount        uint64
 	rentalCount         uint64
 	pendingRentals      map[string]fleet.Rental
 	refusedUntil        map[fleet.MachineKind]Micros
@@ -124,10 +124,10 @@
 	openIntents         map[string]bool
 	releaseCount        uint64
 	arrivals            map[string]*arrivalStats
-	planSet             bool
-	planned             Micros
-	unplaced            []sched.Unplaced
-	lastReport          Micros
+	passScheduled       bool
+	lastPassAt          Micros
+	unplacedTasks       []sched.Unplaced
+	lastReportAt        Micros
 	ordersInFlight      int // orders under way
 	orderQueue          []*sched.Machine
 	moveBudgetUpdatedAt Micros  // up to when moves of replicas are accounted for
@@ -135,20 +135,20 @@
 	spotLosses          spotLosses
 	allocator           *admit.Allocator
 	shares              *admit.TeamShares
-	demands             []admit.Demand // of the latest pass, by account
-	served              *admit.ObjectiveTracker
+	accountDemands      []admit.Demand // of the latest pass, by account
+	objectiveTracker    *admit.ObjectiveTracker
 	fairShares          []admit.Entitlement // nil while not overloaded
 	router              *carrier.Router
 }
 
 type peerInfo struct {
-	lastMessageAt  Micros
-	stateOK        bool
-	reports        uint32
-	term           uint64
-	names          duplicateNameDetector
-	sockets        float64        // share of its connections in use
-	writeShareKind writeShareKind // how much of the state service's changes it takes for submissions
+	lastMessageAt    Micros
+	stateOK          bool
+	reportingWorkers uint32
+	term             uint64
+	duplicateNames   duplicateNameDetector
+	connectionUsage  float64        // share of its connections in use
+	writeShareKind   writeShareKind // how much of the state service's changes it takes for submissions
 }
 
 // heard reports whether the peer spoke to this node of late.
@@ -165,17 +165,17 @@
 
 // New makes a controller that speaks all format levels. Start must be called on
 // the owner goroutine.
-func New(env Env, cfg *config.Config, pol *policy.Policy, incarnation uint64) *Core {
-	return NewAtLevel(env, cfg, pol, incarnation, HighestLevel)
+func New(env Env, cfg *config.Config, controllerPolicy *policy.Policy, incarnation uint64) *Core {
+	return NewAtLevel(env, cfg, controllerPolicy, incarnation, HighestLevel)
 }
 
 // NewAt makes a controller that speaks no higher format level than the given one,
 // as one of version 0.1 does.
-func NewAtLevel(env Env, cfg *config.Config, pol *policy.Policy, incarnation uint64, speaks int) *Core {
-	c := &Core{env: env, cfg: cfg, policy: pol, acceptedJobs: map[string]bool{}, levelsReadAt: -clock.Forever,
-		format: formatState{maxLevel: speaks, level: LevelPlacements, peerMaxLevels: map[string]int{}},
+func NewAtLevel(env Env, cfg *config.Config, controllerPolicy *policy.Policy, incarnation uint64, maxLevel int) *Core {
+	c := &Core{env: env, cfg: cfg, policy: controllerPolicy, acceptedJobs: map[string]bool{}, levelsReadAt: -clock.Forever,
+		format: formatState{maxLevel: maxLevel, level: LevelPlacements, peerMaxLevels: map[string]int{}},
 		peers:  map[string]*peerInfo{}, reportingWorkers: map[string]*reportingWorker{}, accountIndex: newAccountIndex(cfg)}
-	c.served = c.newServed()
+	c.objectiveTracker = c.newObjectiveTracker()
 	c.allowance = admit.NewAllowance(c.accountIndex, c.submitLimits())
 	c.submissions.queue = admit.NewQueue[*submission](c.accountIndex.Len(),
 		admit.Bounds{Count: cfg.MaxQueuedSubmissions(), Bytes: int(cfg.Params.Resources.MemoryMB * (1 << 20) / submissionMemoryDivisor)})
@@ -188,9 +188,9 @@
 	c.lastStateContact, c.startedAt = -clock.Forever, env.Now()
 	c.relay = carrier.NewRelay(relayHost{c}, cfg.Name, cfg.WorkerLease(), cfg.MaxClientConns(), cfg.MaxCommandBatches())
 	c.incarnation = incarnation
-	c.elector = lead.New(env, env.State(), lead.Record{Node: cfg.Name, Incarnation: incarnation, Addr: cfg.HostAddr()}, pol.LeaderTTL, lead.Callbacks{
-		OnElected:        c.elected,
-		OnLeadershipLost: c.lost,
+	c.elector = lead.New(env, env.State(), lead.Record{Node: cfg.Name, Incarnation: incarnation, Addr: cfg.HostAddr()}, controllerPolicy.LeaderTTL, lead.Callbacks{
+		OnElected:        c.onElected,
+		OnLeadershipLost: c.onLeadershipLost,
 		OnStoreResponse:  func() { c.lastStateContact = env.Now() },
 	})
 	return c
@@ -207,16 +207,16 @@
 // Start begins the controller's work.
 func (c *Core) Start() {
 	c.elector.Start()
-	c.every(clock.Second, c.hello)
-	c.every(500*clock.Millisecond, c.tick)
+	c.runEvery(clock.Second, c.sendHellos)
+	c.runEvery(500*clock.Millisecond, c.tick)
 	c.loadCatalog()
 	c.readLevels(func(bool) { c.announceLevel() })
 }
 
 // every runs f now and then again and again.
-func (c *Core) every(d Micros, f func()) {
+func (c *Core) runEvery(interval Micros, f func()) {
 	f()
-	c.env.After(d, func() { c.every(d, f) })
+	c.env.After(interval, func() { c.runEvery(interval, f) })
 }
 
 func stdTime(m Micros) time.Time { return time.UnixMicro(int64(m)) }
@@ -255,24 +255,24 @@
 	if c.stateOK() {
 		return true
 	}
-	heard := false
+	peerReached := false
 	for _, p := range c.peers {
 		if c.env.Now()-p.lastMessageAt < 3*clock.Second {
-			heard = true
+			peerReached = true
 			if p.stateOK {
 				return false
 			}
 		}
 	}
 	// Who reaches neither the state service nor a peer is more likely cut off himself.
-	return heard || len(c.peers) == 0
+	return peerReached || len(c.peers) == 0
 }
 
 // cutOff reports whether this leader has lost the state service, so that its lead is over,
 // and all its peers as well, so that none of them can say who succeeded it. An outage of
 // the state service alone leaves the peers.
 func (c *Core) lostStateAndPeers(now Micros) bool {
-	if len(c.peers) == 0 || now < c.elector.LeaseDeadline()+successorTime {
+	if len(c.peers) == 0 || now < c.elector.LeaseDeadline()+electionDuration {
 		return false
 	}
 	for _, p := range c.peers {
@@ -284,13 +284,13 @@
 }
 
 // successorTime is about what an election takes once a lease has ended.
-const successorTime = clock.Second
+const electionDuration = clock.Second
 
 func (c *Core) stateOK() bool { return c.env.Now()-c.lastStateContact < 2500*clock.Millisecond }
 
 // hello tells the peers how this node fares, and probes the state service when
 // nothing else did.
-func (c *Core) hello() {
+func (c *Core) sendHellos() {
 	now := c.env.Now()
 	if now-c.lastStateContact > 700*clock.Millisecond {
 		c.env.State().Get(lead.TermKey, func(o store.Outcome, _ *wire.Item) {
@@ -303,12 +303,12 @@
 	notice := c.maintainAdmission(now)
 	for _, p := range c.cfg.Peers { // in the same order each time
 		name := p.Name
-		greeting := c.newMessage(fb.KindHello)
-		greeting.AdmissionNotice = c.noticeFor(name, notice)
-		greeting.ConnectionUsagePermille = int(c.env.ConnectionUsage() * 1000)
-		c.env.Call(name, greeting, clock.Second, func(m *peer.Msg) {
+		hello := c.newMessage(fb.KindHello)
+		hello.AdmissionNotice = c.noticeFor(name, notice)
+		hello.ConnectionUsagePermille = int(c.env.ConnectionUsage() * 1000)
+		c.env.Call(name, hello, clock.Second, func(m *peer.Msg) {
 			if m != nil {
-				c.learn(m)
+				c.updatePeerInfo(m)
 				c.applyAdmissionTable(m.AdmissionTable, now)
 				c.applyRelays(m.RelayTable)
 			}
@@ -337,17 +337,17 @@
 	return m
 }
 
-func (c *Core) learn(m *peer.Msg) {
+func (c *Core) updatePeerInfo(m *peer.Msg) {
 	p := c.peers[m.Node]
 	if p == nil {
 		return
 	}
-	if p.names.observe(m.Incarnation, c.env.Now()) {
+	if p.duplicateNames.observe(m.Incarnation, c.env.Now()) {
 		slog.Error("two processes run under one name", "name", m.Node)
 	}
-	p.lastMessageAt, p.stateOK, p.reports, p.term = c.env.Now(), m.StateOK, m.ReportingWorkers, m.Term
+	p.lastMessageAt, p.stateOK, p.reportingWorkers, p.term = c.env.Now(), m.StateOK, m.ReportingWorkers, m.Term
 	if m.Kind == fb.KindHello {
-		p.sockets = float64(m.ConnectionUsagePermille) / 1000
+		p.connectionUsage = float64(m.ConnectionUsagePermille) / 1000
 	}
 	c.recordNodeLevel(m.Node, m.MaxFormatLevel, m.FormatLevel)
 	if c.elector.Leading() && m.Term > c.elector.Term() {
@@ -357,7 +357,7 @@
 
 // OnPeer handles a message of another controller.
 func (c *Core) HandlePeerMessage(m *peer.Msg, reply func(*peer.Msg)) {
-	c.learn(m)
+	c.updatePeerInfo(m)
 	answer := func(a Answer) {
 		r := c.newMessage(fb.KindAnswer)
 		r.Code, r.Job, r.RetryAfter = a.Code, a.Status.ID, a.RetryAfter
@@ -405,10 +405,10 @@
 }
 
 // elected begins a term: all state is read again from the state service.
-func (c *Core) elected(term uint64) {
+func (c *Core) onElected(term uint64) {
 	now := c.env.Now()
-	c.term, c.electedAt, c.loaded, c.longExpired = term, now, false, false
-	c.lastReport, c.moveBudgetUpdatedAt, c.moveBudget = now, now, 0
+	c.term, c.electedAt, c.loaded, c.leaseLongExpired = term, now, false, false
+	c.lastReportAt, c.moveBudgetUpdatedAt, c.moveBudget = now, now, 0
 	c.jobs = map[string]*sched.Job{}
 	c.finalRecords = map[string]finalRecord{}
 	c.finalReadWaiters = map[string][]*sched.Job{}
@@ -424,13 +424,13 @@
 	}
 	c.fetchRates, c.spotLosses = map[string]float64{}, spotLosses{updatedAt: now}
 	c.committer = committer{core: c, pending: map[string]*pendingWrite{}}
-	c.attempts, c.rentalCount = 0, 0
+	c.attemptCount, c.rentalCount = 0, 0
 	c.pendingRentals = map[string]fleet.Rental{}
 	c.refusedUntil = map[fleet.MachineKind]Micros{}
 	c.releaseQueue, c.pendingReleases, c.releaseCount, c.releaseInFlight = nil, nil, 0, false
 	c.openIntents = map[string]bool{}
 	c.arrivals = map[string]*arrivalStats{}
-	c.unplaced = nil
+	c.unplacedTasks = nil
 	c.ordersInFlight, c.orderQueue = 0, nil
 	c.format.raising = false
 	c.router = carrier.NewRouter(relayHost{c}, term, c.cfg.MaxCommandBatches())
@@ -439,7 +439,7 @@
 	c.load(term)
 }
 
-func (c *Core) lost() {
+func (c *Core) onLeadershipLost() {
 	c.loaded = false
 	c.logLateRenewals()
 	c.handleDeferredReports()
@@ -478,9 +478,9 @@
 }
 
 // attempt hands out attempt numbers that no leader uses twice.
-func (c *Core) attempt() uint64 {
-	c.attempts++
-	return c.term<<32 | c.attempts
+func (c *Core) nextAttempt() uint64 {
+	c.attemptCount++
+	return c.term<<32 | c.attemptCount
 }
 
 // tick looks after everything that time alone changes.
@@ -495,9 +495,9 @@
 	if !c.elector.HoldsValidLease() {
 		// Giving up a lead that is over helps nobody, and one cut off has sent its workers
 		// away itself: they come back to be kept where they find no successor.
-		c.lastReport = now
-		c.longExpired = c.longExpired || c.loaded && now-c.elector.LeaseDeadline() > c.cfg.WorkerLease()/2
-	} else if c.longExpired {
+		c.lastReportAt = now
+		c.leaseLongExpired = c.leaseLongExpired || c.loaded && now-c.elector.LeaseDeadline() > c.cfg.WorkerLease()/2
+	} else if c.leaseLongExpired {
 		// The key was never lost, but the workers look elsewhere, and all that was judged by
 		// their silence is wrong: one that led on returned the whole fleet after an outage
 		// longer than a lease (scenario state_outage_keeps_fleet). All is read again.
@@ -519,7 +519,7 @@
 		c.maintainMachines(now)
 		c.maintainRelays()
 		c.probePartitions(now)
-		c.probeSilent(now)
+		c.probeOverdueMachines(now)
 		c.sendOrders()
 		c.requestSchedulingPass()
 	}
@@ -533,54 +533,54 @@
 	// A worker reports at least every 1.25 intervals, so by then all are missing.
 	// Each second counts: redirected workers come back to a leader that does not
 	// answer and wait there for 4 s, while their leases run out.
-	quiet := max(7*c.cfg.ReportInterval()/4, 5*clock.Second/2)
+	maxSilence := max(7*c.cfg.ReportInterval()/4, 5*clock.Second/2)
 	// Workers may need several tries to find a new leader, and if its peers are silent
 	// too, they may be dead. Once some have come, they are missed as soon as at any other
 	// time: found on a day of our own, where a leader was cut off nine seconds after its
 	// election and held on for longer than a lease.
-	since, came := c.lastReport, c.lastReport > c.electedAt
-	if !came {
-		since += 2 * responseTimeout
+	silentSince, reportReceived := c.lastReportAt, c.lastReportAt > c.electedAt
+	if !reportReceived {
+		silentSince += 2 * responseTimeout
 	}
-	if now-since < quiet {
+	if now-silentSince < maxSilence {
 		return false
 	}
-	up := slices.ContainsFunc(c.sortedMachines, func(m *sched.Machine) bool {
+	reportsExpected := slices.ContainsFunc(c.sortedMachines, func(m *sched.Machine) bool {
 		return !m.Releasing && (m.Up || m.Inherited())
 	})
-	if !up {
+	if !reportsExpected {
 		return false
 	}
-	alone := came && len(c.peers) > 0
+	peersSilent := reportReceived && len(c.peers) > 0
 	for _, p := range c.peers {
-		if now-p.lastMessageAt < quiet {
-			alone = false
-			if p.reports > 0 {
+		if now-p.lastMessageAt < maxSilence {
+			peersSilent = false
+			if p.reportingWorkers > 0 {
 				return true
 			}
 		}
 	}
-	return alone
+	return peersSilent
 }
 
 // wake asks for a scheduling pass soon.
 func (c *Core) requestSchedulingPass() {
-	if c.planSet {
+	if c.passScheduled {
 		return
 	}
-	c.planSet = true
-	wait := max(c.planned+c.policy.MaxPassDelay-c.env.Now(), 0)
-	c.env.After(wait, func() {
-		c.planSet = false
+	c.passScheduled = true
+	delay := max(c.lastPassAt+c.policy.MaxPassDelay-c.env.Now(), 0)
+	c.env.After(delay, func() {
+		c.passScheduled = false
 		if c.Serving() {
-			c.planned = c.env.Now()
-			c.plan()
+			c.lastPassAt = c.env.Now()
+			c.runSchedulingPass()
 		}
 	})
 }
 
 // plan runs a scheduling pass and hands its decisions on.
-func (c *Core) plan() {
+func (c *Core) runSchedulingPass() {
 	now := c.env.Now()
 	var pending []*sched.Job
 	for _, j := range c.jobs {
@@ -593,47 +593,47 @@
 			c.fetchRates[t.Name] = max(t.FetchRate, c.policy.DefaultFetchRate)
 		}
 	}
-	out := sched.Plan(&sched.Input{
+	result := sched.Plan(&sched.Input{
 		Now: now, MaxReportAge: c.maxReportAge(), Jobs: pending, Machines: c.sortedMachines, Teams: c.teams,
-		FetchRates: c.fetchRates, NextAttempt: c.attempt, ImageLocalityWindow: c.policy.ImageLocalityWindow,
-		MaxTasksPerMachine: c.maxTasks(), SpotLossRate: c.spotLosses.rate(), FairShare: c.computeShares(now),
+		FetchRates: c.fetchRates, NextAttempt: c.nextAttempt, ImageLocalityWindow: c.policy.ImageLocalityWindow,
+		MaxTasksPerMachine: c.maxTasksPerMachine(), SpotLossRate: c.spotLosses.rate(), FairShare: c.computeShares(now),
 	})
-	for _, pl := range out.Launch {
-		slog.Debug("placed", "task", pl.Task, "class", pl.Job.Spec.Class, "machine", pl.Machine.ID, "spot", pl.Machine.Spot, "delay", pl.FetchDelay)
+	for _, placement := range result.Launch {
+		slog.Debug("placed", "task", placement.Task, "class", placement.Job.Spec.Class, "machine", placement.Machine.ID, "spot", placement.Machine.Spot, "delay", placement.FetchDelay)
 		if c.format.level >= LevelTasks {
-			c.savePlacement(pl)
+			c.savePlacement(placement)
 			continue
 		}
-		c.saveMachine(pl.Machine, c.whileInTerm(func() {
-			pl.Committed = true
-			c.queueOrder(pl.Machine)
+		c.saveMachine(placement.Machine, c.whileInTerm(func() {
+			placement.Committed = true
+			c.queueOrder(placement.Machine)
 		}))
 	}
-	for _, v := range out.Stop {
-		if v.Grace > 0 { // the others go with the launch that they make room for
-			c.queueOrder(v.Machine)
+	for _, victim := range result.Stop {
+		if victim.Grace > 0 { // the others go with the launch that they make room for
+			c.queueOrder(victim.Machine)
 		}
 	}
 	c.sendOrders()
-	c.unplaced = out.Unplaced
+	c.unplacedTasks = result.Unplaced
 	c.rentMachines(now)
 	c.committer.startTransaction()
-	if len(out.Launch)+len(out.Stop) > 0 {
-		slog.Debug("plan", "launch", len(out.Launch), "stop", len(out.Stop), "unplaced", len(out.Unplaced))
+	if len(result.Launch)+len(result.Stop) > 0 {
+		slog.Debug("plan", "launch", len(result.Launch), "stop", len(result.Stop), "unplaced", len(result.Unplaced))
 	}
 }
 
 // maxTasks is how many tasks a machine may hold: while its record must hold them,
 // as many as surely fit in there.
-func (c *Core) maxTasks() int {
+func (c *Core) maxTasksPerMachine() int {
 	if c.format.level < LevelTasks {
-		return c.stateLimits().ValueBytes() / placeSize
+		return c.stateLimits().ValueBytes() / maxPlacementSize
 	}
 	return math.MaxInt
 }
 
 // placeSize is more than a placement takes in its machine's record.
-const placeSize = 250
+const maxPlacementSize = 250
 
 // fresh is how old a machine's last report may be for new tasks.
 func (c *Core) maxReportAge() Micros { return 5 * c.cfg.ReportInterval() / 2 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -27,39 +27,39 @@
 		c.recordArrival(j)
 		return
 	}
-	for _, n := range sched.RemoveDependencies(j) {
-		c.archive(n)
+	for _, dependency := range sched.RemoveDependencies(j) {
+		c.archive(dependency)
 	}
 	j.UnmetDependencies = 0
-	ready, doomed := j.Submitted, false
+	ready, dependencyCancelled := j.Submitted, false
 	for _, id := range j.Spec.DependsOn {
-		if n := c.jobs[id]; n != nil {
-			sched.AddDependency(j, n)
-			switch n.CommittedPhase {
+		if dependency := c.jobs[id]; dependency != nil {
+			sched.AddDependency(j, dependency)
+			switch dependency.CommittedPhase {
 			case wire.PhaseDone:
-				ready = max(ready, c.endTimeOrNow(n.EndedAt))
+				ready = max(ready, c.endTimeOrNow(dependency.EndedAt))
 			case wire.PhaseCancelled:
-				doomed = true
+				dependencyCancelled = true
 			default:
 				j.UnmetDependencies++
 			}
 			continue
 		}
-		f, known := c.finalRecords[id]
+		final, known := c.finalRecords[id]
 		switch {
 		case !known:
 			j.UnmetDependencies++
-			c.readNeed(id, j)
-		case f.Phase == wire.PhaseCancelled:
-			doomed = true
-		case f.EndedAt != 0:
-			ready = max(ready, c.toSteadyTime(f.EndedAt))
+			c.readDependency(id, j)
+		case final.Phase == wire.PhaseCancelled:
+			dependencyCancelled = true
+		case final.EndedAt != 0:
+			ready = max(ready, c.toSteadyTime(final.EndedAt))
 		default:
 			ready = c.env.Now()
 		}
 	}
 	switch {
-	case doomed:
+	case dependencyCancelled:
 		c.cancelWithDependents(j, nil)
 	case j.UnmetDependencies == 0:
 		c.becomeReady(j, ready)
@@ -67,19 +67,19 @@
 }
 
 // overAt is when a job ended, or now if nobody noted that.
-func (c *Core) endTimeOrNow(at Micros) Micros {
-	if at == 0 {
+func (c *Core) endTimeOrNow(endedAt Micros) Micros {
+	if endedAt == 0 {
 		return c.env.Now()
 	}
-	return at
+	return endedAt
 }
 
 // becomeReady lets a job start: all that it awaits is done.
-func (c *Core) becomeReady(j *sched.Job, at Micros) {
-	slog.Debug("ready", "job", j.ID, "after", (at - j.Submitted).Seconds())
-	c.setReady(j, at)
-	for _, n := range sched.RemoveDependencies(j) {
-		c.archive(n)
+func (c *Core) becomeReady(j *sched.Job, readyAt Micros) {
+	slog.Debug("ready", "job", j.ID, "after", (readyAt - j.Submitted).Seconds())
+	c.setReady(j, readyAt)
+	for _, dependency := range sched.RemoveDependencies(j) {
+		c.archive(dependency)
 	}
 	c.saveProgress(j, classBackground, nil)
 	c.queuePendingTasks(j)
@@ -91,18 +91,18 @@
 // cancelled with it.
 func (c *Core) resolveDependents(j *sched.Job) {
 	if j.CommittedPhase == wire.PhaseCancelled {
-		for _, n := range sched.RemoveDependencies(j) {
-			c.archive(n)
+		for _, dependency := range sched.RemoveDependencies(j) {
+			c.archive(dependency)
 		}
 	}
-	for _, d := range slices.Clone(j.DirectDependents) {
+	for _, dependent := range slices.Clone(j.DirectDependents) {
 		switch {
-		case !d.Active() || !d.HasUnmetDependencies():
+		case !dependent.Active() || !dependent.HasUnmetDependencies():
 		case j.CommittedPhase == wire.PhaseCancelled: // it came after the cascade was begun
-			c.cancelWithDependents(d, nil)
+			c.cancelWithDependents(dependent, nil)
 		default:
-			if d.UnmetDependencies--; d.UnmetDependencies == 0 {
-				c.becomeReady(d, c.env.Now())
+			if dependent.UnmetDependencies--; dependent.UnmetDependencies == 0 {
+				c.becomeReady(dependent, c.env.Now())
 			}
 		}
 	}
@@ -112,24 +112,24 @@
 // are queued in the order of the pipeline, and the committer keeps that: nothing
 // is called cancelled before what it needs is. then runs when all of it is
 // committed.
-func (c *Core) cancelWithDependents(j *sched.Job, then func()) {
-	left := 1
+func (c *Core) cancelWithDependents(j *sched.Job, onCommitted func()) {
+	pending := 1
 	committed := func() {
-		if left--; left == 0 && then != nil {
-			then()
+		if pending--; pending == 0 && onCommitted != nil {
+			onCommitted()
 		}
 	}
-	for _, d := range append([]*sched.Job{j}, j.Dependents()...) {
-		if d.CommittedPhase != "" {
+	for _, affected := range append([]*sched.Job{j}, j.Dependents()...) {
+		if affected.CommittedPhase != "" {
 			continue
 		}
-		if !d.Ended {
-			slog.Debug("cancel", "job", d.ID)
-			d.Cancelled, d.Ended, d.Queue = true, true, nil
-			c.dropUnsentPlacements(d)
+		if !affected.Ended {
+			slog.Debug("cancel", "job", affected.ID)
+			affected.Cancelled, affected.Ended, affected.Queue = true, true, nil
+			c.dropUnsentPlacements(affected)
 		}
-		left++
-		c.commitJobEnd(d, committed)
+		pending++
+		c.commitJobEnd(affected, committed)
 	}
 	c.requestSchedulingPass()
 	committed()
@@ -158,8 +158,8 @@
 		return true
 	}
 	return j.HasUnmetDependencies() && slices.ContainsFunc(j.Spec.DependsOn, func(id string) bool {
-		if n := c.jobs[id]; n != nil {
-			return c.mayBeCancelled(n)
+		if dependency := c.jobs[id]; dependency != nil {
+			return c.mayBeCancelled(dependency)
 		}
 		_, known := c.finalRecords[id]
 		return !known
@@ -167,66 +167,66 @@
 }
 
 // needsRead is how many needs of a job are looked up for a query.
-const needsRead = 8
+const maxDependencyLookups = 8
 
 // unlessDoomed answers from the record of a job that has not begun, unless something that it
 // awaits is found cancelled, or can't be found out.
-func (c *Core) answerUnlessCancelled(record []byte, a Answer, reply func(Answer)) {
-	var r jobRecord
-	switch err := msgpack.Unmarshal(record, &r); {
-	case err == nil && (len(r.Job.DependsOn) == 0 && r.Parts == 0 || !c.cancellationMayBeDue(c.toSteadyTime(r.AcceptedAt))):
-		reply(a)
+func (c *Core) answerUnlessCancelled(record []byte, answer Answer, reply func(Answer)) {
+	var rec jobRecord
+	switch err := msgpack.Unmarshal(record, &rec); {
+	case err == nil && (len(rec.Job.DependsOn) == 0 && rec.AwaitsKeys == 0 || !c.cancellationMayBeDue(c.toSteadyTime(rec.AcceptedAt))):
+		reply(answer)
 		return
-	case err != nil || r.Parts > 0 || len(r.Job.DependsOn) > needsRead:
+	case err != nil || rec.AwaitsKeys > 0 || len(rec.Job.DependsOn) > maxDependencyLookups:
 		reply(unavailable)
 		return
 	}
-	left := len(r.Job.DependsOn)
-	for _, id := range r.Job.DependsOn {
-		c.lookup(id, func(need Answer) {
-			if need.Code != 200 || need.Status.Phase == wire.PhaseCancelled {
-				a = unavailable
+	pending := len(rec.Job.DependsOn)
+	for _, id := range rec.Job.DependsOn {
+		c.lookupStatus(id, func(dependency Answer) {
+			if dependency.Code != 200 || dependency.Status.Phase == wire.PhaseCancelled {
+				answer = unavailable
 			}
-			if left--; left == 0 {
-				reply(a)
+			if pending--; pending == 0 {
+				reply(answer)
 			}
 		})
 	}
 }
 
 // needRetry is the pause before a need that could not be read is read again.
-const needRetry = 500 * clock.Millisecond
+const dependencyRetryDelay = 500 * clock.Millisecond
 
 // readNeed reads the final state of a job that is not in memory.
-func (c *Core) readNeed(id string, j *sched.Job) {
-	if waiting, under := c.finalReadWaiters[id]; under {
+func (c *Core) readDependency(id string, j *sched.Job) {
+	if waiting, reading := c.finalReadWaiters[id]; reading {
 		c.finalReadWaiters[id] = append(waiting, j)
 		return
 	}
 	c.finalReadWaiters[id] = []*sched.Job{j}
-	c.tryNeed(id)
+	c.tryReadDependency(id)
 }
 
-func (c *Core) tryNeed(id string) {
-	again := func() { c.env.After(needRetry, c.whileInTerm(func() { c.tryNeed(id) })) }
+func (c *Core) tryReadDependency(id string) {
+	retry := func() { c.env.After(dependencyRetryDelay, c.whileInTerm(func() { c.tryReadDependency(id) })) }
 	if c.jobs[id] == nil && !c.readBudget.Allow(stdTime(c.env.Now()), admit.DependencyReads) {
-		again()
+		retry()
 		return
 	}
 	term := c.term
-	c.readFinalRecord(id, func(f *finalRecord, absent bool) {
+	c.readFinalRecord(id, func(final *finalRecord, absent bool) {
 		if !c.elector.Leading() || c.term != term || !c.loaded {
 			return
 		}
-		if f == nil && c.jobs[id] == nil {
+		if final == nil && c.jobs[id] == nil {
 			if absent {
 				slog.Error("an awaited job is not to be found", "job", id)
 			}
-			again()
+			retry()
 			return
 		}
-		if f != nil && c.jobs[id] == nil {
-			c.cacheFinalRecord(f)
+		if final != nil && c.jobs[id] == nil {
+			c.cacheFinalRecord(final)
 		}
 		waiting := c.finalReadWaiters[id]
 		delete(c.finalReadWaiters, id)
@@ -243,12 +243,12 @@
 // read, and whether it is surely absent.
 func (c *Core) readFinalRecord(id string, done func(f *finalRecord, absent bool)) {
 	c.env.State().Get(finalPrefix+id, func(o store.Outcome, it *wire.Item) {
-		f := new(finalRecord)
-		if o != store.OK || msgpack.Unmarshal(it.Value, f) != nil || f.Phase == "" {
+		final := new(finalRecord)
+		if o != store.OK || msgpack.Unmarshal(it.Value, final) != nil || final.Phase == "" {
 			done(nil, o == store.Failed)
 			return
 		}
-		done(f, false)
+		done(final, false)
 	})
 }
 
@@ -259,12 +259,12 @@
 }
 
 // maxAccepted bounds how many accepted jobs are remembered.
-const maxAccepted = 50_000
+const maxAcceptedJobs = 50_000
 
 // noteAccepted remembers that a job that others may await was accepted, which
 // never ends.
 func (c *Core) rememberAccepted(id string) {
-	if len(c.acceptedJobs) >= maxAccepted {
+	if len(c.acceptedJobs) >= maxAcceptedJobs {
 		clear(c.acceptedJobs)
 	}
 	c.acceptedJobs[id] = true
@@ -272,19 +272,19 @@
 
 // judge finds out whether all that a submission awaits was accepted.
 func (c *Core) checkDependencies(job *wire.Job, done func(dependencyResult)) {
-	var v dependencyResult
-	left := 1
+	var result dependencyResult
+	pending := 1
 	finish := func() {
-		if left--; left == 0 {
-			done(v)
+		if pending--; pending == 0 {
+			done(result)
 		}
 	}
 	for _, id := range job.DependsOn {
 		if !wire.ValidID(id) || id == job.ID {
-			v.rejectReason = "awaits: " + id + " is not a job that was accepted"
+			result.rejectReason = "awaits: " + id + " is not a job that was accepted"
 		}
 	}
-	if v.rejectReason != "" {
+	if result.rejectReason != "" {
 		finish()
 		return
 	}
@@ -293,24 +293,24 @@
 			continue
 		}
 		if c.elector.Leading() && c.loaded {
-			if n := c.jobs[id]; n != nil && !n.Service() {
+			if dependency := c.jobs[id]; dependency != nil && !dependency.Service() {
 				c.rememberAccepted(id)
 				continue
 			}
 		}
 		if !c.stateOK() || !c.readBudget.Allow(stdTime(c.env.Now()), admit.DependencyReads) {
-			v.incomplete = true
+			result.incomplete = true
 			break // the rest would be asked for in vain; what was read is remembered
 		}
-		left++
+		pending++
 		c.readAccepted(id, func(accepted, service, known bool) {
 			switch {
 			case !known:
-				v.incomplete = true
+				result.incomplete = true
 			case service:
-				v.rejectReason = "awaits: " + id + " is a service"
+				result.rejectReason = "awaits: " + id + " is a service"
 			case !accepted:
-				v.rejectReason = "awaits: " + id + " is not a job that was accepted"
+				result.rejectReason = "awaits: " + id + " is not a job that was accepted"
 			default:
 				c.rememberAccepted(id)
 			}
--- a/internal/controller/duplicate_names.go
+++ b/internal/controller/duplicate_names.go
@@ -11,42 +11,42 @@
 // but for what a cut held back, so one that is heard again and again after another was
 // is alive.
 type duplicateNameDetector struct {
-	now     uint64   // who spoke last
-	before  []uint64 // who spoke before, the latest last
-	returns int      // how often one of those spoke again
-	since   Micros   // of the first of the returns
-	told    Micros   // when it was last told, or 0
+	current        uint64   // who spoke last
+	previous       []uint64 // who spoke before, the latest last
+	returns        int      // how often one of those spoke again
+	firstReturnAt  Micros   // of the first of the returns
+	lastReportedAt Micros   // when it was last told, or 0
 }
 
 const (
-	namesakeMemory  = 16 // incarnations; a crash loop makes many
-	namesakeReturns = 4  // a cut that ends delivers its messages in order: one return a link
-	namesakeWindow  = 30 * clock.Second
+	maxPreviousIncarnations = 16 // incarnations; a crash loop makes many
+	minDuplicateReturns     = 4  // a cut that ends delivers its messages in order: one return a link
+	duplicateNameWindow     = 30 * clock.Second
 )
 
 // hear takes in who speaks; it reports whether that is to be told now.
-func (n *duplicateNameDetector) observe(incarnation uint64, now Micros) bool {
-	if incarnation == 0 || incarnation == n.now {
+func (d *duplicateNameDetector) observe(incarnation uint64, now Micros) bool {
+	if incarnation == 0 || incarnation == d.current {
 		return false
 	}
-	again := slices.Contains(n.before, incarnation)
-	if n.now != 0 && !slices.Contains(n.before, n.now) {
-		n.before = append(n.before, n.now)
-		if len(n.before) > namesakeMemory {
-			n.before = slices.Delete(n.before, 0, 1)
+	returned := slices.Contains(d.previous, incarnation)
+	if d.current != 0 && !slices.Contains(d.previous, d.current) {
+		d.previous = append(d.previous, d.current)
+		if len(d.previous) > maxPreviousIncarnations {
+			d.previous = slices.Delete(d.previous, 0, 1)
 		}
 	}
-	n.now = incarnation
-	if !again {
+	d.current = incarnation
+	if !returned {
 		return false
 	}
-	if now-n.since > namesakeWindow {
-		n.since, n.returns = now, 0
+	if now-d.firstReturnAt > duplicateNameWindow {
+		d.firstReturnAt, d.returns = now, 0
 	}
-	n.returns++
-	if n.returns < namesakeReturns || n.told != 0 && now-n.told < namesakeWindow {
+	d.returns++
+	if d.returns < minDuplicateReturns || d.lastReportedAt != 0 && now-d.lastReportedAt < duplicateNameWindow {
 		return false
 	}
-	n.told = now
+	d.lastReportedAt = now
 	return true
 }
--- a/internal/controller/format_level.go
+++ b/internal/controller/format_level.go
@@ -54,7 +54,7 @@
 	level         int            // in force
 	peerMaxLevels map[string]int // what the nodes are known to speak
 	raising       bool           // the record of the new level is on its way
-	told          bool           // the state service has this node's announcement
+	announced     bool           // the state service has this node's announcement
 }
 
 // Level is the format level in force, as far as this node knows.
@@ -80,13 +80,13 @@
 // A process before this one may have said the same: then nothing is written, so that a
 // loop of crashes costs no changes.
 func (c *Core) announceLevel() {
-	if c.format.maxLevel < LevelTasks || c.format.told {
+	if c.format.maxLevel < LevelTasks || c.format.announced {
 		return
 	}
-	again := func() { c.env.After(clock.Second, c.announceLevel) }
+	retry := func() { c.env.After(clock.Second, c.announceLevel) }
 	at := stdTime(c.env.Now())
 	if c.writeBudget.Available(at, admit.BackgroundWrites) < 1 {
-		again()
+		retry()
 		return
 	}
 	c.writeBudget.Spend(at, admit.BackgroundWrites, 1)
@@ -94,19 +94,19 @@
 		{PutKey: nodePrefix + c.cfg.Name, Value: wire.Encode(&levelRecord{c.format.maxLevel})},
 	}}, func(o store.Outcome, _ *wire.TxnAnswer) {
 		if o != store.OK {
-			again()
+			retry()
 		}
 	})
 }
 
 // hearLevel takes in what is known of another node's process.
-func (c *Core) recordNodeLevel(node string, speaks, level int) {
+func (c *Core) recordNodeLevel(node string, nodeMaxLevel, levelInForce int) {
 	if c.format.maxLevel < LevelTasks {
 		return
 	}
-	c.format.peerMaxLevels[node] = max(c.format.peerMaxLevels[node], speaks)
-	if level = min(level, c.format.maxLevel); level > c.format.level {
-		c.raise(level, "another node says so")
+	c.format.peerMaxLevels[node] = max(c.format.peerMaxLevels[node], nodeMaxLevel)
+	if levelInForce = min(levelInForce, c.format.maxLevel); levelInForce > c.format.level {
+		c.raiseLevel(levelInForce, "another node says so")
 	}
 }
 
@@ -127,7 +127,7 @@
 				continue
 			}
 			if l.Items[i].Key == nodePrefix+c.cfg.Name && r.Level == c.format.maxLevel {
-				c.format.told = true
+				c.format.announced = true
 			}
 			if l.Items[i].Key == levelKey {
 				c.recordNodeLevel("", 0, r.Level)
@@ -145,35 +145,35 @@
 	if c.format.level >= c.format.maxLevel || c.format.raising {
 		return
 	}
-	all := c.format.maxLevel
+	commonLevel := c.format.maxLevel
 	for name := range c.peers {
-		all = min(all, c.format.peerMaxLevels[name])
+		commonLevel = min(commonLevel, c.format.peerMaxLevels[name])
 	}
-	if all < c.format.maxLevel && now-c.levelsReadAt > 2*clock.Second {
+	if commonLevel < c.format.maxLevel && now-c.levelsReadAt > 2*clock.Second {
 		c.levelsReadAt = now
 		c.readLevels(func(bool) {})
 	}
-	if all > c.format.level {
-		c.recordLevel(all, func() { c.raise(all, "every node speaks it") })
+	if commonLevel > c.format.level {
+		c.recordLevel(commonLevel, func() { c.raiseLevel(commonLevel, "every node speaks it") })
 	}
 }
 
 // recordLevel writes a level for good.
-func (c *Core) recordLevel(level int, then func()) {
+func (c *Core) recordLevel(level int, done func()) {
 	c.format.raising = true
 	c.committer.put(levelKey, func() []byte { return wire.Encode(&levelRecord{max(level, c.format.level)}) }, c.whileInTerm(func() {
 		c.format.raising = false
-		then()
+		done()
 	}))
 }
 
 // raise begins to write a new level and to keep the next limits.
-func (c *Core) raise(level int, why string) {
+func (c *Core) raiseLevel(level int, reason string) {
 	if c.format.level >= level {
 		return
 	}
 	c.format.level = level
-	slog.Info("format level raised", "level", c.format.level, "why", why)
+	slog.Info("format level raised", "level", c.format.level, "why", reason)
 	c.updateWriteRate()
 	c.readBudget.SetRate(stdTime(c.env.Now()), c.stateLimits().RPS*readShare)
 	if c.elector.Leading() && c.loaded {
@@ -212,15 +212,15 @@
 // refusal of what the present limits allow and the next ones don't proves that
 // the upgrade is over.
 func (c *Core) raiseLevelOnSizeRefusal(changes []wire.Change) bool {
-	low := c.cfg.Params.State.Lowest()
-	over := len(changes) > low.TxnOps
+	lowestLimits := c.cfg.Params.State.Lowest()
+	exceedsLowest := len(changes) > lowestLimits.TxnOps
 	for _, ch := range changes {
-		over = over || ch.Value != nil && wire.JSONSize(ch.Value) > low.ValueBytes()
+		exceedsLowest = exceedsLowest || ch.Value != nil && wire.JSONSize(ch.Value) > lowestLimits.ValueBytes()
 	}
-	if !over || c.format.level >= LevelTasks || c.format.maxLevel < LevelTasks {
+	if !exceedsLowest || c.format.level >= LevelTasks || c.format.maxLevel < LevelTasks {
 		return false
 	}
-	c.raise(LevelTasks, "the state service has its next limits")
+	c.raiseLevel(LevelTasks, "the state service has its next limits")
 	if c.elector.Leading() && c.loaded {
 		c.recordLevel(LevelTasks, func() {})
 	}
--- a/internal/controller/forward_reports.go
+++ b/internal/controller/forward_reports.go
@@ -16,62 +16,62 @@
 // visitor is a worker that reported here while this node did not lead.
 type reportingWorker struct {
 	lastReportAt    Micros // last
-	sent            Micros // when it was last sent to the leader; 0: never
-	leader          string // which
+	redirectedAt    Micros // when it was last sent to the leader; 0: never
+	redirectedTo    string // which
 	forwardingSince Micros // since when its reports are handed on; 0: they are not
 }
 
 const (
 	// forwardTime is how long the leader's answer to a report that was handed on is awaited.
-	forwardTime = 2 * clock.Second
+	forwardTimeout = 2 * clock.Second
 	// forwardFor is how long reports are handed on before the worker tries the leader again.
-	forwardFor = 30 * clock.Second
+	forwardDuration = 30 * clock.Second
 )
 
 // visitorOf is what is known of a worker that reports here while this node does not lead.
 func (c *Core) reportingWorkerOf(machine string) *reportingWorker {
-	s := c.reportingWorkers[machine]
-	if s == nil {
-		s = new(reportingWorker)
-		c.reportingWorkers[machine] = s
+	worker := c.reportingWorkers[machine]
+	if worker == nil {
+		worker = new(reportingWorker)
+		c.reportingWorkers[machine] = worker
 	}
-	return s
+	return worker
 }
 
 // TakeReport handles a worker's report at whichever node it comes to.
-func (c *Core) HandleReport(r *wire.Report, reply func(ReportAnswer)) {
+func (c *Core) HandleReport(report *wire.Report, reply func(ReportAnswer)) {
 	if c.relaying() {
-		c.handleReportWithRelays(r, reply)
+		c.handleReportWithRelays(report, reply)
 	} else {
-		c.takeStraight(r, reply)
+		c.handleReportWithoutRelays(report, reply)
 	}
 }
 
 // takeStraight handles a report while workers report to the leader.
-func (c *Core) takeStraight(r *wire.Report, reply func(ReportAnswer)) {
+func (c *Core) handleReportWithoutRelays(report *wire.Report, reply func(ReportAnswer)) {
 	if c.elector.Leading() && !c.loaded {
-		c.deferUntilLoaded(func() { reply(c.ProcessReport(r)) })
+		c.deferUntilLoaded(func() { reply(c.ProcessReport(report)) })
 		return
 	}
 	leader := c.elector.Leader()
-	if c.elector.Leading() || leader == "" || !c.forwards(r, leader) {
-		a := c.ProcessReport(r)
-		if s := c.reportingWorkers[r.Machine]; s != nil && a.Code == 421 {
-			s.sent, s.leader, s.forwardingSince = c.env.Now(), a.Leader, 0
+	if c.elector.Leading() || leader == "" || !c.shouldForward(report, leader) {
+		answer := c.ProcessReport(report)
+		if worker := c.reportingWorkers[report.Machine]; worker != nil && answer.Code == 421 {
+			worker.redirectedAt, worker.redirectedTo, worker.forwardingSince = c.env.Now(), answer.Leader, 0
 		}
-		reply(a)
+		reply(answer)
 		return
 	}
-	c.reportingWorkers[r.Machine].lastReportAt = c.env.Now()
-	m := c.newMessage(fb.KindReport)
-	m.Body = wire.Encode(r)
-	c.env.Call(leader, m, forwardTime, func(a *peer.Msg) {
+	c.reportingWorkers[report.Machine].lastReportAt = c.env.Now()
+	request := c.newMessage(fb.KindReport)
+	request.Body = wire.Encode(report)
+	c.env.Call(leader, request, forwardTimeout, func(response *peer.Msg) {
 		answer := ReportAnswer{Code: 503}
-		if a != nil && a.Code == 200 && wire.Decode(a.Body, &answer.Body) == nil {
+		if response != nil && response.Code == 200 && wire.Decode(response.Body, &answer.Body) == nil {
 			answer.Code = 200
 		}
-		if s := c.reportingWorkers[r.Machine]; s != nil && answer.Code != 200 {
-			s.forwardingSince = 0
+		if worker := c.reportingWorkers[report.Machine]; worker != nil && answer.Code != 200 {
+			worker.forwardingSince = 0
 		}
 		reply(answer)
 	})
@@ -80,34 +80,34 @@
 // forwards reports whether a worker's report should be handed on to the leader, which this
 // node does reach: the worker has spoken to it in this term, or was sent to it less than a
 // lease ago, and is here all the same.
-func (c *Core) forwards(r *wire.Report, leader string) bool {
-	now, p := c.env.Now(), c.peers[leader]
-	if p == nil || !p.seenRecently(now) || c.format.peerMaxLevels[leader] < LevelGroups {
+func (c *Core) shouldForward(report *wire.Report, leader string) bool {
+	now, leaderPeer := c.env.Now(), c.peers[leader]
+	if leaderPeer == nil || !leaderPeer.seenRecently(now) || c.format.peerMaxLevels[leader] < LevelGroups {
 		return false
 	}
-	s := c.reportingWorkerOf(r.Machine)
+	worker := c.reportingWorkerOf(report.Machine)
 	switch {
-	case s.forwardingSince > 0:
-	case p.term > 0 && r.Token == p.term && (s.sent == 0 || now-s.sent > forwardFor), s.leader == leader && s.sent > 0 && now-s.sent < c.cfg.WorkerLease():
-		s.forwardingSince = now
+	case worker.forwardingSince > 0:
+	case leaderPeer.term > 0 && report.Token == leaderPeer.term && (worker.redirectedAt == 0 || now-worker.redirectedAt > forwardDuration), worker.redirectedTo == leader && worker.redirectedAt > 0 && now-worker.redirectedAt < c.cfg.WorkerLease():
+		worker.forwardingSince = now
 	default:
 		return false
 	}
-	return now-s.forwardingSince < forwardFor
+	return now-worker.forwardingSince < forwardDuration
 }
 
 // onForwarded answers a report that a peer hands on.
 func (c *Core) handleForwardedReport(m *peer.Msg, reply func(*peer.Msg)) {
-	a := ReportAnswer{Code: 400}
-	if r, err := wire.DecodeReport(m.Body); err == nil {
-		a = ReportAnswer{Code: 503}
+	answer := ReportAnswer{Code: 400}
+	if report, err := wire.DecodeReport(m.Body); err == nil {
+		answer = ReportAnswer{Code: 503}
 		if c.elector.Leading() {
-			a = c.ProcessReport(r)
+			answer = c.ProcessReport(report)
 		}
 	}
 	out := c.newMessage(fb.KindAnswer)
-	if out.Code = a.Code; a.Code == 200 {
-		out.Body = wire.Encode(&a.Body)
+	if out.Code = answer.Code; answer.Code == 200 {
+		out.Body = wire.Encode(&answer.Body)
 	}
 	reply(out)
 }
--- a/internal/controller/forward_submissions.go
+++ b/internal/controller/forward_submissions.go
@@ -11,16 +11,16 @@
 // load balancer gives each node the same number of users: in the opening second, with
 // hundreds of them, the leader stood idle while the others told theirs to come back.
 type submissionForwarding struct {
-	out   int    // handed on and not answered yet, at most a quarter of what may wait
-	held  int    // kept until there is a leader
-	until Micros // the leader refused: nothing is handed on before
+	unanswered  int    // handed on and not answered yet, at most a quarter of what may wait
+	held        int    // kept until there is a leader
+	pausedUntil Micros // the leader refused: nothing is handed on before
 }
 
 const (
 	submissionForwardAfter = 60 * clock.Millisecond // a submission that would wait this long here is handed on
-	passPause              = clock.Second           // after a refusal
-	openingEnd             = clock.Second           // of a process's life; a first election takes less
-	holdFor                = 40 * clock.Millisecond
+	forwardPause           = clock.Second           // after a refusal
+	startupPeriod          = clock.Second           // of a process's life; a first election takes less
+	noLeaderDelay          = 40 * clock.Millisecond
 )
 
 // waitHere is how long a submission would wait for its changes at this node; without
@@ -31,11 +31,11 @@
 	}
 	q := c.submissions.queue
 	cost := 1 + len(job.DependsOn)/64
-	short := float64(q.CostAhead(account, c.rank(job), cost)+cost) - c.writeBudget.Available(stdTime(now), admit.SubmissionWrites)
-	if short <= 0 {
+	missing := float64(q.CostAhead(account, c.submissionRank(job), cost)+cost) - c.writeBudget.Available(stdTime(now), admit.SubmissionWrites)
+	if missing <= 0 {
 		return 0
 	}
-	return clock.FromSeconds(short / max(c.submitRate(), 0.1))
+	return clock.FromSeconds(missing / max(c.minSubmissionRate(), 0.1))
 }
 
 // passOn hands a submission to the leader, or keeps it for a moment while the first
@@ -47,22 +47,22 @@
 	}
 	leader := c.elector.Leader()
 	if leader == "" {
-		if now-c.startedAt > openingEnd || c.forwarding.held >= c.cfg.MaxQueuedSubmissions() {
+		if now-c.startedAt > startupPeriod || c.forwarding.held >= c.cfg.MaxQueuedSubmissions() {
 			return false
 		}
 		c.forwarding.held++
-		c.env.After(holdFor, func() {
+		c.env.After(noLeaderDelay, func() {
 			c.forwarding.held--
 			c.enqueue(job, true, reply)
 		})
 		return true
 	}
-	if c.peers[leader] == nil || c.forwarding.out >= c.cfg.MaxQueuedSubmissions()/4 || now < c.forwarding.until {
+	if c.peers[leader] == nil || c.forwarding.unanswered >= c.cfg.MaxQueuedSubmissions()/4 || now < c.forwarding.pausedUntil {
 		return false
 	}
-	c.forwarding.out++
+	c.forwarding.unanswered++
 	c.submitToPeer(leader, job, func(a Answer) {
-		c.forwarding.out--
+		c.forwarding.unanswered--
 		switch a.Code {
 		case 200, 201:
 			c.allowance.CountAccepted(account, a.Code == 200)
@@ -70,7 +70,7 @@
 			c.recordRefusal(account, job)
 		}
 		if a.Code >= 429 { // it has enough to do, or is gone
-			c.forwarding.until = c.env.Now() + passPause
+			c.forwarding.pausedUntil = c.env.Now() + forwardPause
 		}
 		reply(a)
 	})
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -26,28 +26,28 @@
 
 // intentRecord is a rental or a return that may be on its way.
 type intentRecord struct {
-	Rent     *wire.RentRequest `msgpack:"rent,omitempty"`
-	Machines []string          `msgpack:"m,omitempty"`    // to return
-	Done     bool              `msgpack:"done,omitempty"` // gone, but perhaps listed yet; refused, but perhaps rented yet
-	At       int64             `msgpack:"at"`             // time of day, microseconds
+	Rent      *wire.RentRequest `msgpack:"rent,omitempty"`
+	Machines  []string          `msgpack:"m,omitempty"`    // to return
+	Done      bool              `msgpack:"done,omitempty"` // gone, but perhaps listed yet; refused, but perhaps rented yet
+	WrittenAt int64             `msgpack:"at"`             // time of day, microseconds
 }
 
 // returning is machines that are returned by one call.
 type releaseBatch struct {
-	name string
-	ids  []string
+	name       string
+	machineIDs []string
 }
 
 // intend acts once the intent is committed, at once where it is.
-func (c *Core) commitIntent(name string, rec intentRecord, act func()) {
+func (c *Core) commitIntent(name string, rec intentRecord, action func()) {
 	if c.format.level < LevelIntents || c.openIntents[name] {
-		act()
+		action()
 		return
 	}
-	rec.At = c.toWallTime(c.env.Now())
+	rec.WrittenAt = c.toWallTime(c.env.Now())
 	c.committer.put(intentPrefix+name, func() []byte { return wire.Encode(&rec) }, c.whileInTerm(func() {
 		c.openIntents[name] = true
-		act()
+		action()
 	}))
 }
 
@@ -61,26 +61,26 @@
 
 // returned notes that the machines of an intent are gone. The intent stays as long as the
 // cloud's list may name them: a new leader would take them for machines of its own.
-func (c *Core) completeRelease(r releaseBatch) {
-	for _, id := range r.ids {
+func (c *Core) completeRelease(batch releaseBatch) {
+	for _, id := range batch.machineIDs {
 		c.removeMachine(id)
 	}
-	c.retainIntent(r.name, intentRecord{Machines: r.ids}, c.listLag())
+	c.retainIntent(batch.name, intentRecord{Machines: batch.machineIDs}, c.listLag())
 }
 
 // linger keeps an intent that is done for a while.
-func (c *Core) retainIntent(name string, rec intentRecord, span Micros) {
+func (c *Core) retainIntent(name string, rec intentRecord, duration Micros) {
 	if c.format.level < LevelIntents {
 		return
 	}
-	rec.Done, rec.At = true, c.toWallTime(c.env.Now())
+	rec.Done, rec.WrittenAt = true, c.toWallTime(c.env.Now())
 	c.committer.put(intentPrefix+name, func() []byte { return wire.Encode(&rec) }, nil)
-	c.settleAfter(name, span)
+	c.closeIntentAfter(name, duration)
 }
 
 // settleAfter deletes an intent later.
-func (c *Core) settleAfter(name string, span Micros) {
-	c.env.After(span, c.whileInTerm(func() { c.closeIntent(name) }))
+func (c *Core) closeIntentAfter(name string, delay Micros) {
+	c.env.After(delay, c.whileInTerm(func() { c.closeIntent(name) }))
 }
 
 // lateFor is how long a request to the cloud may be on its way. A rental for which the cloud
@@ -89,20 +89,20 @@
 const maxCloudRequestDelay = 600 * clock.Second
 
 // mostReturned is how many machines one call returns.
-const mostReturned = 100
+const maxReleaseBatch = 100
 
 // nextReturn takes the next machines to return off the queue, as many as a call and an
 // intent's record take.
 func (c *Core) nextReleaseBatch() releaseBatch {
-	n := min(len(c.releaseQueue), mostReturned)
+	count := min(len(c.releaseQueue), maxReleaseBatch)
 	limit := c.stateLimits().ValueBytes() - 64
-	for n > 1 && wire.JSONSize(wire.Encode(c.releaseQueue[:n])) > limit {
-		n /= 2
+	for count > 1 && wire.JSONSize(wire.Encode(c.releaseQueue[:count])) > limit {
+		count /= 2
 	}
 	c.releaseCount++
-	r := releaseBatch{"x-" + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.releaseCount, 10), c.releaseQueue[:n:n]}
-	c.releaseQueue = c.releaseQueue[n:]
-	return r
+	batch := releaseBatch{"x-" + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.releaseCount, 10), c.releaseQueue[:count:count]}
+	c.releaseQueue = c.releaseQueue[count:]
+	return batch
 }
 
 // resumeIntents takes up what earlier leaders had begun.
@@ -117,12 +117,12 @@
 		c.openIntents[name] = true
 		switch {
 		case rec.Done && rec.Rent != nil:
-			c.settleAfter(name, max(c.toSteadyTime(rec.At)+maxCloudRequestDelay-c.env.Now(), 0))
+			c.closeIntentAfter(name, max(c.toSteadyTime(rec.WrittenAt)+maxCloudRequestDelay-c.env.Now(), 0))
 		case rec.Done:
 			for _, id := range rec.Machines {
 				c.releasedMachines[id] = true
 			}
-			c.settleAfter(name, c.listLag())
+			c.closeIntentAfter(name, c.listLag())
 		case len(rec.Machines) > 0:
 			slog.Info("return taken up", "intent", name, "machines", len(rec.Machines))
 			for _, id := range rec.Machines {
@@ -136,13 +136,13 @@
 		case rec.Rent != nil:
 			slog.Info("rental taken up", "intent", name, "machines", rec.Rent.Count)
 			c.pendingRentals[name] = fleet.Rental{Kind: kindOf(rec.Rent), Count: rec.Rent.Count}
-			c.sendRental(rec.Rent, c.toSteadyTime(rec.At), true)
+			c.sendRental(rec.Rent, c.toSteadyTime(rec.WrittenAt), true)
 		default:
 			c.closeIntent(name)
 		}
 	}
 }
 
-func kindOf(r *wire.RentRequest) fleet.MachineKind {
-	return fleet.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+func kindOf(request *wire.RentRequest) fleet.MachineKind {
+	return fleet.MachineKind{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
 }
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -25,15 +25,15 @@
 const groupPrefix = "g/"
 
 type groupRecord struct {
-	Type     string    `msgpack:"type"`
-	Zone     string    `msgpack:"zone"`
-	Spot     bool      `msgpack:"spot"`
-	At       int64     `msgpack:"at"` // time of day of the first rental
-	Machines []string  `msgpack:"m"`
-	After    []int64   `msgpack:"a,omitempty"` // how much later each was rented, in seconds
-	Images   []string  `msgpack:"i,omitempty"`
-	Sizes    []float64 `msgpack:"z,omitempty"`
-	Has      [][]int   `msgpack:"h,omitempty"` // of Images, by machine
+	Type             string    `msgpack:"type"`
+	Zone             string    `msgpack:"zone"`
+	Spot             bool      `msgpack:"spot"`
+	FirstRequestedAt int64     `msgpack:"at"` // time of day of the first rental
+	Machines         []string  `msgpack:"m"`
+	DelaySeconds     []int64   `msgpack:"a,omitempty"` // how much later each was rented, in seconds
+	Images           []string  `msgpack:"i,omitempty"`
+	ImageGB          []float64 `msgpack:"z,omitempty"`
+	ImagesByMachine  [][]int   `msgpack:"h,omitempty"` // of Images, by machine
 }
 
 // group is the machines of one record.
@@ -43,30 +43,30 @@
 }
 
 // groupSize is how many machines surely fit in one value of so many bytes.
-func groupSize(limit int) int { return max((limit-256)/machineSize, 1) }
+func maxGroupSize(limitBytes int) int { return max((limitBytes-256)/machineRecordBytes, 1) }
 
 // machineSize is more than a machine takes in its group's record without its images.
-const machineSize = 32
+const machineRecordBytes = 32
 
 // form puts machines of one kind that have no group into groups of their own, and queues
 // those to be written.
-func (c *Core) form(machines []*sched.Machine) {
-	for part := range slices.Chunk(machines, groupSize(c.stateLimits().ValueBytes())) {
+func (c *Core) formGroups(machines []*sched.Machine) {
+	for chunk := range slices.Chunk(machines, maxGroupSize(c.stateLimits().ValueBytes())) {
 		// A name of its own: a machine that was returned may appear once more, and the group
 		// that was named after it would be written over. Found by chaos with late copies.
 		c.groupCount++
-		g := &machineGroup{key: groupPrefix + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.groupCount, 10), members: slices.Clone(part)}
-		for _, m := range part {
-			c.machineGroups[m.ID] = g
+		group := &machineGroup{key: groupPrefix + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.groupCount, 10), members: slices.Clone(chunk)}
+		for _, m := range chunk {
+			c.machineGroups[m.ID] = group
 		}
-		c.saveGroup(g, classBackground, nil)
+		c.saveGroup(group, classBackground, nil)
 	}
 }
 
 // saveNew queues the records of machines of one kind that have just been entered.
 func (c *Core) saveNewMachines(machines []*sched.Machine) {
 	if c.format.level >= LevelGroups {
-		c.form(machines)
+		c.formGroups(machines)
 		return
 	}
 	for _, m := range machines {
@@ -78,7 +78,7 @@
 // there is one, goes when its group is written and its jobs' records hold its places.
 func (c *Core) saveMachineInGroup(m *sched.Machine, class int, done func()) {
 	if c.machineGroups[m.ID] == nil && c.machines[m.ID] == m {
-		c.form([]*sched.Machine{m})
+		c.formGroups([]*sched.Machine{m})
 	}
 	if g := c.machineGroups[m.ID]; g != nil {
 		c.saveGroup(g, class, done)
@@ -88,8 +88,8 @@
 	}
 	key := machinePrefix + m.ID
 	c.committer.add(key, classBackground, func() ([]wire.Change, bool) {
-		here := c.machines[m.ID] == m
-		if here && (!m.InGroupRecord || slices.ContainsFunc(sortedPlacements(m), func(p *sched.Placement) bool { return !p.InJobRecord })) {
+		present := c.machines[m.ID] == m
+		if present && (!m.InGroupRecord || slices.ContainsFunc(sortedPlacements(m), func(p *sched.Placement) bool { return !p.InJobRecord })) {
 			return nil, false
 		}
 		return []wire.Change{{DeleteKey: key}}, true
@@ -97,17 +97,17 @@
 }
 
 // saveGroup queues a group's record.
-func (c *Core) saveGroup(g *machineGroup, class int, done func()) {
-	var written []*sched.Machine
-	c.committer.add(g.key, class, func() ([]wire.Change, bool) {
-		g.members = slices.DeleteFunc(g.members, func(m *sched.Machine) bool { return c.machines[m.ID] != m })
-		written = slices.Clone(g.members)
-		if len(g.members) == 0 {
-			return []wire.Change{{DeleteKey: g.key}}, true
-		}
-		return []wire.Change{{PutKey: g.key, Value: c.renderGroup(g.members, c.stateLimits().ValueBytes())}}, true
+func (c *Core) saveGroup(group *machineGroup, class int, done func()) {
+	var writtenMachines []*sched.Machine
+	c.committer.add(group.key, class, func() ([]wire.Change, bool) {
+		group.members = slices.DeleteFunc(group.members, func(m *sched.Machine) bool { return c.machines[m.ID] != m })
+		writtenMachines = slices.Clone(group.members)
+		if len(group.members) == 0 {
+			return []wire.Change{{DeleteKey: group.key}}, true
+		}
+		return []wire.Change{{PutKey: group.key, Value: c.renderGroup(group.members, c.stateLimits().ValueBytes())}}, true
 	}, c.whileInTerm(func() {
-		for _, m := range written {
+		for _, m := range writtenMachines {
 			m.Recorded, m.InGroupRecord = true, true
 		}
 		if done != nil {
@@ -118,47 +118,49 @@
 
 // renderGroup renders a record in at most limit bytes. Where the images don't fit, those
 // that the fewest machines have are left out: they are fetched again where not known.
-func (c *Core) renderGroup(members []*sched.Machine, limit int) []byte {
+func (c *Core) renderGroup(members []*sched.Machine, limitBytes int) []byte {
 	first := members[0]
 	for _, m := range members {
 		if m.RequestedAt < first.RequestedAt {
 			first = m
 		}
 	}
-	rec := groupRecord{Type: first.Type.Name, Zone: first.Zone, Spot: first.Spot, At: c.toWallTime(first.RequestedAt)}
-	count, size := map[string]int{}, map[string]float64{}
+	rec := groupRecord{Type: first.Type.Name, Zone: first.Zone, Spot: first.Spot, FirstRequestedAt: c.toWallTime(first.RequestedAt)}
+	machineCount, sizeGB := map[string]int{}, map[string]float64{}
 	for _, m := range members {
 		rec.Machines = append(rec.Machines, m.ID)
 		for image := range m.Images {
-			count[image]++
-			size[image] = m.ImageSizes[image]
+			machineCount[image]++
+			sizeGB[image] = m.ImageSizes[image]
 		}
 		if m.RequestedAt != first.RequestedAt {
-			rec.After = make([]int64, len(members))
+			rec.DelaySeconds = make([]int64, len(members))
 		}
 	}
-	for i := range rec.After {
-		rec.After[i] = int64((members[i].RequestedAt - first.RequestedAt).Seconds())
+	for i := range rec.DelaySeconds {
+		rec.DelaySeconds[i] = int64((members[i].RequestedAt - first.RequestedAt).Seconds())
 	}
-	images := slices.SortedFunc(maps.Keys(count), func(a, b string) int { return cmp.Or(cmp.Compare(count[b], count[a]), strings.Compare(a, b)) })
+	images := slices.SortedFunc(maps.Keys(machineCount), func(a, b string) int {
+		return cmp.Or(cmp.Compare(machineCount[b], machineCount[a]), strings.Compare(a, b))
+	})
 	for {
-		rec.Images, rec.Sizes, rec.Has = images, nil, nil
+		rec.Images, rec.ImageGB, rec.ImagesByMachine = images, nil, nil
 		for _, image := range images {
-			rec.Sizes = append(rec.Sizes, size[image])
+			rec.ImageGB = append(rec.ImageGB, sizeGB[image])
 		}
 		for _, m := range members {
-			has := []int{}
+			held := []int{}
 			for i, image := range images {
 				if _, ok := m.Images[image]; ok {
-					has = append(has, i)
+					held = append(held, i)
 				}
 			}
 			if len(images) > 0 {
-				rec.Has = append(rec.Has, has)
+				rec.ImagesByMachine = append(rec.ImagesByMachine, held)
 			}
 		}
 		value := wire.Encode(&rec)
-		if len(images) == 0 || wire.JSONSize(value) <= limit {
+		if len(images) == 0 || wire.JSONSize(value) <= limitBytes {
 			return value
 		}
 		images = images[:len(images)/2]
@@ -166,54 +168,54 @@
 }
 
 // restoreGroup enters the machines of a record.
-func (c *Core) restoreGroup(it *wire.Item) {
+func (c *Core) restoreGroup(item *wire.Item) {
 	var rec groupRecord
-	if err := msgpack.Unmarshal(it.Value, &rec); err != nil {
-		slog.Error("record of machines cannot be read", "key", it.Key, "err", err)
+	if err := msgpack.Unmarshal(item.Value, &rec); err != nil {
+		slog.Error("record of machines cannot be read", "key", item.Key, "err", err)
 		return
 	}
-	g := &machineGroup{key: it.Key}
-	first := Micros(rec.At) - c.env.Wall() + c.env.Now()
+	group := &machineGroup{key: item.Key}
+	firstRequestedAt := Micros(rec.FirstRequestedAt) - c.env.Wall() + c.env.Now()
 	for i, id := range rec.Machines {
-		since := first
-		if i < len(rec.After) {
-			since += Micros(rec.After[i]) * clock.Second
+		requestedAt := firstRequestedAt
+		if i < len(rec.DelaySeconds) {
+			requestedAt += Micros(rec.DelaySeconds[i]) * clock.Second
 		}
 		m := c.machines[id]
 		if m == nil {
-			m = c.addMachine(id, "", rec.Type, rec.Zone, rec.Spot, since)
+			m = c.addMachine(id, "", rec.Type, rec.Zone, rec.Spot, requestedAt)
 		}
 		if m == nil {
 			continue
 		}
-		if i < len(rec.Has) {
-			for _, k := range rec.Has[i] {
-				if k >= 0 && k < len(rec.Images) && k < len(rec.Sizes) {
-					m.TouchImage(rec.Images[k], rec.Sizes[k], c.env.Now())
+		if i < len(rec.ImagesByMachine) {
+			for _, imageIndex := range rec.ImagesByMachine[i] {
+				if imageIndex >= 0 && imageIndex < len(rec.Images) && imageIndex < len(rec.ImageGB) {
+					m.TouchImage(rec.Images[imageIndex], rec.ImageGB[imageIndex], c.env.Now())
 				}
 			}
 		}
 		m.Recorded, m.InGroupRecord = true, true
-		g.members = append(g.members, m)
-		c.machineGroups[id] = g
+		group.members = append(group.members, m)
+		c.machineGroups[id] = group
 	}
 }
 
 // groupAll brings machines that are in no group together, by kind.
 func (c *Core) groupMachines(machines []*sched.Machine) {
 	kinds := map[fleet.MachineKind][]*sched.Machine{}
-	var order []fleet.MachineKind
+	var kindOrder []fleet.MachineKind
 	for _, m := range machines {
 		if c.machineGroups[m.ID] != nil {
 			continue
 		}
-		k := fleet.MachineKind{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}
-		if kinds[k] == nil {
-			order = append(order, k)
+		kind := fleet.MachineKind{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}
+		if kinds[kind] == nil {
+			kindOrder = append(kindOrder, kind)
 		}
-		kinds[k] = append(kinds[k], m)
+		kinds[kind] = append(kinds[kind], m)
 	}
-	for _, k := range order {
-		c.saveNewMachines(kinds[k])
+	for _, kind := range kindOrder {
+		c.saveNewMachines(kinds[kind])
 	}
 }
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -19,13 +19,13 @@
 	loadRecords(t, c, records)
 	c.format.level = LevelGroups
 	c.migrateRecords()
-	own := func(key string) bool { return strings.HasPrefix(key, machinePrefix) }
+	isMachineKey := func(key string) bool { return strings.HasPrefix(key, machinePrefix) }
 	deletions := func() int {
 		n := 0
 		for _, r := range c.committer.pending {
 			changes, ok := r.render()
 			for _, ch := range changes {
-				if ok && own(ch.DeleteKey) {
+				if ok && isMachineKey(ch.DeleteKey) {
 					n++
 				}
 			}
@@ -52,20 +52,20 @@
 	for key, value := range renderPending(c, t) {
 		records[key] = value
 	}
-	again := newLoadingCore(LevelGroups, c.cfg.Params.State)
+	restored := newLoadingCore(LevelGroups, c.cfg.Params.State)
 	for key, value := range records {
-		if own(key) {
+		if isMachineKey(key) {
 			delete(records, key)
 		}
 		if strings.HasPrefix(key, groupPrefix) {
-			again.setCatalog(readCatalog([]wire.Item{{Key: catalogKey, Value: records[catalogKey]}}))
-			again.restoreGroup(&wire.Item{Key: key, Value: value})
+			restored.setCatalog(readCatalog([]wire.Item{{Key: catalogKey, Value: records[catalogKey]}}))
+			restored.restoreGroup(&wire.Item{Key: key, Value: value})
 		}
 	}
-	loadRecords(t, again, records)
-	checkRestored(t, again)
-	if a, b := again.machines["m-000001"], c.machines["m-000001"]; a.RequestedAt/1e6 != b.RequestedAt/1e6 || a.Spot != b.Spot || a.Zone != b.Zone {
-		t.Errorf("%+v, was %+v", a, b)
+	loadRecords(t, restored, records)
+	checkRestored(t, restored)
+	if got, want := restored.machines["m-000001"], c.machines["m-000001"]; got.RequestedAt/1e6 != want.RequestedAt/1e6 || got.Spot != want.Spot || got.Zone != want.Zone {
+		t.Errorf("%+v, was %+v", got, want)
 	}
 }
 
@@ -88,15 +88,15 @@
 			t.Errorf("%s takes %d bytes", key, n)
 		}
 	}
-	again := newLoadingCore(LevelGroups, c.cfg.Params.State)
-	again.catalog = c.catalog
+	restored := newLoadingCore(LevelGroups, c.cfg.Params.State)
+	restored.catalog = c.catalog
 	for key, value := range groups {
-		again.restoreGroup(&wire.Item{Key: key, Value: value})
+		restored.restoreGroup(&wire.Item{Key: key, Value: value})
 	}
-	if len(again.machines) != 130 || len(groups) > 4 {
-		t.Fatalf("%d machines of %d groups", len(again.machines), len(groups))
+	if len(restored.machines) != 130 || len(groups) > 4 {
+		t.Fatalf("%d machines of %d groups", len(restored.machines), len(groups))
 	}
-	for id, m := range again.machines {
+	for id, m := range restored.machines {
 		if _, ok := m.Images["everywhere"]; !ok || !m.Recorded {
 			t.Errorf("%s: %v", id, m.Images)
 		}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -22,35 +22,35 @@
 // outage of the cloud, and without a call in a loop of crashes, which would otherwise
 // take from the calls that rent and return machines.
 func (c *Core) loadCatalog() {
-	again := 30 * clock.Second
+	interval := 30 * clock.Second
 	if c.catalog == nil {
-		again = clock.Second
-		c.env.State().List(catalogKey, "", 500, func(o store.Outcome, l *wire.ItemList) {
-			if o == store.OK && c.catalog == nil {
-				if cat := readCatalog(l.Items); cat != nil {
+		interval = clock.Second
+		c.env.State().List(catalogKey, "", 500, func(outcome store.Outcome, page *wire.ItemList) {
+			if outcome == store.OK && c.catalog == nil {
+				if cat := readCatalog(page.Items); cat != nil {
 					c.setCatalog(cat)
 				}
 			}
 			if c.catalog == nil {
-				c.askCatalog()
+				c.fetchCatalog()
 			}
 		})
 	} else if c.elector.Leading() {
-		c.askCatalog()
+		c.fetchCatalog()
 	}
-	c.env.After(again, c.loadCatalog)
+	c.env.After(interval, c.loadCatalog)
 }
 
 // askCatalog reads the machine types from the cloud.
-func (c *Core) askCatalog() {
+func (c *Core) fetchCatalog() {
 	if !c.cloudLimiter.AllowN(stdTime(c.env.Now()), 1) {
 		return
 	}
-	c.env.Cloud().Catalog(func(o store.Outcome, cat *wire.Catalog) {
-		if o != store.OK {
+	c.env.Cloud().Catalog(func(outcome store.Outcome, catalog *wire.Catalog) {
+		if outcome != store.OK {
 			return
 		}
-		c.setCatalog(cat)
+		c.setCatalog(catalog)
 		if c.elector.Leading() && c.loaded {
 			c.saveCatalog()
 		}
@@ -60,7 +60,7 @@
 // catalogRecord is a part of the catalogue as it is kept; it reads as one.
 type catalogRecord struct {
 	wire.Catalog `msgpack:",inline"`
-	Parts        int `msgpack:"parts,omitempty"` // in all, unless it is one
+	PartCount    int `msgpack:"parts,omitempty"` // in all, unless it is one
 }
 
 // saveCatalog keeps the machine types in as many values as they need.
@@ -70,16 +70,16 @@
 	for _, t := range c.catalog {
 		last := &parts[len(parts)-1]
 		last.Types = append(last.Types, t)
-		last.Parts = math.MaxInt16 // as large as the real number will be
+		last.PartCount = math.MaxInt16 // as large as the real number will be
 		if len(last.Types) > 1 && wire.JSONSize(wire.Encode(last)) > limit {
 			last.Types = last.Types[:len(last.Types)-1]
 			parts = append(parts, catalogRecord{Catalog: wire.Catalog{Types: []wire.MachineType{t}}})
 		}
 	}
 	for i := range parts {
-		parts[i].Parts = len(parts)
+		parts[i].PartCount = len(parts)
 		if len(parts) == 1 {
-			parts[i].Parts = 0
+			parts[i].PartCount = 0
 		}
 		key := catalogKey
 		if i > 0 {
@@ -92,29 +92,29 @@
 // readCatalog puts the catalogue together again; nil unless it is whole. The first
 // part tells how many there are: without it, the others pass for nothing.
 func readCatalog(items []wire.Item) *wire.Catalog {
-	cat, want, have := new(wire.Catalog), math.MaxInt, 0
+	catalog, wantParts, foundParts := new(wire.Catalog), math.MaxInt, 0
 	for i := range items {
 		var rec catalogRecord
 		if wire.Decode(items[i].Value, &rec) != nil {
 			continue
 		}
 		if items[i].Key == catalogKey {
-			want = max(rec.Parts, 1)
+			wantParts = max(rec.PartCount, 1)
 		}
-		cat.Types = append(cat.Types, rec.Types...)
-		have++
+		catalog.Types = append(catalog.Types, rec.Types...)
+		foundParts++
 	}
-	if have < want || len(cat.Types) == 0 {
+	if foundParts < wantParts || len(catalog.Types) == 0 {
 		return nil
 	}
-	return cat
+	return catalog
 }
 
 // setCatalog takes valid entries over. Machines keep pointing at their type,
 // so known entries are updated in place.
-func (c *Core) setCatalog(cat *wire.Catalog) {
+func (c *Core) setCatalog(catalog *wire.Catalog) {
 	var types []wire.MachineType
-	for _, t := range cat.Types {
+	for _, t := range catalog.Types {
 		if t.Name != "" && t.CPUs > 0 && t.MemoryGB > 0 && t.Price > 0 && t.BootTime >= 0 {
 			types = append(types, t)
 		}
@@ -128,13 +128,13 @@
 		j.ComputeSize(types)
 	}
 	for _, m := range c.machines {
-		if t := c.typeNamed(m.Type.Name); t != nil {
+		if t := c.findMachineType(m.Type.Name); t != nil {
 			m.Type = t
 		}
 	}
 }
 
-func (c *Core) typeNamed(name string) *wire.MachineType {
+func (c *Core) findMachineType(name string) *wire.MachineType {
 	for i := range c.catalog {
 		if c.catalog[i].Name == name {
 			return &c.catalog[i]
@@ -144,12 +144,12 @@
 }
 
 // addMachine enters a machine; nil if its type is unknown.
-func (c *Core) addMachine(id, addr, typ, zone string, spot bool, since Micros) *sched.Machine {
-	t := c.typeNamed(typ)
+func (c *Core) addMachine(id, addr, typeName, zone string, spot bool, requestedAt Micros) *sched.Machine {
+	t := c.findMachineType(typeName)
 	if t == nil {
 		return nil
 	}
-	m := &sched.Machine{ID: id, Addr: addr, Type: t, Zone: zone, Spot: spot, RequestedAt: since, KnownSince: c.env.Now(),
+	m := &sched.Machine{ID: id, Addr: addr, Type: t, Zone: zone, Spot: spot, RequestedAt: requestedAt, KnownSince: c.env.Now(),
 		Placements: map[string]*sched.Placement{}, Images: map[string]Micros{}, ImageSizes: map[string]float64{},
 		IdleSince: c.env.Now(), LastReportAt: -clock.Forever, LastRedirectAt: -clock.Forever}
 	c.machines[id] = m
@@ -187,56 +187,56 @@
 	}
 	c.spotLosses.observe(spot, now)
 	c.drainUnhealthyMachines(now)
-	in := c.fleetInput(now)
-	spare := in.SpareCPUs()
+	input := c.fleetInput(now)
+	spareCPUs := input.SpareCPUs()
 	for _, m := range c.sortedMachines {
 		if m.Releasing {
 			continue
 		}
-		boot := clock.FromSeconds(m.Type.BootTime)
-		some, loose := c.unansweredLaunches(m, now)
-		if some && !m.Draining {
+		bootTime := clock.FromSeconds(m.Type.BootTime)
+		unanswered, onlyUnanswered := c.unansweredLaunches(m, now)
+		if unanswered && !m.Draining {
 			c.drain(m)
 		}
-		why := ""
+		reason := ""
 		switch {
 		case m.Failed:
-			why = "failed"
+			reason = "failed"
 		case m.Restarted:
-			why = "started anew"
+			reason = "started anew"
 		case m.Unlisted && now-m.LastReportAt > 3*c.cfg.ReportInterval()/2:
 			// Taken by the cloud, or returned by a leader whose own record of that was
 			// lost with it: returning it again proves that all on it is gone.
-			why = "not listed"
-		case !m.Up && settled && now-m.RequestedAt > Micros(float64(boot)*c.policy.BootTimeoutFactor)+clock.FromSeconds(c.cfg.Params.Cloud.ListLag):
-			why = "never came up"
+			reason = "not listed"
+		case !m.Up && settled && now-m.RequestedAt > Micros(float64(bootTime)*c.policy.BootTimeoutFactor)+clock.FromSeconds(c.cfg.Params.Cloud.ListLag):
+			reason = "never came up"
 		case m.Up && c.silent(m, now) && settled && (silent*4 <= up || silent == 1):
 			// Returning it proves at once that its tasks are gone; but when many
 			// are silent the fault is more likely ours.
-			why = "silent"
+			reason = "silent"
 		case m.Up && now-m.LastReportAt > c.cfg.WorkerLease()+c.leaseMargin() && settled && !m.Busy():
-			why = "silent and empty"
+			reason = "silent and empty"
 		case m.Downlink.Unrecoverable(now, c.cfg.WorkerLease()) && (partitioned*4 <= up || partitioned == 1):
 			// As with silent ones: many at once are more likely a fault of ours.
-			why = "one-way partition"
+			reason = "one-way partition"
 		case !m.Acked && m.Busy() && settled:
-			why = "does not acknowledge this term"
-		case loose:
-			why = "holds only a launch that was never answered"
+			reason = "does not acknowledge this term"
+		case onlyUnanswered:
+			reason = "holds only a launch that was never answered"
 		case m.Busy() || !m.Up:
 		case m.Draining || m.ReclaimAt != 0:
-			why = "drained"
-		case now-m.IdleSince > c.policy.IdleTimeout && !c.wanted(in, m, spare):
-			why = "idle"
+			reason = "drained"
+		case now-m.IdleSince > c.policy.IdleTimeout && !c.worthKeeping(input, m, spareCPUs):
+			reason = "idle"
 		}
-		if why != "" {
-			slog.Debug("returning machine", "machine", m.ID, "why", why, "age", (now - m.RequestedAt).Seconds())
-			spare -= in.SpareCPUsOn(m)
+		if reason != "" {
+			slog.Debug("returning machine", "machine", m.ID, "why", reason, "age", (now - m.RequestedAt).Seconds())
+			spareCPUs -= input.SpareCPUsOn(m)
 			m.Releasing = true
 			c.releaseQueue = append(c.releaseQueue, m.ID)
 		}
 	}
-	c.consolidate(in, now)
+	c.consolidate(input, now)
 	c.release()
 }
 
@@ -245,8 +245,8 @@
 // any is away; batch work finishes where it is. Both paces follow the size of
 // the fleet: a fixed one left hundreds of CPUs idle for minutes where hundreds
 // of machines had to empty.
-func (c *Core) consolidate(in *fleet.Input, now Micros) {
-	waiting := len(c.unplaced) > 0
+func (c *Core) consolidate(input *fleet.Input, now Micros) {
+	waiting := len(c.unplacedTasks) > 0
 	retiring := 0
 	for _, m := range c.sortedMachines {
 		if m.Retiring && waiting {
@@ -268,7 +268,7 @@
 		return
 	}
 	limit := 2 + int(c.policy.MaxDrainingShare*float64(len(c.sortedMachines)))
-	for _, m := range in.MachinesToRetire(limit - retiring) {
+	for _, m := range input.MachinesToRetire(limit - retiring) {
 		m.Retiring = true
 		slog.Debug("retiring machine", "machine", m.ID)
 	}
@@ -281,7 +281,7 @@
 			if c.moveBudget < 1 {
 				return
 			}
-			if p.Job != nil && p.Job.Service() && p.RunningSince > 0 && now-p.RunningSince > settleFor && !p.Stopping &&
+			if p.Job != nil && p.Job.Service() && p.RunningSince > 0 && now-p.RunningSince > replicaSettleTime && !p.Stopping &&
 				p.Job.PlacedCount == len(p.Job.Tasks) && vacancies.Claim(p) {
 				slog.Debug("moving replica", "task", p.Task, "from", m.ID)
 				p.Stopping, p.Grace = true, 0
@@ -293,17 +293,17 @@
 }
 
 // settleFor is how long a replica that just started is left alone.
-const settleFor = 40 * clock.Second
+const replicaSettleTime = 40 * clock.Second
 
 // wanted reports whether an idle machine is worth keeping, given what services
 // could take on all machines.
-func (c *Core) wanted(in *fleet.Input, m *sched.Machine, spare float64) bool {
-	for _, u := range c.unplaced {
+func (c *Core) worthKeeping(input *fleet.Input, m *sched.Machine, spareCPUs float64) bool {
+	for _, u := range c.unplacedTasks {
 		if u.Job.Active() && u.Job.Allows(m.Type, m.Zone, m.Spot) {
 			return true
 		}
 	}
-	return !m.Spot && spare-in.SpareCPUsOn(m) < in.Headroom
+	return !m.Spot && spareCPUs-input.SpareCPUsOn(m) < input.Headroom
 }
 
 // release returns machines, one call at a time.
@@ -316,24 +316,24 @@
 	if len(c.pendingReleases) == 0 {
 		c.pendingReleases = append(c.pendingReleases, c.nextReleaseBatch())
 	}
-	r := c.pendingReleases[0]
-	c.commitIntent(r.name, intentRecord{Machines: r.ids}, func() { c.callRelease(r) })
+	batch := c.pendingReleases[0]
+	c.commitIntent(batch.name, intentRecord{Machines: batch.machineIDs}, func() { c.sendRelease(batch) })
 }
 
 // callRelease returns the machines of an intent.
-func (c *Core) callRelease(r releaseBatch) {
+func (c *Core) sendRelease(batch releaseBatch) {
 	term := c.term
-	c.env.Cloud().Release(r.ids, func(o store.Outcome) {
+	c.env.Cloud().Release(batch.machineIDs, func(outcome store.Outcome) {
 		if !c.elector.Leading() || c.term != term {
 			return
 		}
 		c.releaseInFlight = false
-		if o != store.OK {
+		if outcome != store.OK {
 			c.cloudPausedUntil = c.env.Now() + clock.Second
 			return
 		}
 		c.pendingReleases = c.pendingReleases[1:]
-		c.completeRelease(r)
+		c.completeRelease(batch)
 		c.sortMachines()
 		c.requestSchedulingPass()
 	})
@@ -401,15 +401,15 @@
 
 // spotWindow is the memory of the losses; so long a time without any is taken
 // for granted at first.
-const spotWindow = 600 * clock.Second
+const spotLossWindow = 600 * clock.Second
 
-func (s *spotLosses) rate() float64 { return s.lost / (s.upSeconds + spotWindow.Seconds()) }
+func (s *spotLosses) rate() float64 { return s.lost / (s.upSeconds + spotLossWindow.Seconds()) }
 
 // observe adds that n spot machines were up since the last call.
-func (s *spotLosses) observe(n int, now Micros) {
-	fade := math.Exp(-float64(now-s.updatedAt) / float64(spotWindow))
-	s.lost *= fade
-	s.upSeconds = s.upSeconds*fade + float64(n)*(now-s.updatedAt).Seconds()
+func (s *spotLosses) observe(count int, now Micros) {
+	decay := math.Exp(-float64(now-s.updatedAt) / float64(spotLossWindow))
+	s.lost *= decay
+	s.upSeconds = s.upSeconds*decay + float64(count)*(now-s.updatedAt).Seconds()
 	s.updatedAt = now
 }
 
@@ -418,39 +418,39 @@
 }
 
 func (c *Core) fleetInput(now Micros) *fleet.Input {
-	in := &fleet.Input{Now: now, Catalog: c.catalog, RefusedUntil: c.refusedUntil, Machines: c.sortedMachines,
-		Unplaced: c.unplaced, SpotWait: c.policy.SpotWaitThreshold, FetchRates: c.fetchRates, MaxReportAge: c.maxReportAge()}
-	for _, bid := range slices.Sorted(maps.Keys(c.pendingRentals)) {
-		in.PendingRentals = append(in.PendingRentals, c.pendingRentals[bid])
+	input := &fleet.Input{Now: now, Catalog: c.catalog, RefusedUntil: c.refusedUntil, Machines: c.sortedMachines,
+		Unplaced: c.unplacedTasks, SpotWaitThreshold: c.policy.SpotWaitThreshold, FetchRates: c.fetchRates, MaxReportAge: c.maxReportAge()}
+	for _, requestID := range slices.Sorted(maps.Keys(c.pendingRentals)) {
+		input.PendingRentals = append(input.PendingRentals, c.pendingRentals[requestID])
 	}
-	boot := 0.0
+	maxBootSeconds := 0.0
 	for _, t := range c.catalog {
-		boot = max(boot, t.BootTime)
+		maxBootSeconds = max(maxBootSeconds, t.BootTime)
 	}
 	for _, class := range slices.Sorted(maps.Keys(c.arrivals)) {
-		a := c.arrivals[class]
-		if a.batch {
+		arrivals := c.arrivals[class]
+		if arrivals.batch {
 			// A young rate has not seen its whole window yet.
-			seen := max(now-a.firstArrival, arrivalWindow*2/3)
-			in.BatchLoad += a.rateAt(now) / -math.Expm1(-float64(seen)/float64(arrivalWindow))
+			observed := max(now-arrivals.firstArrival, arrivalWindow*2/3)
+			input.BatchLoad += arrivals.rateAt(now) / -math.Expm1(-float64(observed)/float64(arrivalWindow))
 			continue
 		}
-		in.Headroom += a.rateAt(now) * boot * c.policy.Headroom
-		if a.lastJob != nil {
-			in.Service = a.lastJob
+		input.Headroom += arrivals.rateAt(now) * maxBootSeconds * c.policy.Headroom
+		if arrivals.lastJob != nil {
+			input.Service = arrivals.lastJob
 		}
 	}
-	if in.Service == nil { // after a takeover: any service stands for its class
+	if input.Service == nil { // after a takeover: any service stands for its class
 		for _, j := range c.jobs {
-			if j.Service() && (in.Service == nil || j.ID < in.Service.ID) {
-				in.Service = j
+			if j.Service() && (input.Service == nil || j.ID < input.Service.ID) {
+				input.Service = j
 			}
 		}
 	}
-	if in.Service != nil && in.Headroom < in.Service.TaskCPUs()/2 {
-		in.Headroom = 0 // services have all but stopped coming
+	if input.Service != nil && input.Headroom < input.Service.TaskCPUs()/2 {
+		input.Headroom = 0 // services have all but stopped coming
 	}
-	return in
+	return input
 }
 
 // buy rents what the fleet package asks for, as far as the cloud's rate allows.
@@ -458,76 +458,76 @@
 	if now < c.cloudPausedUntil || now-c.electedAt < clock.Second {
 		return
 	}
-	in := c.fleetInput(now)
-	in.Unplaced = append(slices.Clone(in.Unplaced), c.expectedRetryDemand(now)...)
-	for _, b := range fleet.Plan(in) {
+	input := c.fleetInput(now)
+	input.Unplaced = append(slices.Clone(input.Unplaced), c.expectedRetryDemand(now)...)
+	for _, rental := range fleet.Plan(input) {
 		if !c.cloudLimiter.AllowN(stdTime(now), 1) {
 			return
 		}
 		c.rentalCount++
-		bid := "r-" + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.rentalCount, 10)
-		c.pendingRentals[bid] = fleet.Rental(b)
-		r := &wire.RentRequest{RequestID: bid, Type: b.Kind.Type, Zone: b.Kind.Zone, Spot: b.Kind.Spot, Count: b.Count}
-		c.commitIntent(bid, intentRecord{Rent: r}, func() { c.sendRental(r, now, false) })
+		requestID := "r-" + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.rentalCount, 10)
+		c.pendingRentals[requestID] = fleet.Rental(rental)
+		request := &wire.RentRequest{RequestID: requestID, Type: rental.Kind.Type, Zone: rental.Kind.Zone, Spot: rental.Kind.Spot, Count: rental.Count}
+		c.commitIntent(requestID, intentRecord{Rent: request}, func() { c.sendRental(request, now, false) })
 	}
 }
 
 // rent sends a rental. Without an answer the same name is sent again: it rents
 // nothing twice. sent tells that it may have been carried out before.
-func (c *Core) sendRental(r *wire.RentRequest, since Micros, sent bool) {
-	term, kind := c.term, kindOf(r)
-	again := func() {
+func (c *Core) sendRental(request *wire.RentRequest, requestedAt Micros, resent bool) {
+	term, kind := c.term, kindOf(request)
+	retry := func() {
 		c.env.After(clock.Second, func() {
 			if c.elector.Leading() && c.term == term { // perhaps the level has risen since
-				c.commitIntent(r.RequestID, intentRecord{Rent: r}, func() { c.sendRental(r, since, true) })
+				c.commitIntent(request.RequestID, intentRecord{Rent: request}, func() { c.sendRental(request, requestedAt, true) })
 			}
 		})
 	}
-	if sent && !c.cloudLimiter.AllowN(stdTime(c.env.Now()), 1) {
-		again()
+	if resent && !c.cloudLimiter.AllowN(stdTime(c.env.Now()), 1) {
+		retry()
 		return
 	}
-	c.env.Cloud().Rent(r, func(o store.Outcome, ids []string) {
+	c.env.Cloud().Rent(request, func(outcome store.Outcome, ids []string) {
 		if !c.elector.Leading() || c.term != term {
 			return
 		}
 		now := c.env.Now()
-		switch o {
+		switch outcome {
 		case store.OK:
-			slog.Debug("rented", "kind", kind, "asked", r.Count, "got", len(ids))
+			slog.Debug("rented", "kind", kind, "asked", request.Count, "got", len(ids))
 			var rented []*sched.Machine
 			for _, id := range ids {
 				if c.machines[id] == nil && !c.releasedMachines[id] {
-					if m := c.addMachine(id, "", r.Type, r.Zone, r.Spot, since); m != nil {
+					if m := c.addMachine(id, "", request.Type, request.Zone, request.Spot, requestedAt); m != nil {
 						rented = append(rented, m)
 					}
 				}
 			}
 			c.saveNewMachines(rented)
 			c.sortMachines()
-			if len(ids) < r.Count {
+			if len(ids) < request.Count {
 				c.refusedUntil[kind] = now + c.policy.RentRetryDelay
 			}
 		case store.Failed:
 			c.refusedUntil[kind] = now + c.policy.RentRetryDelay
-			if sent {
-				delete(c.pendingRentals, r.RequestID)
-				c.retainIntent(r.RequestID, intentRecord{Rent: r}, maxCloudRequestDelay)
+			if resent {
+				delete(c.pendingRentals, request.RequestID)
+				c.retainIntent(request.RequestID, intentRecord{Rent: request}, maxCloudRequestDelay)
 				c.requestSchedulingPass()
 				return
 			}
 		case store.Refused:
 			c.cloudPausedUntil = now + clock.Second
-			if sent {
-				again()
+			if resent {
+				retry()
 				return
 			}
 		default:
-			again()
+			retry()
 			return
 		}
-		delete(c.pendingRentals, r.RequestID)
-		c.closeIntent(r.RequestID)
+		delete(c.pendingRentals, request.RequestID)
+		c.closeIntent(request.RequestID)
 		c.requestSchedulingPass()
 	})
 }
@@ -535,41 +535,41 @@
 // list compares the cloud's list with what is known: unexpected machines are
 // adopted, failed ones returned, and those noted that are missing though the list
 // is new enough. named holds what the pages before this one list.
-func (c *Core) reconcileMachineList(term uint64, after string, named map[string]bool, began Micros) {
+func (c *Core) reconcileMachineList(term uint64, pageStart string, listed map[string]bool, startedAt Micros) {
 	if !c.elector.Leading() || c.term != term {
 		return
 	}
-	if after == "" {
-		named, began = map[string]bool{}, c.env.Now()
+	if pageStart == "" {
+		listed, startedAt = map[string]bool{}, c.env.Now()
 	}
-	again := func(d Micros, after string) {
-		c.env.After(d, func() { c.reconcileMachineList(term, after, named, began) })
+	schedule := func(delay Micros, pageStart string) {
+		c.env.After(delay, func() { c.reconcileMachineList(term, pageStart, listed, startedAt) })
 	}
 	if !c.cloudLimiter.AllowN(stdTime(c.env.Now()), 1) {
-		again(300*clock.Millisecond, after)
+		schedule(300*clock.Millisecond, pageStart)
 		return
 	}
-	c.env.Cloud().List(after, 500, func(o store.Outcome, l *wire.MachineList) {
+	c.env.Cloud().List(pageStart, 500, func(outcome store.Outcome, page *wire.MachineList) {
 		if !c.elector.Leading() || c.term != term {
 			return
 		}
-		if o != store.OK {
-			again(2*clock.Second, "")
+		if outcome != store.OK {
+			schedule(2*clock.Second, "")
 			return
 		}
 		now := c.env.Now()
 		var found []*sched.Machine
-		for i := range l.Machines {
-			e := &l.Machines[i]
-			named[e.ID] = true
-			m := c.machines[e.ID]
-			if m == nil && !c.releasedMachines[e.ID] {
-				if m = c.addMachine(e.ID, e.Addr, e.Type, e.Zone, e.Spot, now-clock.FromSeconds(e.AgeSeconds)); m != nil {
+		for i := range page.Machines {
+			entry := &page.Machines[i]
+			listed[entry.ID] = true
+			m := c.machines[entry.ID]
+			if m == nil && !c.releasedMachines[entry.ID] {
+				if m = c.addMachine(entry.ID, entry.Addr, entry.Type, entry.Zone, entry.Spot, now-clock.FromSeconds(entry.AgeSeconds)); m != nil {
 					found = append(found, m)
-					slog.Info("machine found in the list", "machine", e.ID)
+					slog.Info("machine found in the list", "machine", entry.ID)
 				}
 			}
-			if m != nil && e.State == wire.MachineFailed {
+			if m != nil && entry.State == wire.MachineFailed {
 				m.Failed = true
 			}
 		}
@@ -577,15 +577,15 @@
 			c.groupMachines(found)
 			c.sortMachines()
 		}
-		if l.More && len(l.Machines) > 0 {
-			again(0, l.Machines[len(l.Machines)-1].ID)
+		if page.More && len(page.Machines) > 0 {
+			schedule(0, page.Machines[len(page.Machines)-1].ID)
 			return
 		}
 		for _, m := range c.sortedMachines {
-			m.Unlisted = !named[m.ID] && began-m.KnownSince > c.listLag()
+			m.Unlisted = !listed[m.ID] && startedAt-m.KnownSince > c.listLag()
 		}
 		c.logFleet()
-		again(5*clock.Second, "")
+		schedule(5*clock.Second, "")
 	})
 }
 
@@ -621,11 +621,11 @@
 		}
 	}
 	waiting := 0
-	for _, u := range c.unplaced {
+	for _, u := range c.unplacedTasks {
 		waiting += u.Count
 	}
-	in := c.fleetInput(c.env.Now())
+	input := c.fleetInput(c.env.Now())
 	slog.Debug("fleet", "ordinary", fmt.Sprintf("%+v", *sums[false]), "spot", fmt.Sprintf("%+v", *sums[true]),
-		"waiting", waiting, "room", c.batchCapacity(), "headroom", in.Headroom, "load", in.BatchLoad,
+		"waiting", waiting, "room", c.batchCapacity(), "headroom", input.Headroom, "load", input.BatchLoad,
 		"unwritten", fmt.Sprint(len(c.committer.urgent), "+", len(c.committer.delayed), "+", len(c.committer.background)), "oldest", c.committer.oldestUrgentAge().Seconds())
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -35,8 +35,8 @@
 	if m.CommandInFlight || !c.Serving() || c.machines[m.ID] != m || m.Releasing || m.Addr == "" {
 		return false
 	}
-	if via := c.router.RelayFor(m.ID); via != "" {
-		return c.router.CanSendOrders(via)
+	if relayNode := c.router.RelayFor(m.ID); relayNode != "" {
+		return c.router.CanSendOrders(relayNode)
 	}
 	return c.ordersInFlight < c.cfg.MaxCommandBatches()
 }
@@ -49,28 +49,28 @@
 	m.CommandInFlight = true
 	term := c.term
 	orders := &wire.Orders{Token: term, Session: m.Session, Commands: commands}
-	via := c.router.RelayFor(m.ID)
-	settled := func(o store.Outcome, r *wire.Report) {
+	relayNode := c.router.RelayFor(m.ID)
+	complete := func(outcome store.Outcome, report *wire.Report) {
 		if !c.elector.Leading() || c.term != term {
 			return
 		}
-		if via == "" {
+		if relayNode == "" {
 			c.ordersInFlight--
 		}
 		m.CommandInFlight = false
-		if o == store.OK || o == store.Failed {
+		if outcome == store.OK || outcome == store.Failed {
 			m.LastCommandAt = c.env.Now()
 		}
 		if c.machines[m.ID] == m {
-			done(o, r)
+			done(outcome, report)
 		}
 	}
-	if via != "" {
-		c.router.SendOrders(via, m.Addr, orders, settled)
+	if relayNode != "" {
+		c.router.SendOrders(relayNode, m.Addr, orders, complete)
 		return
 	}
 	c.ordersInFlight++
-	c.env.SendOrders(m.Addr, orders, settled)
+	c.env.SendOrders(m.Addr, orders, complete)
 }
 
 func (c *Core) sendOrder(m *sched.Machine) {
@@ -78,53 +78,53 @@
 	if !c.mayOrder(m) || !m.Acked || m.Downlink.Partitioned || now-m.LastReportAt > c.maxReportAge() {
 		return
 	}
-	stop, start := c.commands(m, sortedPlacements(m), now, true)
-	if len(stop)+len(start) == 0 {
+	stops, starts := c.buildCommands(m, sortedPlacements(m), now, true)
+	if len(stops)+len(starts) == 0 {
 		return
 	}
-	session, via := m.Session, c.router.RelayFor(m.ID)
-	if len(start) > 0 {
+	session, relayNode := m.Session, c.router.RelayFor(m.ID)
+	if len(starts) > 0 {
 		m.LastCommandAt = now
-		if via != "" {
+		if relayNode != "" {
 			m.LastCommandAt += carrier.OrderTimeout // another controller may send it so much later
 		}
 	}
-	c.sendCommands(m, append(stop, start...), func(o store.Outcome, r *wire.Report) {
+	c.sendCommands(m, append(stops, starts...), func(outcome store.Outcome, report *wire.Report) {
 		if m.Session != session {
 			return // all that was on it has left
 		}
-		if o == store.Unknown {
+		if outcome == store.Unknown {
 			m.LastCommandUnanswered = true
-			if via != "" { // most likely the carrier is gone, not the way to the worker
-				loseOrder(m, start)
+			if relayNode != "" { // most likely the carrier is gone, not the way to the worker
+				markOutcomeUnknown(m, starts)
 			}
-			slog.Info("order without an answer", "machine", m.ID, "launches", len(start))
+			slog.Info("order without an answer", "machine", m.ID, "launches", len(starts))
 			return
 		}
-		if o != store.Refused {
+		if outcome != store.Refused {
 			m.Downlink.ConfirmReachable()
 		}
-		for _, cmd := range start {
+		for _, cmd := range starts {
 			if p := m.Placements[cmd.Task]; p != nil && p.Attempt == cmd.Attempt && p.DirectUnanswered {
 				p.DirectUnanswered = false
-				p.Sent = o != store.Refused
+				p.Sent = outcome != store.Refused
 			}
 		}
-		if r == nil || o == store.Refused {
+		if report == nil || outcome == store.Refused {
 			return
 		}
-		if r.Token > c.term {
+		if report.Token > c.term {
 			c.elector.StepDown()
 			return
 		}
-		if o != store.OK || r.Session != session || r.Seq <= m.Seq {
+		if outcome != store.OK || report.Session != session || report.Seq <= m.Seq {
 			return
 		}
-		m.LastCommandSeq = max(m.LastCommandSeq, r.Seq)
+		m.LastCommandSeq = max(m.LastCommandSeq, report.Seq)
 		// What the answer shows is so; what it lacks may still come with the
 		// answer to a report that is on its way.
-		for i := range r.Tasks {
-			t := &r.Tasks[i]
+		for i := range report.Tasks {
+			t := &report.Tasks[i]
 			if p := m.Placements[t.Task]; p != nil && p.Attempt == t.Attempt {
 				c.applyTaskReport(m, p, t, c.env.Now())
 			}
@@ -134,8 +134,8 @@
 }
 
 // loseOrder notes that it will not be known what became of an order's launches.
-func loseOrder(m *sched.Machine, start []wire.Command) {
-	for _, cmd := range start {
+func markOutcomeUnknown(m *sched.Machine, starts []wire.Command) {
+	for _, cmd := range starts {
 		if p := m.Placements[cmd.Task]; p != nil && p.Attempt == cmd.Attempt && p.DirectUnanswered {
 			p.OutcomeUnknown = true
 		}
@@ -145,16 +145,16 @@
 // unanswered reports whether a machine holds a launch whose order was not
 // answered for so long that its session ought to have ended, and whether it
 // holds nothing else.
-func (c *Core) unansweredLaunches(m *sched.Machine, now Micros) (some, only bool) {
-	only = m.Busy()
+func (c *Core) unansweredLaunches(m *sched.Machine, now Micros) (unanswered, onlyUnanswered bool) {
+	onlyUnanswered = m.Busy()
 	for _, p := range m.Placements {
 		if p.DirectUnanswered && now-p.SentAt > 2*c.cfg.WorkerLease() {
-			some = true
+			unanswered = true
 		} else {
-			only = false
+			onlyUnanswered = false
 		}
 	}
-	return some, only
+	return unanswered, onlyUnanswered
 }
 
 // holdsCancelled reports whether a launch that was never answered may yet start what a user
@@ -163,9 +163,9 @@
 // scenario order_held_past_cancel, where a cut between leader and machine lasts longer
 // than cancel_s, the machine's reports are forwarded, and it is not empty.
 func (c *Core) mayStartCancelled(m *sched.Machine, now Micros) bool {
-	bound := c.renewalBound()
+	renewalBound := c.renewalBound()
 	for _, p := range m.Placements {
-		if p.DirectUnanswered && p.Job != nil && p.Job.Cancelled && p.Job.EndedAt > 0 && bound.MayOutliveCancel(now, p.Job.EndedAt) {
+		if p.DirectUnanswered && p.Job != nil && p.Job.Cancelled && p.Job.EndedAt > 0 && renewalBound.MayOutliveCancel(now, p.Job.EndedAt) {
 			return true
 		}
 	}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -35,7 +35,7 @@
 type jobRecord struct {
 	Job        wire.Job `msgpack:"job"`
 	AcceptedAt int64    `msgpack:"at"`              // time of day of acceptance, microseconds
-	Parts      int      `msgpack:"parts,omitempty"` // further keys with the rest of the awaits
+	AwaitsKeys int      `msgpack:"parts,omitempty"` // further keys with the rest of the awaits
 }
 
 type awaitsRecord struct {
@@ -43,15 +43,15 @@
 }
 
 type progressRecord struct {
-	Phase     string `msgpack:"phase,omitempty"` // final phases only
-	Done      string `msgpack:"done"`            // bit per task, base64; LevelPlaces only
-	DoneCount int    `msgpack:"count"`
-	Estimate  int64  `msgpack:"est"`
-	Good      bool   `msgpack:"good"`
+	Phase            string `msgpack:"phase,omitempty"` // final phases only
+	Done             string `msgpack:"done"`            // bit per task, base64; LevelPlaces only
+	DoneCount        int    `msgpack:"count"`
+	Estimate         int64  `msgpack:"est"`
+	AnyTaskSucceeded bool   `msgpack:"good"`
 	// Times of day in microseconds; version 0.1 knows none of them.
-	ReadyAt int64 `msgpack:"ready,omitempty"` // of a job that awaits others: when they were done
-	Start   int64 `msgpack:"start,omitempty"` // of its pipeline
-	Over    int64 `msgpack:"over,omitempty"`  // when it ended
+	ReadyAt       int64 `msgpack:"ready,omitempty"` // of a job that awaits others: when they were done
+	PipelineStart int64 `msgpack:"start,omitempty"` // of its pipeline
+	EndedAt       int64 `msgpack:"over,omitempty"`  // when it ended
 }
 
 // finalRecord is what is kept of a job for ever.
@@ -61,7 +61,7 @@
 	Service        bool  `msgpack:"service,omitempty"`
 }
 
-type placeRecord struct {
+type placementRecord struct {
 	Task     string  `msgpack:"t"`
 	Attempt  uint64  `msgpack:"a"`
 	Session  uint64  `msgpack:"s"`
@@ -74,29 +74,29 @@
 }
 
 type machineRecord struct {
-	Addr       string        `msgpack:"addr"`
-	Type       string        `msgpack:"type"`
-	Zone       string        `msgpack:"zone"`
-	Spot       bool          `msgpack:"spot"`
-	At         int64         `msgpack:"at"` // time of day of the rental
-	Images     []string      `msgpack:"images"`
-	Sizes      []float64     `msgpack:"sizes"`
-	Placements []placeRecord `msgpack:"places"`
+	Addr        string            `msgpack:"addr"`
+	Type        string            `msgpack:"type"`
+	Zone        string            `msgpack:"zone"`
+	Spot        bool              `msgpack:"spot"`
+	RequestedAt int64             `msgpack:"at"` // time of day of the rental
+	Images      []string          `msgpack:"images"`
+	ImageSizes  []float64         `msgpack:"sizes"`
+	Placements  []placementRecord `msgpack:"places"`
 }
 
 type learnedRecord struct {
-	At       int64              `msgpack:"at"`
-	Use      map[string]float64 `msgpack:"use"`
-	Rates    map[string]float64 `msgpack:"rates"`
-	Arrivals map[string]float64 `msgpack:"arrivals"`
-	Since    map[string]int64   `msgpack:"since"` // time of day of a class's first arrival
-	Batch    map[string]bool    `msgpack:"batch"`
-	Lost     float64            `msgpack:"lost,omitempty"` // of spotLosses
-	Held     float64            `msgpack:"held,omitempty"`
+	SavedAt       int64              `msgpack:"at"`
+	TeamUsage     map[string]float64 `msgpack:"use"`
+	FetchRates    map[string]float64 `msgpack:"rates"`
+	ArrivalRates  map[string]float64 `msgpack:"arrivals"`
+	FirstArrivals map[string]int64   `msgpack:"since"` // time of day of a class's first arrival
+	Batch         map[string]bool    `msgpack:"batch"`
+	SpotLosses    float64            `msgpack:"lost,omitempty"` // of spotLosses
+	SpotUpSeconds float64            `msgpack:"held,omitempty"`
 	// Of the accounts in the order that the settings give, which the digest names: jobs
 	// of late and how many of them were served, two numbers each.
-	Digest uint32    `msgpack:"digest,omitempty"`
-	Served []float64 `msgpack:"served,omitempty"`
+	AccountsDigest uint32    `msgpack:"digest,omitempty"`
+	ServedCounts   []float64 `msgpack:"served,omitempty"`
 }
 
 // saveMachine writes a machine's record: what it is, the images it has, and the
@@ -116,26 +116,26 @@
 			return []wire.Change{{DeleteKey: key}}, true
 		}
 		rec := machineRecord{Addr: m.Addr, Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot,
-			At: c.toWallTime(m.RequestedAt), Placements: []placeRecord{}}
+			RequestedAt: c.toWallTime(m.RequestedAt), Placements: []placementRecord{}}
 		for image := range m.Images {
 			rec.Images = append(rec.Images, image)
 		}
 		slices.Sort(rec.Images)
 		for _, image := range rec.Images {
-			rec.Sizes = append(rec.Sizes, m.ImageSizes[image])
+			rec.ImageSizes = append(rec.ImageSizes, m.ImageSizes[image])
 		}
 		for _, p := range m.Placements {
 			if !p.InJobRecord {
-				rec.Placements = append(rec.Placements, placeRecord{p.Task, p.Attempt, p.Session,
+				rec.Placements = append(rec.Placements, placementRecord{p.Task, p.Attempt, p.Session,
 					p.Need.CPUs, p.Need.GPUs, p.Need.Memory, p.Team, p.Priority, p.Image})
 			}
 		}
-		slices.SortFunc(rec.Placements, func(a, b placeRecord) int { return strings.Compare(a.Task, b.Task) })
+		slices.SortFunc(rec.Placements, func(a, b placementRecord) int { return strings.Compare(a.Task, b.Task) })
 		value, limit := wire.Encode(&rec), c.stateLimits().ValueBytes()
 		for len(rec.Images) > 0 && wire.JSONSize(value) > limit {
 			// Images are fetched again where they are not known.
 			n := len(rec.Images) / 2
-			rec.Images, rec.Sizes = rec.Images[:n], rec.Sizes[:n]
+			rec.Images, rec.ImageSizes = rec.Images[:n], rec.ImageSizes[:n]
 			value = wire.Encode(&rec)
 		}
 		if c.format.level >= LevelTasks && len(rec.Placements) > 0 && wire.JSONSize(value) > limit {
@@ -167,31 +167,33 @@
 func (c *Core) progressRecordOf(j *sched.Job) *progressRecord {
 	if c.format.level < LevelTasks {
 		r := renderProgress(j, c.stateLimits().ValueBytes())
-		c.times(j, r)
+		c.setReadyTimes(j, r)
 		return r
 	}
 	r := renderProgress(j, 0) // the tasks have records of their own
-	c.times(j, r)
+	c.setReadyTimes(j, r)
 	if j.CommittedPhase == "" && r.Phase != "" && j.EndedAt == 0 {
 		j.EndedAt = c.env.Now()
 	}
 	if j.EndedAt != 0 {
-		r.Over = c.toWallTime(j.EndedAt)
+		r.EndedAt = c.toWallTime(j.EndedAt)
 	}
 	return r
 }
 
 // times adds when a job that awaits others became ready.
-func (c *Core) times(j *sched.Job, r *progressRecord) {
+func (c *Core) setReadyTimes(j *sched.Job, rec *progressRecord) {
 	if len(j.Spec.DependsOn) > 0 && !j.HasUnmetDependencies() && j.ReadyAt > 0 {
-		r.ReadyAt, r.Start = c.toWallTime(j.ReadyAt), c.toWallTime(j.PipelineStart)
+		rec.ReadyAt, rec.PipelineStart = c.toWallTime(j.ReadyAt), c.toWallTime(j.PipelineStart)
 	}
 }
 
 // wall and steady convert between the steady clock and the time of day.
-func (c *Core) toWallTime(at Micros) int64 { return int64(at - c.env.Now() + c.env.Wall()) }
-func (c *Core) toSteadyTime(at int64) Micros {
-	return min(c.env.Now(), Micros(at)-c.env.Wall()+c.env.Now())
+func (c *Core) toWallTime(steadyTime Micros) int64 {
+	return int64(steadyTime - c.env.Now() + c.env.Wall())
+}
+func (c *Core) toSteadyTime(wallTime int64) Micros {
+	return min(c.env.Now(), Micros(wallTime)-c.env.Wall()+c.env.Now())
 }
 
 // progressOf renders a job's progress in at most limit bytes. Of a job whose
@@ -199,7 +201,7 @@
 // next leader starts those again, and they exit with their result at once. A
 // record that the state service refuses would hold up all others.
 func renderProgress(j *sched.Job, limit int) *progressRecord {
-	r := &progressRecord{DoneCount: j.DoneCount, Estimate: int64(j.Estimate), Good: j.AnyTaskSucceeded}
+	r := &progressRecord{DoneCount: j.DoneCount, Estimate: int64(j.Estimate), AnyTaskSucceeded: j.AnyTaskSucceeded}
 	switch {
 	case j.Cancelled:
 		r.Phase = wire.PhaseCancelled
@@ -207,7 +209,7 @@
 		r.Phase = wire.PhaseDone
 	}
 	if r.Phase == "" && j.DoneCount > 0 {
-		bits := make([]byte, min((len(j.Tasks)+7)/8, max(limit-progressRest, 0)*3/4))
+		bits := make([]byte, min((len(j.Tasks)+7)/8, max(limit-progressOverhead, 0)*3/4))
 		for i := range j.Tasks[:min(len(j.Tasks), 8*len(bits))] {
 			if j.Tasks[i].State == sched.Done {
 				bits[i/8] |= 1 << (i % 8)
@@ -219,7 +221,7 @@
 }
 
 // progressRest is the room that a progress record needs beside its bits.
-const progressRest = 256
+const progressOverhead = 256
 
 // archive moves an ended job out of the records that a takeover reads. A job
 // that others still wait for stays, so that a takeover need not look for it.
@@ -246,11 +248,11 @@
 	}
 }
 
-func (c *Core) cacheFinalRecord(s *finalRecord) {
-	if _, ok := c.finalRecords[s.ID]; !ok {
-		c.finalRecordOrder = append(c.finalRecordOrder, s.ID)
+func (c *Core) cacheFinalRecord(record *finalRecord) {
+	if _, ok := c.finalRecords[record.ID]; !ok {
+		c.finalRecordOrder = append(c.finalRecordOrder, record.ID)
 	}
-	c.finalRecords[s.ID] = *s
+	c.finalRecords[record.ID] = *record
 	if len(c.finalRecordOrder) > c.cfg.MaxFinalStates() {
 		delete(c.finalRecords, c.finalRecordOrder[0])
 		c.finalRecordOrder = c.finalRecordOrder[1:]
@@ -259,10 +261,10 @@
 
 // load reads everything at the beginning of a term.
 func (c *Core) load(term uint64) {
-	still := func() bool { return c.elector.Leading() && c.term == term }
+	stillLeading := func() bool { return c.elector.Leading() && c.term == term }
 	progress := map[string]*progressRecord{}
 	var groups, machines, tasks, intents []wire.Item
-	var since uint64
+	var jobsRevision uint64
 	finish := func() {
 		for id, p := range progress {
 			if j := c.jobs[id]; j != nil {
@@ -300,34 +302,34 @@
 		for _, j := range c.jobs {
 			c.archive(j)
 		}
-		c.watchJobs(term, since)
+		c.watchJobs(term, jobsRevision)
 		c.reconcileMachineList(term, "", nil, 0)
-		c.saveLearnt(term)
+		c.saveLearned(term)
 		c.handleDeferredReports()
 		c.requestSchedulingPass()
 	}
-	read := func(prefix string, then func([]wire.Item, uint64)) { c.listAll(still, prefix, then) }
-	c.levelsAtLoad(still, func() {
-		read(jobPrefix, func(items []wire.Item, revision uint64) {
-			since = revision
+	readAll := func(prefix string, then func([]wire.Item, uint64)) { c.listAll(stillLeading, prefix, then) }
+	c.readLevelsBeforeLoad(stillLeading, func() {
+		readAll(jobPrefix, func(items []wire.Item, revision uint64) {
+			jobsRevision = revision
 			c.addJobRecords(items, progress)
-			read(taskPrefix, func(items []wire.Item, _ uint64) {
+			readAll(taskPrefix, func(items []wire.Item, _ uint64) {
 				tasks = items
 				// A machine's own record goes after its group's is written, so own records first.
-				read(machinePrefix, func(items []wire.Item, _ uint64) {
+				readAll(machinePrefix, func(items []wire.Item, _ uint64) {
 					machines = items
-					read(groupPrefix, func(items []wire.Item, _ uint64) {
+					readAll(groupPrefix, func(items []wire.Item, _ uint64) {
 						groups = items
-						read(intentPrefix, func(items []wire.Item, _ uint64) {
+						readAll(intentPrefix, func(items []wire.Item, _ uint64) {
 							intents = items
 							c.env.State().Get(learnedKey, func(o store.Outcome, it *wire.Item) {
-								if !still() {
+								if !stillLeading() {
 									return
 								}
 								if o == store.OK {
 									c.restoreLearned(it.Value)
 								}
-								c.withCatalog(still, finish)
+								c.awaitCatalog(stillLeading, finish)
 							})
 						})
 					})
@@ -338,14 +340,14 @@
 }
 
 // levelsAtLoad learns the format level before anything is written.
-func (c *Core) levelsAtLoad(still func() bool, then func()) {
+func (c *Core) readLevelsBeforeLoad(stillLeading func() bool, then func()) {
 	c.readLevels(func(ok bool) {
 		switch {
-		case !still():
+		case !stillLeading():
 		case ok:
 			then()
 		default:
-			c.env.After(100*clock.Millisecond, func() { c.levelsAtLoad(still, then) })
+			c.env.After(100*clock.Millisecond, func() { c.readLevelsBeforeLoad(stillLeading, then) })
 		}
 	})
 }
@@ -353,18 +355,18 @@
 // addRecords enters the jobs among the items; progress, if not nil, takes in
 // what lies beside them.
 func (c *Core) addJobRecords(items []wire.Item, progress map[string]*progressRecord) {
-	parts := map[string][][]byte{}
+	awaitsValues := map[string][][]byte{}
 	for i := range items {
 		key := strings.TrimPrefix(items[i].Key, jobPrefix)
 		if id, tail, found := strings.Cut(key, "/"); found && strings.HasPrefix("/"+tail, awaitsSuffix) {
-			parts[id] = append(parts[id], items[i].Value)
+			awaitsValues[id] = append(awaitsValues[id], items[i].Value)
 		}
 	}
 	for i := range items {
 		id, tail, found := strings.Cut(strings.TrimPrefix(items[i].Key, jobPrefix), "/")
 		switch {
 		case !found:
-			c.addJobRecord(items[i].Value, parts[id])
+			c.addJobRecord(items[i].Value, awaitsValues[id])
 		case "/"+tail == progressSuffix && progress != nil:
 			p := new(progressRecord)
 			if msgpack.Unmarshal(items[i].Value, p) == nil {
@@ -376,26 +378,26 @@
 
 // withCatalog waits for the machine types, without which no machine can be
 // judged.
-func (c *Core) withCatalog(still func() bool, then func()) {
-	if !still() {
+func (c *Core) awaitCatalog(stillLeading func() bool, then func()) {
+	if !stillLeading() {
 		return
 	}
 	if c.catalog == nil {
-		c.env.After(100*clock.Millisecond, func() { c.withCatalog(still, then) })
+		c.env.After(100*clock.Millisecond, func() { c.awaitCatalog(stillLeading, then) })
 		return
 	}
 	then()
 }
 
 // listAll reads all keys of a prefix; revision is that of the first page.
-func (c *Core) listAll(still func() bool, prefix string, done func([]wire.Item, uint64)) {
+func (c *Core) listAll(stillLeading func() bool, prefix string, done func([]wire.Item, uint64)) {
 	var all []wire.Item
 	var revision uint64
 	var page func(after string)
 	page = func(after string) {
 		c.env.State().List(prefix, after, 500, func(o store.Outcome, l *wire.ItemList) {
 			switch {
-			case !still():
+			case !stillLeading():
 			case o != store.OK:
 				c.env.After(100*clock.Millisecond, func() { page(after) })
 			default:
@@ -416,7 +418,7 @@
 
 // decodeJobRecord reads a job's record and the keys beside it that hold the rest
 // of its awaits.
-func decodeJobRecord(value []byte, parts [][]byte) (*jobRecord, error) {
+func decodeJobRecord(value []byte, awaitsValues [][]byte) (*jobRecord, error) {
 	rec := new(jobRecord)
 	if err := msgpack.Unmarshal(value, rec); err != nil {
 		return nil, err
@@ -424,22 +426,22 @@
 	if !wire.ValidID(rec.Job.ID) {
 		return nil, fmt.Errorf("id %q", rec.Job.ID)
 	}
-	if len(parts) != rec.Parts {
-		return nil, fmt.Errorf("%s: %d of %d parts", rec.Job.ID, len(parts), rec.Parts)
+	if len(awaitsValues) != rec.AwaitsKeys {
+		return nil, fmt.Errorf("%s: %d of %d parts", rec.Job.ID, len(awaitsValues), rec.AwaitsKeys)
 	}
-	for _, raw := range parts {
-		var more awaitsRecord
-		if err := msgpack.Unmarshal(raw, &more); err != nil {
+	for _, raw := range awaitsValues {
+		var rest awaitsRecord
+		if err := msgpack.Unmarshal(raw, &rest); err != nil {
 			return nil, err
 		}
-		rec.Job.DependsOn = append(rec.Job.DependsOn, more.Awaits...)
+		rec.Job.DependsOn = append(rec.Job.DependsOn, rest.Awaits...)
 	}
 	return rec, nil
 }
 
 // addRecord enters a job from its record, unless it is known.
-func (c *Core) addJobRecord(value []byte, parts [][]byte) {
-	rec, err := decodeJobRecord(value, parts)
+func (c *Core) addJobRecord(value []byte, awaitsValues [][]byte) {
+	rec, err := decodeJobRecord(value, awaitsValues)
 	if err != nil {
 		slog.Error("job record cannot be read", "err", err)
 		return
@@ -447,7 +449,7 @@
 	if c.jobs[rec.Job.ID] != nil {
 		return
 	}
-	if _, over := c.finalRecords[rec.Job.ID]; over {
+	if _, final := c.finalRecords[rec.Job.ID]; final {
 		return
 	}
 	spec := &rec.Job
@@ -461,7 +463,7 @@
 		Tasks:           make([]sched.Task, spec.Tasks),
 		FailedOn:        map[string]bool{},
 		TaskRecords:     map[int]int{},
-		ExtraAwaitsKeys: rec.Parts,
+		ExtraAwaitsKeys: rec.AwaitsKeys,
 	}
 	j.Init()
 	j.ComputeSize(c.catalog)
@@ -484,11 +486,11 @@
 		if o.Class != j.Spec.Class {
 			continue
 		}
-		switch by := j.ReadyAt + clock.FromSeconds(o.Within); o.Kind {
+		switch target := j.ReadyAt + clock.FromSeconds(o.Within); o.Kind {
 		case "finished":
-			j.FinishTargets = append(j.FinishTargets, by)
+			j.FinishTargets = append(j.FinishTargets, target)
 		case "wait":
-			j.StartTargets, j.LastStartTarget = append(j.StartTargets, by), max(j.LastStartTarget, by)
+			j.StartTargets, j.LastStartTarget = append(j.StartTargets, target), max(j.LastStartTarget, target)
 		}
 	}
 	slices.Sort(j.FinishTargets)
@@ -512,7 +514,7 @@
 }
 
 func (c *Core) restoreProgress(j *sched.Job, p *progressRecord) {
-	j.AnyTaskSucceeded = p.Good
+	j.AnyTaskSucceeded = p.AnyTaskSucceeded
 	if p.Estimate > 0 {
 		j.Estimate = Micros(p.Estimate)
 	}
@@ -523,11 +525,11 @@
 			j.DoneCount++
 		}
 	}
-	if p.Over != 0 {
-		j.EndedAt = c.toSteadyTime(p.Over)
+	if p.EndedAt != 0 {
+		j.EndedAt = c.toSteadyTime(p.EndedAt)
 	}
 	if p.ReadyAt != 0 {
-		j.PipelineStart = min(j.PipelineStart, c.toSteadyTime(p.Start))
+		j.PipelineStart = min(j.PipelineStart, c.toSteadyTime(p.PipelineStart))
 		c.setReady(j, c.toSteadyTime(p.ReadyAt))
 	}
 	switch p.Phase {
@@ -538,20 +540,20 @@
 	}
 }
 
-func (c *Core) restoreMachine(it *wire.Item) {
+func (c *Core) restoreMachine(item *wire.Item) {
 	var rec machineRecord
-	id := strings.TrimPrefix(it.Key, machinePrefix)
-	if err := msgpack.Unmarshal(it.Value, &rec); err != nil {
+	id := strings.TrimPrefix(item.Key, machinePrefix)
+	if err := msgpack.Unmarshal(item.Value, &rec); err != nil {
 		slog.Error("machine record cannot be read", "machine", id, "err", err)
 		return
 	}
-	m := c.addMachine(id, rec.Addr, rec.Type, rec.Zone, rec.Spot, Micros(rec.At)-c.env.Wall()+c.env.Now())
+	m := c.addMachine(id, rec.Addr, rec.Type, rec.Zone, rec.Spot, Micros(rec.RequestedAt)-c.env.Wall()+c.env.Now())
 	if m == nil {
 		return
 	}
 	for i, image := range rec.Images {
-		if i < len(rec.Sizes) {
-			m.TouchImage(image, rec.Sizes[i], c.env.Now())
+		if i < len(rec.ImageSizes) {
+			m.TouchImage(image, rec.ImageSizes[i], c.env.Now())
 		}
 	}
 	m.Recorded, m.MayHaveOwnRecord = true, true
@@ -567,26 +569,26 @@
 // restorePlace enters a placement from a record. A record may still hold a task
 // that is done, or one that has since been placed elsewhere after its absence
 // was proven; the highest attempt is the current one.
-func (c *Core) restorePlacement(j *sched.Job, pl *sched.Placement) {
-	if old := pl.Machine.Placements[pl.Task]; old != nil && old.Attempt >= pl.Attempt {
-		old.InJobRecord = old.InJobRecord || pl.InJobRecord && old.Attempt == pl.Attempt
+func (c *Core) restorePlacement(j *sched.Job, placement *sched.Placement) {
+	if old := placement.Machine.Placements[placement.Task]; old != nil && old.Attempt >= placement.Attempt {
+		old.InJobRecord = old.InJobRecord || placement.InJobRecord && old.Attempt == placement.Attempt
 		return
 	}
-	pl.Committed, pl.Sent, pl.Inherited = true, true, true
-	if j != nil && pl.Index < len(j.Tasks) && j.Tasks[pl.Index].State != sched.Done {
-		if other := j.Tasks[pl.Index].Placement; other == nil {
-			pl.Job = j
-		} else if other.Attempt < pl.Attempt {
-			other.Job.PlacedCount--
-			other.Job = nil
-			j.Tasks[pl.Index].Placement = nil
-			pl.Job = j
+	placement.Committed, placement.Sent, placement.Inherited = true, true, true
+	if j != nil && placement.Index < len(j.Tasks) && j.Tasks[placement.Index].State != sched.Done {
+		if earlier := j.Tasks[placement.Index].Placement; earlier == nil {
+			placement.Job = j
+		} else if earlier.Attempt < placement.Attempt {
+			earlier.Job.PlacedCount--
+			earlier.Job = nil
+			j.Tasks[placement.Index].Placement = nil
+			placement.Job = j
 		}
-		if pl.Job != nil && j.Gang() {
-			j.GangAttempt = max(j.GangAttempt, pl.Attempt)
+		if placement.Job != nil && j.Gang() {
+			j.GangAttempt = max(j.GangAttempt, placement.Attempt)
 		}
 	}
-	sched.Attach(pl, c.teams)
+	sched.Attach(placement, c.teams)
 }
 
 func (c *Core) restoreLearned(value []byte) {
@@ -595,80 +597,80 @@
 		return
 	}
 	now := c.env.Now()
-	at := c.toSteadyTime(rec.At)
-	for name, use := range rec.Use {
+	at := c.toSteadyTime(rec.SavedAt)
+	for name, use := range rec.TeamUsage {
 		if t := c.teams[name]; t != nil {
 			t.Usage, t.UsageUpdatedAt = use, at
 		}
 	}
-	for name, r := range rec.Rates {
+	for name, r := range rec.FetchRates {
 		if r > 0 {
 			c.fetchRates[name] = r
 		}
 	}
-	c.spotLosses.lost, c.spotLosses.upSeconds = rec.Lost, rec.Held
-	if rec.Digest == c.accountIndex.Digest {
-		c.served.Restore(rec.Served, at)
+	c.spotLosses.lost, c.spotLosses.upSeconds = rec.SpotLosses, rec.SpotUpSeconds
+	if rec.AccountsDigest == c.accountIndex.Digest {
+		c.objectiveTracker.Restore(rec.ServedCounts, at)
 	}
-	for class, r := range rec.Arrivals {
+	for class, r := range rec.ArrivalRates {
 		c.arrivals[class] = &arrivalStats{rate: r, updatedAt: at, batch: rec.Batch[class],
-			firstArrival: min(at, Micros(rec.Since[class])-c.env.Wall()+now)}
+			firstArrival: min(at, Micros(rec.FirstArrivals[class])-c.env.Wall()+now)}
 	}
 }
 
 // saveLearnt writes what was learnt every ten seconds.
-func (c *Core) saveLearnt(term uint64) {
+func (c *Core) saveLearned(term uint64) {
 	if !c.elector.Leading() || c.term != term {
 		return
 	}
 	c.committer.put(learnedKey, func() []byte { return c.renderLearned(c.stateLimits().ValueBytes()) }, nil)
-	c.env.After(10*clock.Second, func() { c.saveLearnt(term) })
+	c.env.After(10*clock.Second, func() { c.saveLearned(term) })
 }
 
 // learnt renders what was learnt in at most limit bytes. Where that is too
 // little, the classes that ask for least are left out first; what is not there
 // is learnt again.
 func (c *Core) renderLearned(limit int) []byte {
-	rec := learnedRecord{At: int64(c.env.Wall()), Use: map[string]float64{},
-		Rates: map[string]float64{}, Arrivals: map[string]float64{}, Since: map[string]int64{}, Batch: map[string]bool{}}
+	rec := learnedRecord{SavedAt: int64(c.env.Wall()), TeamUsage: map[string]float64{},
+		FetchRates: map[string]float64{}, ArrivalRates: map[string]float64{}, FirstArrivals: map[string]int64{}, Batch: map[string]bool{}}
 	now := c.env.Now()
-	rec.Lost, rec.Held = short(c.spotLosses.lost), short(c.spotLosses.upSeconds)
+	rec.SpotLosses, rec.SpotUpSeconds = roundToSixDigits(c.spotLosses.lost), roundToSixDigits(c.spotLosses.upSeconds)
 	if c.policy.Admission.Enabled {
-		rec.Digest = c.accountIndex.Digest
-		for _, x := range c.served.Counts(now) {
-			rec.Served = append(rec.Served, short(x))
+		rec.AccountsDigest = c.accountIndex.Digest
+		for _, x := range c.objectiveTracker.Counts(now) {
+			rec.ServedCounts = append(rec.ServedCounts, roundToSixDigits(x))
 		}
 	}
 	for name, r := range c.fetchRates {
-		rec.Rates[name] = short(r)
+		rec.FetchRates[name] = roundToSixDigits(r)
 	}
 	for name, t := range c.teams {
 		t.DecayUsage(now, c.policy.UsageWindow)
-		rec.Use[name] = short(t.Usage)
+		rec.TeamUsage[name] = roundToSixDigits(t.Usage)
 	}
 	for class, a := range c.arrivals {
-		rec.Arrivals[class], rec.Batch[class] = short(a.rateAt(now)), a.batch
-		rec.Since[class] = c.toWallTime(a.firstArrival)
+		rec.ArrivalRates[class], rec.Batch[class] = roundToSixDigits(a.rateAt(now)), a.batch
+		rec.FirstArrivals[class] = c.toWallTime(a.firstArrival)
 	}
 	value := wire.Encode(&rec)
 	for wire.JSONSize(value) > limit {
 		class, least := "", math.Inf(1)
-		for _, name := range slices.Sorted(maps.Keys(rec.Arrivals)) {
-			if rec.Arrivals[name] < least {
-				class, least = name, rec.Arrivals[name]
+		for _, name := range slices.Sorted(maps.Keys(rec.ArrivalRates)) {
+			if rec.ArrivalRates[name] < least {
+				class, least = name, rec.ArrivalRates[name]
 			}
 		}
 		switch {
-		case rec.Served != nil:
-			rec.Served, rec.Digest = nil, 0
+		case rec.ServedCounts != nil:
+			rec.ServedCounts, rec.AccountsDigest = nil, 0
 		case class != "":
-			delete(rec.Arrivals, class)
-			delete(rec.Since, class)
+			delete(rec.ArrivalRates, class)
+			delete(rec.FirstArrivals, class)
 			delete(rec.Batch, class)
-		case len(rec.Rates) > 0:
-			rec.Rates = nil
+		case len(rec.FetchRates) > 0:
+			rec.FetchRates = nil
 		default:
-			rec.Use = nil
+			rec.TeamUsage = nil
 			return wire.Encode(&rec)
 		}
 		value = wire.Encode(&rec)
@@ -677,23 +679,23 @@
 }
 
 // short rounds to six digits, which is more than is known.
-func short(x float64) float64 {
+func roundToSixDigits(x float64) float64 {
 	if x == 0 || math.IsNaN(x) || math.IsInf(x, 0) {
 		return 0
 	}
-	unit := math.Pow(10, math.Floor(math.Log10(math.Abs(x)))-5)
-	if unit >= 1 {
-		return math.Round(x/unit) * unit
+	lastDigit := math.Pow(10, math.Floor(math.Log10(math.Abs(x)))-5)
+	if lastDigit >= 1 {
+		return math.Round(x/lastDigit) * lastDigit
 	}
-	return math.Round(x/unit) / math.Round(1/unit)
+	return math.Round(x/lastDigit) / math.Round(1/lastDigit)
 }
 
 // watchJobs follows the jobs that other nodes accept.
-func (c *Core) watchJobs(term, since uint64) {
+func (c *Core) watchJobs(term, revision uint64) {
 	if !c.elector.Leading() || c.term != term {
 		return
 	}
-	c.env.State().Watch(jobPrefix, since, 10_000, func(o store.Outcome, a *wire.WatchAnswer) {
+	c.env.State().Watch(jobPrefix, revision, 10_000, func(o store.Outcome, a *wire.WatchAnswer) {
 		if !c.elector.Leading() || c.term != term {
 			return
 		}
@@ -718,7 +720,7 @@
 					c.watchJobs(term, revision)
 				})
 		default:
-			c.env.After(200*clock.Millisecond, func() { c.watchJobs(term, since) })
+			c.env.After(200*clock.Millisecond, func() { c.watchJobs(term, revision) })
 		}
 	})
 }
--- a/internal/controller/records_test.go
+++ b/internal/controller/records_test.go
@@ -13,19 +13,19 @@
 // TestProgressFits: a progress record stays within value_kb whatever the job's
 // size, and what it forgets is started again, never taken for done.
 func TestProgressFits(t *testing.T) {
-	for _, c := range []struct{ tasks, limit, want int }{{100_000, 32 << 10, 100_000}, {100_000, 1 << 10, 4608}, {7, 1 << 10, 7}} {
-		j := &sched.Job{Spec: &wire.Job{}, Tasks: make([]sched.Task, c.tasks), DoneCount: c.tasks}
+	for _, test := range []struct{ tasks, limit, want int }{{100_000, 32 << 10, 100_000}, {100_000, 1 << 10, 4608}, {7, 1 << 10, 7}} {
+		j := &sched.Job{Spec: &wire.Job{}, Tasks: make([]sched.Task, test.tasks), DoneCount: test.tasks}
 		for i := range j.Tasks {
 			j.Tasks[i].State = sched.Done
 		}
-		p := renderProgress(j, c.limit)
-		if n := len(wire.Encode(p)); n > c.limit {
-			t.Errorf("%d tasks: %d bytes, limit %d", c.tasks, n, c.limit)
+		p := renderProgress(j, test.limit)
+		if n := len(wire.Encode(p)); n > test.limit {
+			t.Errorf("%d tasks: %d bytes, limit %d", test.tasks, n, test.limit)
 		}
-		again := &sched.Job{Spec: &wire.Job{}, Tasks: make([]sched.Task, c.tasks)}
-		new(Core).restoreProgress(again, p)
-		if again.DoneCount != c.want {
-			t.Errorf("%d tasks in %d bytes: %d done after a takeover, want %d", c.tasks, c.limit, again.DoneCount, c.want)
+		restored := &sched.Job{Spec: &wire.Job{}, Tasks: make([]sched.Task, test.tasks)}
+		new(Core).restoreProgress(restored, p)
+		if restored.DoneCount != test.want {
+			t.Errorf("%d tasks in %d bytes: %d done after a takeover, want %d", test.tasks, test.limit, restored.DoneCount, test.want)
 		}
 	}
 }
@@ -44,8 +44,8 @@
 		t.Errorf("learnt takes %d bytes", n)
 	}
 	var rec learnedRecord
-	if err := wire.Decode(c.renderLearned(limit), &rec); err != nil || rec.Arrivals["class-199"] == 0 || rec.Arrivals["class-0"] != 0 {
-		t.Errorf("learnt keeps %v, %v", rec.Arrivals, err)
+	if err := wire.Decode(c.renderLearned(limit), &rec); err != nil || rec.ArrivalRates["class-199"] == 0 || rec.ArrivalRates["class-0"] != 0 {
+		t.Errorf("learnt keeps %v, %v", rec.ArrivalRates, err)
 	}
 
 	for i := range 40 {
@@ -60,11 +60,11 @@
 		}
 		items = append(items, wire.Item{Key: key, Value: value})
 	}
-	if cat := readCatalog(items); cat == nil || len(cat.Types) != 40 {
-		t.Errorf("catalogue in %d parts: %+v", len(items), cat)
+	if catalog := readCatalog(items); catalog == nil || len(catalog.Types) != 40 {
+		t.Errorf("catalogue in %d parts: %+v", len(items), catalog)
 	}
 	for i := range items {
-		if cat := readCatalog(slices.Delete(slices.Clone(items), i, i+1)); cat != nil {
+		if catalog := readCatalog(slices.Delete(slices.Clone(items), i, i+1)); catalog != nil {
 			t.Errorf("a catalogue that lacks %s is taken for whole", items[i].Key)
 		}
 	}
@@ -75,24 +75,24 @@
 		j.Tasks[i] = sched.Task{State: sched.Placed, Placement: &sched.Placement{Index: i, Machine: m, Session: 3, Attempt: uint64(1+i%2)<<32 | uint64(i)}}
 	}
 	j.Tasks[0].State, j.Tasks[0].Placement = sched.Done, nil
-	places := map[uint64]string{}
-	parts := splitTasks(renderTasks(j, 0), limit)
+	placements := map[uint64]string{}
+	parts := encodeTasks(buildTasksRecord(j, 0), limit)
 	for _, value := range parts {
 		var r tasksRecord
 		if err := wire.Decode(value, &r); err != nil || wire.JSONSize(value) > limit {
 			t.Errorf("a part of %d bytes, %v", wire.JSONSize(value), err)
 		}
 		for p := r.Placements; len(p) > 0; p = p[4:] {
-			places[p[0]] = fmt.Sprint(r.Machines[p[1]], r.BaseAttempt+p[2], p[3])
+			placements[p[0]] = fmt.Sprint(r.Machines[p[1]], r.BaseAttempt+p[2], p[3])
 		}
 	}
-	if len(parts) > 4 || len(places) != 63 {
-		t.Errorf("%d places in %d parts", len(places), len(parts))
+	if len(parts) > 4 || len(placements) != 63 {
+		t.Errorf("%d places in %d parts", len(placements), len(parts))
 	}
 	for i := 1; i < 64; i++ {
 		p := j.Tasks[i].Placement
-		if want := fmt.Sprint(p.Machine.ID, p.Attempt, 3); places[uint64(i)] != want {
-			t.Errorf("place %d: %s, want %s", i, places[uint64(i)], want)
+		if want := fmt.Sprint(p.Machine.ID, p.Attempt, 3); placements[uint64(i)] != want {
+			t.Errorf("place %d: %s, want %s", i, placements[uint64(i)], want)
 		}
 	}
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -29,8 +29,8 @@
 	h.c.env.Call(node, m, timeout, done)
 }
 
-func (h relayHost) SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
-	h.c.env.SendOrders(addr, o, done)
+func (h relayHost) SendOrders(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
+	h.c.env.SendOrders(addr, orders, done)
 }
 
 // Leader is the peer that says it leads, in the highest term; without one, whom the state
@@ -61,28 +61,28 @@
 func (c *Core) relaying() bool { return c.format.level >= LevelRelay && c.relay.Active() }
 
 // takeCarried handles a report while controllers relay.
-func (c *Core) handleReportWithRelays(r *wire.Report, reply func(ReportAnswer)) {
-	if to := c.relay.RedirectTarget(r); to != "" {
-		reply(ReportAnswer{Code: 421, Leader: to})
+func (c *Core) handleReportWithRelays(report *wire.Report, reply func(ReportAnswer)) {
+	if target := c.relay.RedirectTarget(report); target != "" {
+		reply(ReportAnswer{Code: 421, Leader: target})
 		return
 	}
 	switch {
 	case !c.elector.Leading():
-		c.relay.Forward(r, reply)
+		c.relay.Forward(report, reply)
 	case !c.loaded:
-		c.deferUntilLoaded(func() { reply(c.decideDirect(r)) })
+		c.deferUntilLoaded(func() { reply(c.processDirectReport(report)) })
 	default:
-		reply(c.decideDirect(r))
+		reply(c.processDirectReport(report))
 	}
 }
 
 // decideDirect answers a worker that reports to the leader itself.
-func (c *Core) decideDirect(r *wire.Report) ReportAnswer {
-	a := c.ProcessReport(r)
-	if a.Code == 200 && c.router != nil {
-		c.router.RemoveRoute(r.Machine)
+func (c *Core) processDirectReport(report *wire.Report) ReportAnswer {
+	answer := c.ProcessReport(report)
+	if answer.Code == 200 && c.router != nil {
+		c.router.RemoveRoute(report.Machine)
 	}
-	return a
+	return answer
 }
 
 // onRelayed answers a batch of reports that a peer relays.
@@ -122,9 +122,9 @@
 }
 
 // putRelays takes over who relays.
-func (c *Core) applyRelays(t *relay.Table) {
-	if t != nil && !c.elector.Leading() && c.relay.ApplyTable(*t) {
-		slog.Info("relays changed", "members", t.Members, "term", t.Term, "number", t.Number)
+func (c *Core) applyRelays(table *relay.Table) {
+	if table != nil && !c.elector.Leading() && c.relay.ApplyTable(*table) {
+		slog.Info("relays changed", "members", table.Members, "term", table.Term, "number", table.Number)
 	}
 }
 
@@ -137,25 +137,25 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.peers)) {
 		if p := c.peers[name]; c.format.peerMaxLevels[name] >= LevelRelay {
-			candidates = append(candidates, relay.Candidate{Name: name, LastSeen: p.lastMessageAt, ConnectionUsage: p.sockets})
+			candidates = append(candidates, relay.Candidate{Name: name, LastSeen: p.lastMessageAt, ConnectionUsage: p.connectionUsage})
 		}
 	}
 	if c.router.UpdateMembership(c.cfg.Name, workers, c.policy.Relay.MinWorkers, candidates) {
-		t := c.router.Table()
-		slog.Info("relays changed", "members", t.Members, "term", t.Term, "number", t.Number, "workers", workers)
+		table := c.router.Table()
+		slog.Info("relays changed", "members", table.Members, "term", table.Term, "number", table.Number, "workers", workers)
 	}
 	c.relay.ApplyTable(*c.router.Table())
 }
 
 // Relays tells who carries how many workers, as this node sees it.
 func (c *Core) Relays() *wire.RelayStatus {
-	t, n := c.relay.Table(), c.relay.Counters
-	out := &wire.RelayStatus{Node: c.cfg.Name, IsLeader: c.Serving(), Active: c.relaying(), Term: t.Term, Number: t.Number, Members: t.Members,
-		Workers: c.relay.WorkerCount(), QueuedReports: c.relay.QueuedReports(), Relayed: n.Relayed, Repeated: n.Repeated, Batches: n.Batches,
-		Unanswered: n.Unanswered, Redirected: n.Redirected, Shed: n.Shed, Orders: n.Orders, RefusedOrders: n.RefusedOrders,
-		Malformed: n.Malformed, BatchLatencyMicros: int64(n.BatchLatency)}
+	table, counters := c.relay.Table(), c.relay.Counters
+	status := &wire.RelayStatus{Node: c.cfg.Name, IsLeader: c.Serving(), Active: c.relaying(), Term: table.Term, Number: table.Number, Members: table.Members,
+		Workers: c.relay.WorkerCount(), QueuedReports: c.relay.QueuedReports(), Relayed: counters.Relayed, Repeated: counters.Repeated, Batches: counters.Batches,
+		Unanswered: counters.Unanswered, Redirected: counters.Redirected, Shed: counters.Shed, Orders: counters.Orders, RefusedOrders: counters.RefusedOrders,
+		Malformed: counters.Malformed, BatchLatencyMicros: int64(counters.BatchLatency)}
 	if c.elector.Leading() && c.router != nil {
-		out.WorkersPerRelay = c.router.WorkersPerRelay()
+		status.WorkersPerRelay = c.router.WorkersPerRelay()
 	}
-	return out
+	return status
 }
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -18,90 +18,90 @@
 
 // earlyFor is how long a report that comes before the records are read waits for that: the
 // worker drops answers later than responseLife.
-const earlyFor = responseTimeout / 2
+const deferredReportTimeout = responseTimeout / 2
 
 // awaitLoad keeps reports until the records are read. Nothing may be renewed before: a
 // leader that knows of no cancellation would keep alive what an earlier one has told a user
 // is cancelled (scenario successor_lost_while_loading).
 func (c *Core) deferUntilLoaded(handle func()) {
-	waits := true
-	take := func() {
-		if waits {
-			waits = false
+	pending := true
+	handleOnce := func() {
+		if pending {
+			pending = false
 			handle()
 		}
 	}
-	c.deferredReports = append(c.deferredReports, take)
-	c.env.After(earlyFor, take)
+	c.deferredReports = append(c.deferredReports, handleOnce)
+	c.env.After(deferredReportTimeout, handleOnce)
 }
 
 // takeEarly answers the reports that were kept: the records are read, or the lead is lost.
 func (c *Core) handleDeferredReports() {
-	early := c.deferredReports
+	deferred := c.deferredReports
 	c.deferredReports = nil
-	for _, take := range early {
-		take()
+	for _, handle := range deferred {
+		handle()
 	}
 }
 
 // OnReport handles a worker's report. Reports are ordered by session and seq:
 // a late one changes nothing.
-func (c *Core) ProcessReport(r *wire.Report) ReportAnswer {
+func (c *Core) ProcessReport(report *wire.Report) ReportAnswer {
 	now := c.env.Now()
 	if !c.elector.Leading() {
-		return c.notLeading(r, now)
+		return c.redirectToLeader(report, now)
 	}
-	if r.Token > c.term {
+	if report.Token > c.term {
 		c.elector.StepDown()
 		return ReportAnswer{Code: 503}
 	}
-	if !c.mayRenewLeases() || c.releasedMachines[r.Machine] {
+	if !c.mayRenewLeases() || c.releasedMachines[report.Machine] {
 		return ReportAnswer{Code: 503}
 	}
-	m := c.reporting(r, now)
+	m := c.machineForReport(report, now)
 	if m == nil {
 		return ReportAnswer{Code: 503}
 	}
 	// A worker's token never falls: what is under an older one than it has acknowledged was
 	// written before, whatever its numbers say.
-	if r.Session < m.Session || r.Session == m.Session && r.Seq <= m.Seq || m.Acked && r.Token < c.term {
-		c.handleStaleReport(m, r, now)
+	if report.Session < m.Session || report.Session == m.Session && report.Seq <= m.Seq || m.Acked && report.Token < c.term {
+		c.handleStaleReport(m, report, now)
 		return ReportAnswer{Code: 503}
 	}
-	if c.sendAway(m, now) || r.Session == m.Session && c.mayStartCancelled(m, now) {
+	if c.redirectIfIsolated(m, now) || report.Session == m.Session && c.mayStartCancelled(m, now) {
 		return ReportAnswer{Code: 503}
 	}
 	if !c.elector.HoldsValidLease() {
 		c.lateRenewals++
 	}
 	// Only what is new shows that workers reach this node; late copies don't.
-	c.lastReport, m.UnansweredProbes = now, 0
-	renew := ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: c.term}}
-	if r.Session == m.Session && r.Seq < m.LastCommandSeq {
+	c.lastReportAt, m.UnansweredProbes = now, 0
+	answer := ReportAnswer{Code: 200, Body: wire.ReportAnswer{Token: c.term}}
+	if report.Session == m.Session && report.Seq < m.LastCommandSeq {
 		// Written before the worker executed an order whose answer is known: what
 		// it lacks may have started since. It only shows that the worker lives.
-		m.Seq, m.LastReportAt, m.LastAnsweredReportAt = r.Seq, now, now
-		renew.Body.Commands = c.cancelledOn(m, r)
-		return renew
-	}
-	c.takeNews(m, r, now)
-	if r.Token == c.term {
-		c.acknowledged(m)
-		renew.Body.Commands = c.digest(m, r, now)
+		m.Seq, m.LastReportAt, m.LastAnsweredReportAt = report.Seq, now, now
+		answer.Body.Commands = c.stopsForCancelled(m, report)
+		return answer
+	}
+	c.applyMachineReport(m, report, now)
+	if report.Token == c.term {
+		c.recordAcknowledgement(m)
+		answer.Body.Commands = c.reconcileTasks(m, report, now)
 	} else {
 		if m.StaleTokenAnswered {
-			c.recordPartitionSign(m, oneway.TokenLost, now)
+			c.recordPartitionSymptom(m, oneway.TokenLost, now)
 		}
 		m.StaleTokenAnswered = true
-		renew.Body.Commands = c.cancelledOn(m, r)
+		answer.Body.Commands = c.stopsForCancelled(m, report)
 	}
 	m.LastAnsweredReportAt = now
-	return renew
+	return answer
 }
 
 // notLeading sends a worker to the leader, if one is known.
-func (c *Core) notLeading(r *wire.Report, now Micros) ReportAnswer {
-	c.reportingWorkerOf(r.Machine).lastReportAt = now
+func (c *Core) redirectToLeader(report *wire.Report, now Micros) ReportAnswer {
+	c.reportingWorkerOf(report.Machine).lastReportAt = now
 	if c.elector.Leader() == "" {
 		return ReportAnswer{Code: 503}
 	}
@@ -110,11 +110,11 @@
 
 // reporting is the machine that reports, entered if it was not known; nil if its type is
 // unknown too.
-func (c *Core) reporting(r *wire.Report, now Micros) *sched.Machine {
-	if m := c.machines[r.Machine]; m != nil {
+func (c *Core) machineForReport(report *wire.Report, now Micros) *sched.Machine {
+	if m := c.machines[report.Machine]; m != nil {
 		return m
 	}
-	m := c.addMachine(r.Machine, r.Addr, r.Type, r.Zone, r.Spot, now)
+	m := c.addMachine(report.Machine, report.Addr, report.Type, report.Zone, report.Spot, now)
 	if m == nil {
 		return nil
 	}
@@ -131,7 +131,7 @@
 // one; if there is none, it is back and kept. Whoever was not kept since is not sent away
 // again: where the others can't be reached either, the search takes seconds for each of
 // them, and the lease would end over it.
-func (c *Core) sendAway(m *sched.Machine, now Micros) bool {
+func (c *Core) redirectIfIsolated(m *sched.Machine, now Micros) bool {
 	if !c.lostStateAndPeers(now) || now-m.LastRedirectAt <= c.cfg.WorkerLease()/2 || m.LastAnsweredReportAt <= m.LastRedirectAt {
 		return false
 	}
@@ -140,49 +140,49 @@
 }
 
 // takeNews takes in what a newer report says of its machine itself.
-func (c *Core) takeNews(m *sched.Machine, r *wire.Report, now Micros) {
+func (c *Core) applyMachineReport(m *sched.Machine, report *wire.Report, now Micros) {
 	if !m.Up {
 		m.Up, m.IdleSince = true, now
 		slog.Debug("machine up", "machine", m.ID, "age", (now - m.RequestedAt).Seconds())
 	}
-	moved, was, heard := r.Session > m.Session, m.Session, m.LastReportAt
-	m.Session, m.Seq, m.LastReportAt, m.Addr = r.Session, r.Seq, now, r.Addr
-	if moved {
-		c.beginSession(m, r, was, heard, now)
+	newSession, previousSession, previousReportAt := report.Session > m.Session, m.Session, m.LastReportAt
+	m.Session, m.Seq, m.LastReportAt, m.Addr = report.Session, report.Seq, now, report.Addr
+	if newSession {
+		c.beginSession(m, report, previousSession, previousReportAt, now)
 	}
-	if r.ReclaimNoticeSeconds == nil {
+	if report.ReclaimNoticeSeconds == nil {
 		m.ReclaimAt = 0 // what brought it was a late copy, or the cloud thought better of it
 	} else if m.ReclaimAt == 0 {
-		m.ReclaimAt = now + clock.FromSeconds(*r.ReclaimNoticeSeconds)
+		m.ReclaimAt = now + clock.FromSeconds(*report.ReclaimNoticeSeconds)
 		c.drainForNotice(m, now)
 	}
 	if m.LastCommandUnanswered {
 		m.LastCommandUnanswered = false
-		c.recordPartitionSign(m, oneway.CommandBatchLost, now)
+		c.recordPartitionSymptom(m, oneway.CommandBatchLost, now)
 	}
 }
 
 // beginSession takes in that a worker's lease has ended, with all that it ran.
-func (c *Core) beginSession(m *sched.Machine, r *wire.Report, was uint64, heard, now Micros) {
-	if was > 0 && len(m.Placements) > 0 {
-		slog.Info("worker began a new session", "machine", m.ID, "session", r.Session, "tasks", len(m.Placements),
-			"heard", (now - heard).Seconds(), "answered", (now - m.LastAnsweredReportAt).Seconds())
+func (c *Core) beginSession(m *sched.Machine, report *wire.Report, previousSession uint64, previousReportAt, now Micros) {
+	if previousSession > 0 && len(m.Placements) > 0 {
+		slog.Info("worker began a new session", "machine", m.ID, "session", report.Session, "tasks", len(m.Placements),
+			"heard", (now - previousReportAt).Seconds(), "answered", (now - m.LastAnsweredReportAt).Seconds())
 	}
 	if c.missedRenewals(m, now) {
-		c.recordPartitionSign(m, oneway.SessionLost, now)
+		c.recordPartitionSymptom(m, oneway.SessionLost, now)
 	}
 	m.LastCommandSeq, m.Unreaped = 0, nil
 	for _, p := range sortedPlacements(m) {
 		// Written before the worker had heard the term that placed it, the report may
 		// be a late copy of a machine that was since started anew.
-		if p.Session < r.Session && r.Token >= p.Attempt>>32 {
+		if p.Session < report.Session && report.Token >= p.Attempt>>32 {
 			c.endPlacement(p)
 		}
 	}
 }
 
 // acknowledged notes that a worker has taken in this leader's token.
-func (c *Core) acknowledged(m *sched.Machine) {
+func (c *Core) recordAcknowledgement(m *sched.Machine) {
 	if m.Acked {
 		return
 	}
@@ -192,7 +192,7 @@
 }
 
 // stopNow ends a task without time to save.
-func stopNow(task string, attempt uint64) wire.Command {
+func immediateStop(task string, attempt uint64) wire.Command {
 	grace := 0.0
 	return wire.Command{Op: wire.OpStop, Task: task, Attempt: attempt, GraceSeconds: &grace}
 }
@@ -208,22 +208,22 @@
 // leader never learns (scenario cancellation_unknown_to_leader). What is reported stands for what
 // it holds no place of any more; a job that is not in memory is over, and what was sent and
 // is not reported may be on its way.
-func (c *Core) cancelledOn(m *sched.Machine, r *wire.Report) []wire.Command {
-	stop := []wire.Command{}
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
+func (c *Core) stopsForCancelled(m *sched.Machine, report *wire.Report) []wire.Command {
+	stops := []wire.Command{}
+	for i := range report.Tasks {
+		t := &report.Tasks[i]
 		id, _, _ := wire.SplitTask(t.Task)
 		if j := c.jobs[id]; t.State != wire.TaskExited && (j == nil || j.Cancelled) {
-			stop = append(stop, stopNow(t.Task, t.Attempt))
+			stops = append(stops, immediateStop(t.Task, t.Attempt))
 		}
 	}
 	for _, p := range sortedPlacements(m) {
 		reported := func(t wire.TaskReport) bool { return t.Task == p.Task && t.Attempt == p.Attempt }
-		if p.Job != nil && p.Job.Cancelled && p.Sent && !p.Exited && !slices.ContainsFunc(r.Tasks, reported) {
-			stop = append(stop, stopNow(p.Task, p.Attempt))
+		if p.Job != nil && p.Job.Cancelled && p.Sent && !p.Exited && !slices.ContainsFunc(report.Tasks, reported) {
+			stops = append(stops, immediateStop(p.Task, p.Attempt))
 		}
 	}
-	return stop
+	return stops
 }
 
 // places lists a machine's placements in a fixed order.
@@ -240,24 +240,24 @@
 // answer it. Such a report is complete: no older token can start anything on
 // this machine any more, and our own launches ride only on answers to earlier
 // reports, which the worker has since taken or dropped.
-func (c *Core) digest(m *sched.Machine, r *wire.Report, now Micros) []wire.Command {
-	var forget []wire.Command
-	reported := make(map[string]*wire.TaskReport, len(r.Tasks))
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
+func (c *Core) reconcileTasks(m *sched.Machine, report *wire.Report, now Micros) []wire.Command {
+	var forgets []wire.Command
+	reported := make(map[string]*wire.TaskReport, len(report.Tasks))
+	for i := range report.Tasks {
+		t := &report.Tasks[i]
 		p := m.Placements[t.Task]
 		if p != nil && p.Attempt == t.Attempt {
 			reported[t.Task] = t
 			continue
 		}
-		if cmd, ok := c.unplacedTask(m, t, now); ok {
-			forget = append(forget, cmd)
+		if cmd, ok := c.handleUnplacedTask(m, t, now); ok {
+			forgets = append(forgets, cmd)
 		} else if m.Placements[t.Task] != nil && m.Placements[t.Task].Attempt == t.Attempt {
 			reported[t.Task] = t // adopted
 		}
 	}
-	held := sortedPlacements(m)
-	for _, p := range held {
+	placements := sortedPlacements(m)
+	for _, p := range placements {
 		if t := reported[p.Task]; t != nil {
 			if !p.Reported && !p.Inherited {
 				m.Downlink.ConfirmReachable()
@@ -267,7 +267,7 @@
 		}
 		if p.Sent && !p.DirectUnanswered && !p.Reported && !p.Inherited {
 			// It rode on the answer to an earlier report, which was taken or dropped by now.
-			c.recordPartitionSign(m, oneway.LaunchLost, now)
+			c.recordPartitionSymptom(m, oneway.LaunchLost, now)
 			if m.Downlink.Partitioned {
 				c.endPlacement(p)
 				continue
@@ -280,10 +280,10 @@
 		}
 	}
 	if !c.Serving() {
-		return c.cancelledOn(m, r)
+		return c.stopsForCancelled(m, report)
 	}
-	stop, start := c.commands(m, held, now, false)
-	return append(append(stop, forget...), start...)
+	stops, starts := c.buildCommands(m, placements, now, false)
+	return append(append(stops, forgets...), starts...)
 }
 
 // commands lists what a machine is to stop and to start, in an answer to its
@@ -291,60 +291,60 @@
 // unanswered order may yet start is not sent again, lest it start a second time
 // after it was forgotten, unless the order was lost with the controller that carried
 // it: then the worker is not told to forget that attempt.
-func (c *Core) commands(m *sched.Machine, held []*sched.Placement, now Micros, direct bool) (stop, start []wire.Command) {
-	stop = []wire.Command{}
-	for _, p := range held {
+func (c *Core) buildCommands(m *sched.Machine, placements []*sched.Placement, now Micros, direct bool) (stops, starts []wire.Command) {
+	stops = []wire.Command{}
+	for _, p := range placements {
 		if m.Placements[p.Task] != p {
 			continue // has just left
 		}
-		over := p.Job == nil || p.Job.Cancelled || p.Job.Ended && !p.Exited
+		ended := p.Job == nil || p.Job.Cancelled || p.Job.Ended && !p.Exited
 		switch {
 		case p.Exited:
-		case over || p.Stopping:
+		case ended || p.Stopping:
 			if !p.Sent {
 				c.endPlacement(p)
 				continue
 			}
 			grace := p.Grace
-			if over {
+			if ended {
 				grace = 0
 			}
 			if p.State == wire.TaskSaving && grace > 0 {
 				continue
 			}
-			stop = append(stop, wire.Command{Op: wire.OpStop, Task: p.Task, Attempt: p.Attempt, GraceSeconds: &grace})
+			stops = append(stops, wire.Command{Op: wire.OpStop, Task: p.Task, Attempt: p.Attempt, GraceSeconds: &grace})
 		case m.Downlink.Partitioned:
 		case !p.Committed || p.Reported || p.Session != m.Session || p.Inherited || direct && p.Sent:
 		case p.DirectUnanswered && p.OutcomeUnknown:
 			p.Resent = true
-			start = append(start, wire.Command{Op: wire.OpStart, Task: p.Task, Attempt: p.Attempt})
+			starts = append(starts, wire.Command{Op: wire.OpStart, Task: p.Task, Attempt: p.Attempt})
 		case !p.DirectUnanswered:
 			p.Sent, p.SentAt, p.DirectUnanswered = true, now, direct
-			start = append(start, wire.Command{Op: wire.OpStart, Task: p.Task, Attempt: p.Attempt})
+			starts = append(starts, wire.Command{Op: wire.OpStart, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
-	return stop, start
+	return stops, starts
 }
 
 // unplacedTask deals with a reported task that holds no place here: an exited one is
 // forgotten, unless it might be started again then; a live one is adopted if its
 // job wants it, or stopped. It reports false when there is no command.
-func (c *Core) unplacedTask(m *sched.Machine, t *wire.TaskReport, now Micros) (wire.Command, bool) {
-	jobID, index, _ := wire.SplitTask(t.Task)
+func (c *Core) handleUnplacedTask(m *sched.Machine, report *wire.TaskReport, now Micros) (wire.Command, bool) {
+	jobID, index, _ := wire.SplitTask(report.Task)
 	j := c.jobs[jobID]
-	free := j != nil && j.Active() && !j.HasUnmetDependencies() && index < len(j.Tasks) && j.Tasks[index].State == sched.Pending && !j.Gang()
-	if t.State == wire.TaskExited {
-		if m.Unreaped[sched.Attempt{Task: t.Task, Number: t.Attempt}] {
+	adoptable := j != nil && j.Active() && !j.HasUnmetDependencies() && index < len(j.Tasks) && j.Tasks[index].State == sched.Pending && !j.Gang()
+	if report.State == wire.TaskExited {
+		if m.Unreaped[sched.Attempt{Task: report.Task, Number: report.Attempt}] {
 			return wire.Command{}, false
 		}
-		if !free || t.Cause != wire.CauseDone {
-			return wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt}, true
+		if !adoptable || report.Cause != wire.CauseDone {
+			return wire.Command{Op: wire.OpForget, Task: report.Task, Attempt: report.Attempt}, true
 		}
-	} else if !free || m.Placements[t.Task] != nil {
-		return stopNow(t.Task, t.Attempt), true
+	} else if !adoptable || m.Placements[report.Task] != nil {
+		return immediateStop(report.Task, report.Attempt), true
 	}
-	slog.Info("adopting a task", "task", t.Task, "machine", m.ID)
-	p := &sched.Placement{Job: j, Index: index, Task: t.Task, Attempt: t.Attempt, Machine: m,
+	slog.Info("adopting a task", "task", report.Task, "machine", m.ID)
+	p := &sched.Placement{Job: j, Index: index, Task: report.Task, Attempt: report.Attempt, Machine: m,
 		Session: m.Session, Need: j.Need(), Team: j.Spec.Team, Priority: j.Priority, Image: j.Spec.Image,
 		Committed: true, Sent: true, Inherited: true}
 	j.Queue = slices.DeleteFunc(j.Queue, func(i int32) bool { return int(i) == index })
@@ -358,19 +358,19 @@
 }
 
 // observe takes in what a report says of a placed task.
-func (c *Core) applyTaskReport(m *sched.Machine, p *sched.Placement, t *wire.TaskReport, now Micros) {
-	p.Reported, p.DirectUnanswered, p.State = true, false, t.State
+func (c *Core) applyTaskReport(m *sched.Machine, p *sched.Placement, report *wire.TaskReport, now Micros) {
+	p.Reported, p.DirectUnanswered, p.State = true, false, report.State
 	j := p.Job
-	if t.State == wire.TaskRunning || t.State == wire.TaskSaving || t.State == wire.TaskWaiting ||
-		t.State == wire.TaskExited && t.Cause == wire.CauseDone {
-		if p.RunningSince == 0 && t.State != wire.TaskWaiting {
+	if report.State == wire.TaskRunning || report.State == wire.TaskSaving || report.State == wire.TaskWaiting ||
+		report.State == wire.TaskExited && report.Cause == wire.CauseDone {
+		if p.RunningSince == 0 && report.State != wire.TaskWaiting {
 			p.RunningSince = now
 			if j != nil && j.StartedAt == 0 {
 				j.StartedAt = now
 			}
 		}
 		if j != nil {
-			c.learnFetch(m, p, now)
+			c.updateFetchRate(m, p, now)
 			if m.TouchImage(p.Image, j.Spec.ImageGB, now) && c.format.level >= LevelTasks {
 				// No placement writes the machine's record any more, but a successor
 				// that did not know the images would have them all fetched again.
@@ -378,33 +378,33 @@
 			}
 		}
 	}
-	if t.State != wire.TaskExited || p.Exited {
+	if report.State != wire.TaskExited || p.Exited {
 		return
 	}
 	p.MarkExited()
-	slog.Debug("task exited", "task", p.Task, "machine", m.ID, "cause", t.Cause, "saved", t.Saved,
-		"ran", ranFor(p, now), "priority", p.Priority)
+	slog.Debug("task exited", "task", p.Task, "machine", m.ID, "cause", report.Cause, "saved", report.Saved,
+		"ran", runSeconds(p, now), "priority", p.Priority)
 	c.requestSchedulingPass()
-	if t.Cause == wire.CauseDone {
+	if report.Cause == wire.CauseDone {
 		m.Errors, m.ErrorJobs = 0, nil
 	}
 	if j == nil || !j.Active() || j.Tasks[p.Index].State == sched.Done {
 		c.endPlacement(p)
 		return
 	}
-	switch t.Cause {
+	switch report.Cause {
 	case wire.CauseDone:
-		c.finished(p, now)
+		c.completeTask(p, now)
 		return
 	case wire.CauseError:
-		c.failed(m, p, now)
+		c.handleTaskFailure(m, p, now)
 	case wire.CauseNoCapacity, wire.CauseBusy:
-		slog.Info("start refused", "task", p.Task, "machine", m.ID, "cause", t.Cause)
+		slog.Info("start refused", "task", p.Task, "machine", m.ID, "cause", report.Cause)
 		m.AvoidUntil = now + c.cfg.ReportInterval()
 	case wire.CauseUnknown:
 		j.HoldUntil = now + 5*clock.Second
 	case wire.CauseStopped:
-		if t.Saved && p.RunningSince > 0 {
+		if report.Saved && p.RunningSince > 0 {
 			j.Tasks[p.Index].Progress += now - p.RunningSince
 		}
 	}
@@ -412,7 +412,7 @@
 }
 
 // ranFor is how long a task has been seen running, in seconds.
-func ranFor(p *sched.Placement, now Micros) float64 {
+func runSeconds(p *sched.Placement, now Micros) float64 {
 	if p.RunningSince == 0 {
 		return 0
 	}
@@ -421,59 +421,59 @@
 
 // learnFetch smooths a type's fetch rate from the time between launch and
 // running, when only this image was on its way.
-func (c *Core) learnFetch(m *sched.Machine, p *sched.Placement, now Micros) {
+func (c *Core) updateFetchRate(m *sched.Machine, p *sched.Placement, now Micros) {
 	if _, cached := m.Images[p.Image]; cached || p.SentAt == 0 || p.Job.Spec.ImageGB <= 0 {
 		return
 	}
-	took := (now - p.SentAt - c.cfg.ReportInterval()/2).Seconds()
-	if old := c.fetchRates[m.Type.Name]; took > 0.5 && old > 0 {
-		seen := math.Min(p.Job.Spec.ImageGB/took, 2*old)
-		c.fetchRates[m.Type.Name] = c.policy.Smoothing*seen + (1-c.policy.Smoothing)*old
+	fetchSeconds := (now - p.SentAt - c.cfg.ReportInterval()/2).Seconds()
+	if current := c.fetchRates[m.Type.Name]; fetchSeconds > 0.5 && current > 0 {
+		measured := math.Min(p.Job.Spec.ImageGB/fetchSeconds, 2*current)
+		c.fetchRates[m.Type.Name] = c.policy.Smoothing*measured + (1-c.policy.Smoothing)*current
 	}
 }
 
 // finished records a completed task; nobody hears of it, and the worker is not
 // told to forget it, before that is committed.
-func (c *Core) finished(p *sched.Placement, now Micros) {
+func (c *Core) completeTask(p *sched.Placement, now Micros) {
 	j := p.Job
 	if p.RunningSince > 0 && p.SentAt > 0 {
-		ran := now - p.RunningSince + j.Tasks[p.Index].Progress
-		j.Estimate = sched.Smooth(c.policy.Smoothing, ran, j.Estimate)
+		runTime := now - p.RunningSince + j.Tasks[p.Index].Progress
+		j.Estimate = sched.Smooth(c.policy.Smoothing, runTime, j.Estimate)
 	}
 	j.AnyTaskSucceeded, j.Backoff = true, 0
-	done := []int{p.Index}
+	completed := []int{p.Index}
 	if j.Gang() { // a gang completes together
-		done = done[:0]
+		completed = completed[:0]
 		for i := range j.Tasks {
-			done = append(done, i)
+			completed = append(completed, i)
 		}
 	}
-	for _, i := range done {
+	for _, i := range completed {
 		if j.Tasks[i].State != sched.Done {
 			j.Tasks[i].State = sched.Done
 			j.DoneCount++
 		}
 	}
-	committed := func() { c.endPlacement(p) }
+	onCommitted := func() { c.endPlacement(p) }
 	if j.DoneCount == len(j.Tasks) {
 		j.Ended = true
-		c.commitJobEnd(j, committed)
+		c.commitJobEnd(j, onCommitted)
 		return
 	}
 	if c.format.level < LevelTasks {
-		c.saveProgress(j, classUrgent, c.whileInTerm(committed))
+		c.saveProgress(j, classUrgent, c.whileInTerm(onCommitted))
 		return
 	}
 	// The task's room is free already: its end may wait a little for others.
-	c.saveTasks(j, p.Index, classDelayed, c.whileInTerm(committed))
+	c.saveTasks(j, p.Index, classDelayed, c.whileInTerm(onCommitted))
 }
 
 // failed blames the machine, or the job when it fails everywhere.
-func (c *Core) failed(m *sched.Machine, p *sched.Placement, now Micros) {
+func (c *Core) handleTaskFailure(m *sched.Machine, p *sched.Placement, now Micros) {
 	j := p.Job
 	j.FailedOn[m.ID] = true
-	healthy := j.AnyTaskSucceeded || j.HasRunningTask(now, p)
-	if !healthy && len(j.FailedOn) >= 3 {
+	jobHealthy := j.AnyTaskSucceeded || j.HasRunningTask(now, p)
+	if !jobHealthy && len(j.FailedOn) >= 3 {
 		j.Backoff = min(max(2*j.Backoff, 4*clock.Second), 60*clock.Second)
 		j.HoldUntil = now + j.Backoff
 		for id := range j.FailedOn { // its failures told nothing about the machines
@@ -494,15 +494,15 @@
 	if m.Errors < c.policy.UnhealthyFailures || m.Draining {
 		return
 	}
-	if healthy {
-		c.drainSick(m)
+	if jobHealthy {
+		c.drainUnhealthyMachine(m)
 	} else if len(m.ErrorJobs) > 1 && m.SuspectedAt == 0 {
 		m.SuspectedAt = now
 	}
 }
 
 // drainSick empties a machine that fails its tasks.
-func (c *Core) drainSick(m *sched.Machine) {
+func (c *Core) drainUnhealthyMachine(m *sched.Machine) {
 	slog.Info("machine fails its tasks, draining", "machine", m.ID)
 	c.drain(m)
 }
@@ -510,7 +510,7 @@
 // blameAfter is how long a machine on which several jobs failed, none of which is known to
 // be sound, is kept before it is blamed: by then jobs that fail everywhere have failed
 // elsewhere too, and no longer count against it.
-const blameAfter = 10 * clock.Second
+const failureSuspicionTime = 10 * clock.Second
 
 // judgeSick empties the machines that are to blame for their failures.
 func (c *Core) drainUnhealthyMachines(now Micros) {
@@ -519,8 +519,8 @@
 		case m.SuspectedAt == 0:
 		case len(m.ErrorJobs) <= 1:
 			m.SuspectedAt = 0
-		case now-m.SuspectedAt > blameAfter && !m.Draining:
-			c.drainSick(m)
+		case now-m.SuspectedAt > failureSuspicionTime && !m.Draining:
+			c.drainUnhealthyMachine(m)
 		}
 	}
 }
@@ -532,7 +532,7 @@
 		return
 	}
 	if p.Resent && p.Session == p.Machine.Session {
-		keepAttempt(p)
+		markUnreaped(p)
 	}
 	sched.Detach(p, c.teams)
 	now := c.env.Now()
@@ -572,7 +572,7 @@
 }
 
 // keepAttempt has the worker of a placement not be told to forget it.
-func keepAttempt(p *sched.Placement) {
+func markUnreaped(p *sched.Placement) {
 	m := p.Machine
 	if m.Unreaped == nil {
 		m.Unreaped = map[sched.Attempt]bool{}
@@ -583,11 +583,11 @@
 // proveByLease frees the places of machines whose lease has surely ended: the
 // worker had acknowledged our token, so only our answers renewed it.
 func (c *Core) expireLeases(now Micros) {
-	bound := c.cfg.WorkerLease() + c.cfg.WorkerLease()/500 + c.leaseMargin()
+	leaseBound := c.cfg.WorkerLease() + c.cfg.WorkerLease()/500 + c.leaseMargin()
 	for _, m := range c.sortedMachines {
 		// A machine that was started anew has a whole lease from then on, though no report of
 		// it was answered. What it can hold came by an order since.
-		if m.Acked && m.Busy() && now-max(m.LastAnsweredReportAt, m.LastCommandAt) > bound {
+		if m.Acked && m.Busy() && now-max(m.LastAnsweredReportAt, m.LastCommandAt) > leaseBound {
 			slog.Info("worker's lease has ended", "machine", m.ID)
 			for _, p := range sortedPlacements(m) {
 				c.endPlacement(p)
--- a/internal/controller/task_records.go
+++ b/internal/controller/task_records.go
@@ -38,15 +38,15 @@
 }
 
 func splitTasksKey(key string) (job string, first, part int, ok bool) {
-	words := strings.Split(strings.TrimPrefix(key, taskPrefix), "/")
-	if len(words) < 2 || len(words) > 3 {
+	segments := strings.Split(strings.TrimPrefix(key, taskPrefix), "/")
+	if len(segments) < 2 || len(segments) > 3 {
 		return "", 0, 0, false
 	}
-	first, err := strconv.Atoi(words[1])
-	if err == nil && len(words) == 3 {
-		part, err = strconv.Atoi(words[2])
+	first, err := strconv.Atoi(segments[1])
+	if err == nil && len(segments) == 3 {
+		part, err = strconv.Atoi(segments[2])
 	}
-	return words[0], first, part, err == nil && first >= 0 && first%tasksPerRecord == 0 && part >= 0 && wire.ValidID(words[0])
+	return segments[0], first, part, err == nil && first >= 0 && first%tasksPerRecord == 0 && part >= 0 && wire.ValidID(segments[0])
 }
 
 // saveTasks writes the record that one of a job's tasks lies in.
@@ -62,7 +62,7 @@
 					return nil, false
 				}
 			}
-			values = splitTasks(renderTasks(j, first), c.stateLimits().ValueBytes())
+			values = encodeTasks(buildTasksRecord(j, first), c.stateLimits().ValueBytes())
 		}
 		var changes []wire.Change
 		for part := range max(len(values), j.TaskRecords[first]) {
@@ -93,59 +93,59 @@
 
 // renderTasks is what is to be remembered of the tasks from first on; nil if
 // that is nothing.
-func renderTasks(j *sched.Job, first int) *tasksRecord {
-	r := new(tasksRecord)
+func buildTasksRecord(j *sched.Job, first int) *tasksRecord {
+	record := new(tasksRecord)
 	tasks := j.Tasks[first:min(first+tasksPerRecord, len(j.Tasks))]
 	// The place of a task whose result is committed tells nothing any more.
-	held := func(t *sched.Task) bool {
+	needsPlacement := func(t *sched.Task) bool {
 		return t.Placement != nil && !(t.Placement.Exited && t.State == sched.Done)
 	}
-	r.BaseAttempt = math.MaxUint64
+	record.BaseAttempt = math.MaxUint64
 	for i := range tasks {
-		if t := &tasks[i]; held(t) {
-			r.BaseAttempt = min(r.BaseAttempt, t.Placement.Attempt)
+		if t := &tasks[i]; needsPlacement(t) {
+			record.BaseAttempt = min(record.BaseAttempt, t.Placement.Attempt)
 		}
 	}
 	for i := range tasks {
 		t := &tasks[i]
 		if t.State == sched.Done {
-			r.Done |= 1 << i
+			record.Done |= 1 << i
 		}
-		if !held(t) {
+		if !needsPlacement(t) {
 			continue
 		}
-		at := slices.Index(r.Machines, t.Placement.Machine.ID)
-		if at < 0 {
-			at = len(r.Machines)
-			r.Machines = append(r.Machines, t.Placement.Machine.ID)
+		machineIndex := slices.Index(record.Machines, t.Placement.Machine.ID)
+		if machineIndex < 0 {
+			machineIndex = len(record.Machines)
+			record.Machines = append(record.Machines, t.Placement.Machine.ID)
 		}
-		r.Placements = append(r.Placements, uint64(i), uint64(at), t.Placement.Attempt-r.BaseAttempt, t.Placement.Session)
+		record.Placements = append(record.Placements, uint64(i), uint64(machineIndex), t.Placement.Attempt-record.BaseAttempt, t.Placement.Session)
 	}
-	if r.Done == 0 && len(r.Placements) == 0 {
+	if record.Done == 0 && len(record.Placements) == 0 {
 		return nil
 	}
-	if len(r.Placements) == 0 {
-		r.BaseAttempt = 0
+	if len(record.Placements) == 0 {
+		record.BaseAttempt = 0
 	}
 	if j.AnyTaskSucceeded {
-		r.Estimate = int64(j.Estimate)
+		record.Estimate = int64(j.Estimate)
 	}
-	return r
+	return record
 }
 
 // splitTasks encodes a record in values of at most limit bytes each.
-func splitTasks(r *tasksRecord, limit int) [][]byte {
-	if r == nil {
+func encodeTasks(record *tasksRecord, limit int) [][]byte {
+	if record == nil {
 		return nil
 	}
-	value := wire.Encode(r)
-	if wire.JSONSize(value) <= limit || len(r.Placements) <= 4 {
+	value := wire.Encode(record)
+	if wire.JSONSize(value) <= limit || len(record.Placements) <= 4 {
 		return [][]byte{value}
 	}
-	half := len(r.Placements) / 8 * 4
-	head, tail := *r, tasksRecord{BaseAttempt: r.BaseAttempt}
-	head.Placements, tail.Placements = r.Placements[:half], r.Placements[half:]
-	return append(splitTasks(head.compact(r.Machines), limit), splitTasks(tail.compact(r.Machines), limit)...)
+	half := len(record.Placements) / 8 * 4
+	head, tail := *record, tasksRecord{BaseAttempt: record.BaseAttempt}
+	head.Placements, tail.Placements = record.Placements[:half], record.Placements[half:]
+	return append(encodeTasks(head.compact(record.Machines), limit), encodeTasks(tail.compact(record.Machines), limit)...)
 }
 
 // compact keeps only the machines that the record's places name.
@@ -153,18 +153,18 @@
 	r.Placements, r.Machines = slices.Clone(r.Placements), nil
 	for i := 1; i < len(r.Placements); i += 4 {
 		name := machines[r.Placements[i]]
-		at := slices.Index(r.Machines, name)
-		if at < 0 {
-			at = len(r.Machines)
+		machineIndex := slices.Index(r.Machines, name)
+		if machineIndex < 0 {
+			machineIndex = len(r.Machines)
 			r.Machines = append(r.Machines, name)
 		}
-		r.Placements[i] = uint64(at)
+		r.Placements[i] = uint64(machineIndex)
 	}
 	return r
 }
 
 // foundTasks is a record of a job's tasks as a new leader finds it.
-type foundTasks struct {
+type storedTasks struct {
 	job   *sched.Job
 	first int
 	tasksRecord
@@ -172,30 +172,30 @@
 
 // readTasks takes in which tasks are done, and gives the records for their
 // places to be restored when the machines are known.
-func (c *Core) restoreDoneTasks(items []wire.Item) []foundTasks {
-	var out []foundTasks
+func (c *Core) restoreDoneTasks(items []wire.Item) []storedTasks {
+	var out []storedTasks
 	for i := range items {
 		job, first, part, ok := splitTasksKey(items[i].Key)
-		f := foundTasks{job: c.jobs[job], first: first}
-		if !ok || msgpack.Unmarshal(items[i].Value, &f.tasksRecord) != nil || len(f.Placements)%4 != 0 {
+		stored := storedTasks{job: c.jobs[job], first: first}
+		if !ok || msgpack.Unmarshal(items[i].Value, &stored.tasksRecord) != nil || len(stored.Placements)%4 != 0 {
 			slog.Error("record of tasks cannot be read", "key", items[i].Key)
 			continue
 		}
-		if f.job == nil { // archived, or never to be
+		if stored.job == nil { // archived, or never to be
 			c.committer.put(items[i].Key, func() []byte { return nil }, nil)
 			continue
 		}
-		f.job.TaskRecords[first] = max(f.job.TaskRecords[first], part+1)
-		if f.Estimate > 0 {
-			f.job.Estimate, f.job.AnyTaskSucceeded = Micros(f.Estimate), true
+		stored.job.TaskRecords[first] = max(stored.job.TaskRecords[first], part+1)
+		if stored.Estimate > 0 {
+			stored.job.Estimate, stored.job.AnyTaskSucceeded = Micros(stored.Estimate), true
 		}
 		for i := range tasksPerRecord {
-			if at := first + i; f.Done&(1<<i) != 0 && at < len(f.job.Tasks) && f.job.Tasks[at].State != sched.Done {
-				f.job.Tasks[at].State = sched.Done
-				f.job.DoneCount++
+			if index := first + i; stored.Done&(1<<i) != 0 && index < len(stored.job.Tasks) && stored.job.Tasks[index].State != sched.Done {
+				stored.job.Tasks[index].State = sched.Done
+				stored.job.DoneCount++
 			}
 		}
-		out = append(out, f)
+		out = append(out, stored)
 	}
 	return out
 }
@@ -203,19 +203,19 @@
 // restorePlaces enters the placements of a record. A machine that has no record
 // any more was returned, with all that was on it: its record is written before
 // the first placement and deleted only then.
-func (c *Core) restorePlacements(f foundTasks) {
-	j := f.job
-	for p := f.Placements; len(p) >= 4; p = p[4:] {
-		index := f.first + int(p[0])
-		if p[0] >= tasksPerRecord || index >= len(j.Tasks) || p[1] >= uint64(len(f.Machines)) {
+func (c *Core) restorePlacements(stored storedTasks) {
+	j := stored.job
+	for fields := stored.Placements; len(fields) >= 4; fields = fields[4:] {
+		index := stored.first + int(fields[0])
+		if fields[0] >= tasksPerRecord || index >= len(j.Tasks) || fields[1] >= uint64(len(stored.Machines)) {
 			continue
 		}
-		m := c.machines[f.Machines[p[1]]]
+		m := c.machines[stored.Machines[fields[1]]]
 		if m == nil {
 			continue
 		}
-		c.restorePlacement(j, &sched.Placement{Index: index, Task: wire.TaskID(j.ID, index), Attempt: f.BaseAttempt + p[2],
-			Machine: m, Session: p[3], Need: j.Need(), Team: j.Spec.Team, Priority: j.Priority,
+		c.restorePlacement(j, &sched.Placement{Index: index, Task: wire.TaskID(j.ID, index), Attempt: stored.BaseAttempt + fields[2],
+			Machine: m, Session: fields[3], Need: j.Need(), Team: j.Spec.Team, Priority: j.Priority,
 			Image: j.Spec.Image, InJobRecord: true})
 	}
 }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -39,8 +39,8 @@
 // Submit takes a job from a user.
 func (c *Core) Submit(job *wire.Job, reply func(Answer)) {
 	if c.catalog != nil {
-		if why := c.impossible(job); why != "" {
-			c.refuseNew(job.ID, Answer{Code: 422, Status: wire.JobStatus{ID: why}}, reply)
+		if reason := c.unrunnableReason(job); reason != "" {
+			c.refuseNew(job.ID, Answer{Code: 422, Status: wire.JobStatus{ID: reason}}, reply)
 			return
 		}
 	}
@@ -49,15 +49,15 @@
 		return
 	}
 	if !c.stateOK() {
-		c.submitElsewhere(job, reply)
+		c.submitToAnyPeer(job, reply)
 		return
 	}
 	c.submitLocally(job, true, reply)
 }
 
 // Malformed takes a submission that lacks a field or has one that is not valid.
-func (c *Core) RejectMalformed(id, why string, reply func(Answer)) {
-	c.refuseNew(id, Answer{Code: 400, Status: wire.JobStatus{ID: why}}, reply)
+func (c *Core) RejectMalformed(id, reason string, reply func(Answer)) {
+	c.refuseNew(id, Answer{Code: 400, Status: wire.JobStatus{ID: reason}}, reply)
 }
 
 // refuseNew refuses a job for good unless it is known: one that was accepted stays accepted,
@@ -73,7 +73,7 @@
 
 // submitElsewhere hands a submission to a peer that reaches the state service,
 // which this node does not.
-func (c *Core) submitElsewhere(job *wire.Job, reply func(Answer)) {
+func (c *Core) submitToAnyPeer(job *wire.Job, reply func(Answer)) {
 	for _, peer := range c.cfg.Peers { // in the same order each time
 		if p := c.peers[peer.Name]; p.stateOK && c.env.Now()-p.lastMessageAt < 3*clock.Second {
 			c.submitToPeer(peer.Name, job, reply)
@@ -87,22 +87,22 @@
 func (c *Core) submitToPeer(node string, job *wire.Job, reply func(Answer)) {
 	m := c.newMessage(fb.KindSubmit)
 	m.Body = wire.Encode(job)
-	c.env.Call(node, m, 2*clock.Second, func(r *peer.Msg) { reply(answerOf(r)) })
+	c.env.Call(node, m, 2*clock.Second, func(r *peer.Msg) { reply(answerFromMessage(r)) })
 }
 
-func answerOf(m *peer.Msg) Answer {
-	if m == nil || m.Code < 200 || m.Code > 599 {
+func answerFromMessage(message *peer.Msg) Answer {
+	if message == nil || message.Code < 200 || message.Code > 599 {
 		return unavailable
 	}
-	a := Answer{Code: m.Code, Status: wire.JobStatus{ID: m.Job, Phase: m.Phase, Done: m.Done, Running: m.Running}}
-	if m.Code >= 429 {
-		a.RetryAfter = max(m.RetryAfter, 1)
+	a := Answer{Code: message.Code, Status: wire.JobStatus{ID: message.Job, Phase: message.Phase, Done: message.Done, Running: message.Running}}
+	if message.Code >= 429 {
+		a.RetryAfter = max(message.RetryAfter, 1)
 	}
 	return a
 }
 
 // submitHere takes a submission at this node, or at the leader if it may be passed on.
-func (c *Core) submitLocally(job *wire.Job, pass bool, reply func(Answer)) {
+func (c *Core) submitLocally(job *wire.Job, mayForward bool, reply func(Answer)) {
 	if c.elector.Leading() && c.loaded {
 		if _, known := c.jobs[job.ID]; known {
 			c.Status(job.ID, reply)
@@ -110,50 +110,50 @@
 		}
 	}
 	if len(job.DependsOn) == 0 {
-		c.enqueue(job, pass, reply)
+		c.enqueue(job, mayForward, reply)
 		return
 	}
-	c.checkDependencies(job, func(v dependencyResult) {
-		if v.rejectReason == "" && !v.incomplete {
-			c.enqueue(job, pass, reply)
+	c.checkDependencies(job, func(result dependencyResult) {
+		if result.rejectReason == "" && !result.incomplete {
+			c.enqueue(job, mayForward, reply)
 			return
 		}
 		refusal := unavailable
-		if v.rejectReason != "" {
-			refusal = Answer{Code: 422, Status: wire.JobStatus{ID: v.rejectReason}}
+		if result.rejectReason != "" {
+			refusal = Answer{Code: 422, Status: wire.JobStatus{ID: result.rejectReason}}
 		}
 		c.refuseNew(job.ID, refusal, reply)
 	})
 }
 
 // enqueue lets a submission wait for the next transaction, or says when to come back.
-func (c *Core) enqueue(job *wire.Job, pass bool, reply func(Answer)) {
+func (c *Core) enqueue(job *wire.Job, mayForward bool, reply func(Answer)) {
 	now, account := c.env.Now(), c.accountNumber(job)
-	turn, here := c.tableRetryAfter(job, account, now), c.localWait(job, account, now)
-	if turn == 0 && pass && here >= submissionForwardAfter && c.forwardSubmission(job, account, reply) {
+	tableWait, queueWait := c.tableRetryAfter(job, account, now), c.localWait(job, account, now)
+	if tableWait == 0 && mayForward && queueWait >= submissionForwardAfter && c.forwardSubmission(job, account, reply) {
 		return
 	}
-	if wait := max(turn, c.queueRetryAfter(job, account, here)); wait > 0 {
+	if wait := max(tableWait, c.queueRetryAfter(job, account, queueWait)); wait > 0 {
 		c.refuseForOverload(job, account, wait, reply)
 		return
 	}
-	changes, why := c.jobChanges(job)
-	if why != "" {
-		c.RejectMalformed(job.ID, why, reply)
+	changes, reason := c.jobChanges(job)
+	if reason != "" {
+		c.RejectMalformed(job.ID, reason, reply)
 		return
 	}
 	c.allowance.RecordSubmission(account, len(changes), now)
-	c.await(&submission{job, account, now, changes, reply})
-	c.takeIn()
+	c.queueSubmission(&submission{job, account, now, changes, reply})
+	c.commitSubmissions()
 }
 
 // await enters a submission into the queue.
-func (c *Core) await(s *submission) {
+func (c *Core) queueSubmission(s *submission) {
 	bytes := 0
 	for _, ch := range s.changes {
 		bytes += len(ch.PutKey) + len(ch.Value)
 	}
-	c.submissions.queue.Push(s.account, c.rank(s.job), len(s.changes), bytes, s.receivedAt, s)
+	c.submissions.queue.Push(s.account, c.submissionRank(s.job), len(s.changes), bytes, s.receivedAt, s)
 }
 
 func awaitsKey(job string, part int) string {
@@ -169,7 +169,7 @@
 	value := wire.Encode(&rec)
 	changes := []wire.Change{{PutKey: jobPrefix + job.ID}}
 	if wire.JSONSize(value) > limit {
-		rec.Job.DependsOn, rec.Parts = nil, 1
+		rec.Job.DependsOn, rec.AwaitsKeys = nil, 1
 		value = wire.Encode(&rec)
 		if wire.JSONSize(value) > limit-16 {
 			return nil, fmt.Sprintf("too large: a job's record may take %d bytes beside its awaits", limit-16)
@@ -181,15 +181,15 @@
 			part, size = awaitsRecord{}, 0
 		}
 		for _, id := range job.DependsOn {
-			n := len(id) + 3
-			if size+n > limit-16 {
+			idSize := len(id) + 3
+			if size+idSize > limit-16 {
 				flush()
 			}
 			part.Awaits = append(part.Awaits, id)
-			size += n
+			size += idSize
 		}
 		flush()
-		rec.Parts = len(changes) - 1
+		rec.AwaitsKeys = len(changes) - 1
 		value = wire.Encode(&rec)
 	}
 	changes[0].Value = value
@@ -200,34 +200,34 @@
 }
 
 // impossible says why a job can never run, or "".
-func (c *Core) impossible(job *wire.Job) string {
-	limit := sched.Team{}
+func (c *Core) unrunnableReason(job *wire.Job) string {
+	team := sched.Team{}
 	known := false
 	for _, t := range c.cfg.Params.Teams {
 		if t.Name == job.Team {
 			known = true
-			limit.Limit = sched.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
+			team.Limit = sched.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
 		}
 	}
 	if !known {
 		return "unknown team"
 	}
-	j := &sched.Job{Spec: job}
+	candidate := &sched.Job{Spec: job}
 	fits := false
 	for i := range c.catalog {
 		for _, zone := range c.catalog[i].Zones {
-			fits = fits || j.Allows(&c.catalog[i], zone, false)
+			fits = fits || candidate.Allows(&c.catalog[i], zone, false)
 		}
 	}
 	if !fits {
 		return "a task fits no allowed machine type"
 	}
-	need := j.Need()
+	need := candidate.Need()
 	if job.Kind != wire.KindArray {
 		need.CPUs *= float64(job.Tasks)
 		need.GPUs *= float64(job.Tasks)
 	}
-	if !limit.Allows(need) {
+	if !team.Allows(need) {
 		return "needs more than the team's limit"
 	}
 	return ""
@@ -235,7 +235,7 @@
 
 // takeIn creates the waiting jobs in one transaction. A job that exists
 // already, under way or over, makes its guard fail and gets its state instead.
-func (c *Core) takeIn() {
+func (c *Core) commitSubmissions() {
 	c.writeBudget.SetWaiting(admit.SubmissionWrites, c.submissions.queue.Len() > 0)
 	if c.submissions.busy || c.submissions.queue.Len() == 0 {
 		return
@@ -249,11 +249,11 @@
 		c.submissions.busy = true
 		c.env.After(50*clock.Millisecond, func() {
 			c.submissions.busy = false
-			c.takeIn()
+			c.commitSubmissions()
 		})
 		return
 	}
-	batch, txn := c.collect(min(c.stateLimits().TxnOps, tokens))
+	batch, txn := c.collectSubmissions(min(c.stateLimits().TxnOps, tokens))
 	c.submissions.busy = true
 	term, leading := c.term, c.elector.Leading()
 	c.writeBudget.Spend(at, admit.SubmissionWrites, len(txn.Then))
@@ -263,9 +263,9 @@
 		case store.OK:
 			c.lastStateContact = c.env.Now()
 			// In this term only this node can have ended them since, and would know.
-			c.created(batch, leading && c.elector.Leading() && c.term == term && c.loaded)
+			c.answerCreated(batch, leading && c.elector.Leading() && c.term == term && c.loaded)
 		case store.Failed:
-			c.notCreated(batch, a.FailedGuards)
+			c.handleFailedGuards(batch, a.FailedGuards)
 		case store.Invalid:
 			c.resubmit(batch, txn.Then)
 		default:
@@ -274,12 +274,12 @@
 				s.reply(unavailable)
 			}
 		}
-		c.takeIn()
+		c.commitSubmissions()
 	})
 }
 
 // collect takes submissions out of the queue for one transaction of at most so many changes.
-func (c *Core) collect(room int) ([]*submission, *wire.Txn) {
+func (c *Core) collectSubmissions(maxChanges int) ([]*submission, *wire.Txn) {
 	txn := &wire.Txn{}
 	var batch []*submission
 	seen := map[string]bool{}
@@ -289,7 +289,7 @@
 		return (len(batch) == 0 || bytes <= wire.MaxBody) && !seen[s.job.ID]
 	}
 	for {
-		s, ok := c.submissions.queue.Pop(room-len(txn.Then), len(batch) == 0, fits)
+		s, ok := c.submissions.queue.Pop(maxChanges-len(txn.Then), len(batch) == 0, fits)
 		if !ok {
 			return batch, txn
 		}
@@ -301,12 +301,12 @@
 }
 
 // created answers submissions whose jobs were written; add: this leader takes them up.
-func (c *Core) created(batch []*submission, add bool) {
+func (c *Core) answerCreated(batch []*submission, addJobs bool) {
 	for _, s := range batch {
 		if s.job.Kind != wire.KindService {
 			c.rememberAccepted(s.job.ID)
 		}
-		if add {
+		if addJobs {
 			c.addSubmitted(s)
 			c.requestSchedulingPass()
 		}
@@ -316,9 +316,9 @@
 }
 
 // notCreated deals with submissions of which some are known: those keys exist.
-func (c *Core) notCreated(batch []*submission, failed []string) {
+func (c *Core) handleFailedGuards(batch []*submission, failedKeys []string) {
 	known := map[string]bool{}
-	for _, key := range failed {
+	for _, key := range failedKeys {
 		known[key[2:]] = true
 	}
 	for _, s := range batch {
@@ -334,7 +334,7 @@
 		case len(known) == 0:
 			s.reply(unavailable)
 		default:
-			c.await(s)
+			c.queueSubmission(s)
 		}
 	}
 }
@@ -359,13 +359,13 @@
 		return
 	}
 	for _, s := range batch {
-		changes, why := c.jobChanges(s.job)
-		if why != "" {
-			c.RejectMalformed(s.job.ID, why, s.reply)
+		changes, reason := c.jobChanges(s.job)
+		if reason != "" {
+			c.RejectMalformed(s.job.ID, reason, s.reply)
 			continue
 		}
 		s.changes = changes
-		c.await(s)
+		c.queueSubmission(s)
 	}
 }
 
@@ -379,17 +379,17 @@
 	}
 	leader := c.elector.Leader()
 	if p := c.peers[leader]; p == nil || !p.seenRecently(c.env.Now()) {
-		c.lookup(id, reply)
+		c.lookupStatus(id, reply)
 		return
 	}
 	m := c.newMessage(fb.KindStatus)
 	m.Job = id
 	c.env.Call(leader, m, 700*clock.Millisecond, func(r *peer.Msg) {
 		if r == nil || r.Code != 200 && r.Code != 404 {
-			c.lookup(id, reply)
+			c.lookupStatus(id, reply)
 			return
 		}
-		reply(answerOf(r))
+		reply(answerFromMessage(r))
 	})
 }
 
@@ -402,7 +402,7 @@
 			return
 		}
 	}
-	c.lookup(id, reply)
+	c.lookupStatus(id, reply)
 }
 
 // statusOf tells only what is committed: a state that a user heard must
@@ -429,13 +429,13 @@
 
 // lookup reads a job's state from the state service. The job is looked for
 // first and its final record second, the order in which archiving moves it.
-func (c *Core) lookup(id string, reply func(Answer)) {
+func (c *Core) lookupStatus(id string, reply func(Answer)) {
 	if !c.stateOK() || !c.readBudget.Allow(stdTime(c.env.Now()), admit.UserReads) {
 		reply(unavailable)
 		return
 	}
 	term, leading := c.term, c.elector.Leading()
-	c.env.State().List(jobPrefix+id, "", lookupItems, func(o store.Outcome, l *wire.ItemList) {
+	c.env.State().List(jobPrefix+id, "", maxLookupItems, func(o store.Outcome, l *wire.ItemList) {
 		if o != store.OK {
 			reply(unavailable)
 			return
@@ -454,28 +454,28 @@
 			}
 		}
 		if record != nil {
-			st := wire.JobStatus{ID: id, Phase: progress.Phase, Done: progress.DoneCount}
-			if st.Phase == "" {
-				st.Phase = wire.PhaseQueued
+			status := wire.JobStatus{ID: id, Phase: progress.Phase, Done: progress.DoneCount}
+			if status.Phase == "" {
+				status.Phase = wire.PhaseQueued
 				if progress.DoneCount > 0 {
-					st.Phase = wire.PhaseRunning
+					status.Phase = wire.PhaseRunning
 				}
 				if leading && c.Serving() && c.term == term {
 					c.addJobRecords(l.Items, nil) // the watch has not brought it yet
 					c.requestSchedulingPass()
 				}
 				if progress.ReadyAt == 0 {
-					c.answerUnlessCancelled(record, Answer{Code: 200, Status: st}, reply)
+					c.answerUnlessCancelled(record, Answer{Code: 200, Status: status}, reply)
 					return
 				}
 			}
-			reply(Answer{Code: 200, Status: st})
+			reply(Answer{Code: 200, Status: status})
 			return
 		}
-		c.readFinalRecord(id, func(f *finalRecord, absent bool) {
+		c.readFinalRecord(id, func(final *finalRecord, absent bool) {
 			switch {
-			case f != nil:
-				reply(Answer{Code: 200, Status: f.JobStatus})
+			case final != nil:
+				reply(Answer{Code: 200, Status: final.JobStatus})
 			case absent:
 				reply(Answer{Code: 404})
 			default:
@@ -487,7 +487,7 @@
 
 // lookupItems is enough for a job with its progress and the parts of its awaits;
 // what is cut off of those is left to the watch.
-const lookupItems = 16
+const maxLookupItems = 16
 
 // Cancel cancels a job for a user.
 func (c *Core) Cancel(id string, reply func(Answer)) {
@@ -502,7 +502,7 @@
 	}
 	m := c.newMessage(fb.KindCancel)
 	m.Job = id
-	c.env.Call(leader, m, 2*clock.Second, func(r *peer.Msg) { reply(answerOf(r)) })
+	c.env.Call(leader, m, 2*clock.Second, func(r *peer.Msg) { reply(answerFromMessage(r)) })
 }
 
 // cancelHere cancels on the leader: no task starts from now on, and the answer
@@ -527,25 +527,25 @@
 		})
 		return
 	}
-	told := func() { reply(Answer{Code: 200, Status: statusOf(j)}) }
+	answer := func() { reply(Answer{Code: 200, Status: statusOf(j)}) }
 	if j.CommittedPhase == wire.PhaseDone || j.Ended && !j.Cancelled {
-		c.commitJobEnd(j, told)
+		c.commitJobEnd(j, answer)
 		return
 	}
-	c.cancelWithDependents(j, told)
+	c.cancelWithDependents(j, answer)
 }
 
 // commitEnd writes a job's end and tells it once it is committed.
-func (c *Core) commitJobEnd(j *sched.Job, then func()) {
+func (c *Core) commitJobEnd(j *sched.Job, onCommitted func()) {
 	if j.CommittedPhase != "" {
-		if then != nil {
-			then()
+		if onCommitted != nil {
+			onCommitted()
 		}
 		return
 	}
 	c.saveProgress(j, classUrgent, c.whileInTerm(func() {
-		first := j.CommittedPhase == ""
-		if first {
+		firstCommit := j.CommittedPhase == ""
+		if firstCommit {
 			j.CommittedPhase = wire.PhaseDone
 			if j.Cancelled {
 				j.CommittedPhase = wire.PhaseCancelled
@@ -555,10 +555,10 @@
 				"submitted", j.Submitted.Seconds(), "ready", j.ReadyAt.Seconds(), "began", j.StartedAt.Seconds(), "over", j.EndedAt.Seconds(),
 				"estimate", j.Estimate.Seconds(), "stated", j.Spec.Estimate, "deadline", (j.Deadline - j.Submitted).Seconds(), "again", j.Requeues)
 		}
-		if then != nil {
-			then()
+		if onCommitted != nil {
+			onCommitted()
 		}
-		if !first {
+		if !firstCommit {
 			return
 		}
 		for i := range j.Tasks {
@@ -586,20 +586,20 @@
 // noteArrival smooths the demand of a class: the CPUs a second that services
 // ask for, or the CPUs that batch work keeps busy.
 func (c *Core) recordArrival(j *sched.Job) {
-	a := c.arrivals[j.Spec.Class]
+	stats := c.arrivals[j.Spec.Class]
 	now := c.env.Now()
-	if a == nil {
-		a = &arrivalStats{updatedAt: now, firstArrival: now}
-		c.arrivals[j.Spec.Class] = a
+	if stats == nil {
+		stats = &arrivalStats{updatedAt: now, firstArrival: now}
+		c.arrivals[j.Spec.Class] = stats
 	}
-	a.lastJob = j
-	asked := j.TotalCPUs()
+	stats.lastJob = j
+	demand := j.TotalCPUs()
 	if !j.Service() {
-		a.batch = true
-		asked *= j.Estimate.Seconds()
+		stats.batch = true
+		demand *= j.Estimate.Seconds()
 	}
-	a.rate = a.rateAt(now) + asked/arrivalWindow.Seconds()
-	a.updatedAt = now
+	stats.rate = stats.rateAt(now) + demand/arrivalWindow.Seconds()
+	stats.updatedAt = now
 }
 
 // arrivalWindow is the memory of the arrival rates.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -32,18 +32,18 @@
 
 // Input is what buying looks at.
 type Input struct {
-	Now            sched.Micros
-	Catalog        []wire.MachineType
-	RefusedUntil   map[MachineKind]sched.Micros // until when not to ask again
-	Machines       []*sched.Machine
-	PendingRentals []Rental         // requests not yet answered
-	Unplaced       []sched.Unplaced // in queue order
-	Headroom       float64          // CPUs wanted free, or freeable, for services
-	Service        *sched.Job       // the service that headroom is measured by; nil: none yet
-	BatchLoad      float64          // CPUs that arriving batch work keeps busy, smoothed
-	SpotWait       sched.Micros
-	FetchRates     map[string]float64
-	MaxReportAge   sched.Micros // a machine that is up is heard at least this often
+	Now               sched.Micros
+	Catalog           []wire.MachineType
+	RefusedUntil      map[MachineKind]sched.Micros // until when not to ask again
+	Machines          []*sched.Machine
+	PendingRentals    []Rental         // requests not yet answered
+	Unplaced          []sched.Unplaced // in queue order
+	Headroom          float64          // CPUs wanted free, or freeable, for services
+	Service           *sched.Job       // the service that headroom is measured by; nil: none yet
+	BatchLoad         float64          // CPUs that arriving batch work keeps busy, smoothed
+	SpotWaitThreshold sched.Micros
+	FetchRates        map[string]float64
+	MaxReportAge      sched.Micros // a machine that is up is heard at least this often
 }
 
 // missing reports whether a machine that an earlier leader knew, and that was up
@@ -60,11 +60,11 @@
 }
 
 // bin is room that is on its way.
-type bin struct {
-	kind MachineKind
-	typ  *wire.MachineType
-	room sched.Resources
-	at   sched.Micros // when it should be up
+type incomingMachine struct {
+	kind      MachineKind
+	typ       *wire.MachineType
+	available sched.Resources
+	readyAt   sched.Micros // when it should be up
 	// yield is the CPUs that services could take: free, or held by work that
 	// they may stop.
 	reclaimableCPUs float64
@@ -72,13 +72,13 @@
 
 type rentalPlanner struct {
 	*Input
-	bins         []*bin
-	ends         *lookahead // worked out when first asked for
-	requested    map[MachineKind]int
-	binsExamined int     // bins looked at: see cost
-	batchSupply  float64 // CPUs for batch work, up or on their way
+	incoming         []*incomingMachine
+	cachedLookahead  *lookahead // worked out when first asked for
+	requested        map[MachineKind]int
+	incomingExamined int     // bins looked at: see cost
+	batchSupply      float64 // CPUs for batch work, up or on their way
 	// Batch work that waits no longer than this is never rented for: see worth.
-	shortest        sched.Micros
+	minUsefulWait   sched.Micros
 	remainingDemand float64 // CPUs of the demand not looked at yet
 }
 
@@ -88,49 +88,49 @@
 func Plan(in *Input) []RentalRequest { return newRentalPlanner(in).plan() }
 
 func newRentalPlanner(in *Input) *rentalPlanner {
-	b := &rentalPlanner{Input: in, requested: map[MachineKind]int{}, shortest: clock.Forever}
+	p := &rentalPlanner{Input: in, requested: map[MachineKind]int{}, minUsefulWait: clock.Forever}
 	for i := range in.Catalog {
-		b.shortest = min(b.shortest, clock.FromSeconds(in.Catalog[i].BootTime)/2)
+		p.minUsefulWait = min(p.minUsefulWait, clock.FromSeconds(in.Catalog[i].BootTime)/2)
 	}
 	for _, m := range in.Machines {
 		if !m.Up && !m.Releasing && !m.Failed && !in.missing(m) {
-			b.bins = append(b.bins, &bin{kindOf(m), m.Type, m.Available(),
-				max(in.Now+minBoot, m.RequestedAt+clock.FromSeconds(m.Type.BootTime)), m.AvailableCPUs()})
+			p.incoming = append(p.incoming, &incomingMachine{kindOf(m), m.Type, m.Available(),
+				max(in.Now+minRemainingBoot, m.RequestedAt+clock.FromSeconds(m.Type.BootTime)), m.AvailableCPUs()})
 		}
 		if !m.Releasing && !m.Draining && m.ReclaimAt == 0 && !m.Failed && !m.Downlink.Partitioned && !in.missing(m) {
-			b.batchSupply += m.Type.CPUs
+			p.batchSupply += m.Type.CPUs
 			if m.Errors == 0 {
-				b.batchSupply -= m.ProductionCPUs()
+				p.batchSupply -= m.ProductionCPUs()
 			}
 		}
 	}
 	for _, r := range in.PendingRentals {
-		if t := b.machineType(r.Kind.Type); t != nil {
+		if t := p.machineType(r.Kind.Type); t != nil {
 			for range r.Count {
-				b.bins = append(b.bins, b.newBin(r.Kind, t))
-				b.batchSupply += t.CPUs
+				p.incoming = append(p.incoming, p.newIncomingMachine(r.Kind, t))
+				p.batchSupply += t.CPUs
 			}
 		}
 	}
-	return b
+	return p
 }
 
-func (b *rentalPlanner) plan() []RentalRequest {
-	return b.planFor(b.Unplaced[:b.relevant()], b.demand)
+func (p *rentalPlanner) plan() []RentalRequest {
+	return p.planFor(p.Unplaced[:p.relevantCount()], p.planJob)
 }
 
 // planFor finds room for each of the jobs in turn, then for what services and arrivals ask for.
-func (b *rentalPlanner) planFor(jobs []sched.Unplaced, demand func(sched.Unplaced)) []RentalRequest {
-	for _, u := range b.Unplaced {
-		b.remainingDemand += float64(u.Count) * u.Job.TaskCPUs()
+func (p *rentalPlanner) planFor(jobs []sched.Unplaced, planJob func(sched.Unplaced)) []RentalRequest {
+	for _, u := range p.Unplaced {
+		p.remainingDemand += float64(u.Count) * u.Job.TaskCPUs()
 	}
 	for _, u := range jobs {
-		demand(u)
+		planJob(u)
 	}
-	b.headroom()
-	b.ahead()
+	p.rentHeadroom()
+	p.rentForExpectedLoad()
 	var out []RentalRequest
-	for k, n := range b.requested {
+	for k, n := range p.requested {
 		out = append(out, RentalRequest{k, min(n, 50)})
 	}
 	slices.SortFunc(out, func(x, y RentalRequest) int { return x.Kind.compare(y.Kind) })
@@ -145,58 +145,58 @@
 }
 
 // minBoot is the least that a machine on its way is expected to take yet.
-const minBoot = 2 * clock.Second
+const minRemainingBoot = 2 * clock.Second
 
-func (b *rentalPlanner) newBin(k MachineKind, t *wire.MachineType) *bin {
-	return &bin{k, t, sched.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}, b.Now + clock.FromSeconds(t.BootTime), t.CPUs}
+func (p *rentalPlanner) newIncomingMachine(k MachineKind, t *wire.MachineType) *incomingMachine {
+	return &incomingMachine{k, t, sched.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}, p.Now + clock.FromSeconds(t.BootTime), t.CPUs}
 }
 
-func (b *rentalPlanner) machineType(name string) *wire.MachineType {
-	for i := range b.Catalog {
-		if b.Catalog[i].Name == name {
-			return &b.Catalog[i]
+func (p *rentalPlanner) machineType(name string) *wire.MachineType {
+	for i := range p.Catalog {
+		if p.Catalog[i].Name == name {
+			return &p.Catalog[i]
 		}
 	}
 	return nil
 }
 
 // lookahead is what running tasks will free.
-func (b *rentalPlanner) lookahead() *lookahead {
-	if b.ends == nil {
-		b.ends = newLookahead(b.Input)
+func (p *rentalPlanner) lookahead() *lookahead {
+	if p.cachedLookahead == nil {
+		p.cachedLookahead = newLookahead(p.Input)
 	}
-	return b.ends
+	return p.cachedLookahead
 }
 
 // cost is the work of all this: how many bins and releases were looked at.
-func (b *rentalPlanner) entriesExamined() int {
-	if b.ends == nil {
-		return b.binsExamined
+func (p *rentalPlanner) entriesExamined() int {
+	if p.cachedLookahead == nil {
+		return p.incomingExamined
 	}
-	return b.binsExamined + b.ends.releasesExamined
+	return p.incomingExamined + p.cachedLookahead.releasesExamined
 }
 
 // relevant is how many of the unplaced jobs can change what is rented: all up to the
 // last one for which anything may be rented now, or which takes room that services
 // could have had. While the cloud refuses every kind that the batch work may use,
 // nothing is to be looked ahead for.
-func (b *rentalPlanner) relevant() int {
-	n := len(b.Unplaced)
-	for n > 0 && !b.matters(b.Unplaced[n-1].Job) {
+func (p *rentalPlanner) relevantCount() int {
+	n := len(p.Unplaced)
+	for n > 0 && !p.affectsRentals(p.Unplaced[n-1].Job) {
 		n--
 	}
 	return n
 }
 
-func (b *rentalPlanner) matters(j *sched.Job) bool {
+func (p *rentalPlanner) affectsRentals(j *sched.Job) bool {
 	if j.Priority == wire.PriorityProduction {
 		return true
 	}
-	for i := range b.Catalog {
-		t := &b.Catalog[i]
+	for i := range p.Catalog {
+		t := &p.Catalog[i]
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				if b.Now >= b.RefusedUntil[MachineKind{t.Name, zone, spot}] && j.Allows(t, zone, spot) {
+				if p.Now >= p.RefusedUntil[MachineKind{t.Name, zone, spot}] && j.Allows(t, zone, spot) {
 					return true
 				}
 			}
@@ -206,62 +206,62 @@
 }
 
 // demand finds room for the unplaced tasks of one job.
-func (b *rentalPlanner) demand(u sched.Unplaced) {
+func (p *rentalPlanner) planJob(u sched.Unplaced) {
 	j, need := u.Job, u.Job.Need()
-	held := j.PlacementsByZone(nil)
+	perZone := j.PlacementsByZone(nil)
 	next := 0                  // a bin that has no room for one task of a job has none for the others
 	var queues []*releaseQueue // that a task of the job may wait for
 	if j.Array() {
-		queues = b.lookahead().allowed(j)
+		queues = p.lookahead().allowedQueues(j)
 	}
 	for range u.Count {
-		b.remainingDemand -= j.TaskCPUs()
-		if x := b.fromBins(j, need, held, &next); x != nil {
-			if b.willFree(x, j) {
-				queues = b.lookahead().allowed(j)
+		p.remainingDemand -= j.TaskCPUs()
+		if machine := p.placeOnIncoming(j, need, perZone, &next); machine != nil {
+			if p.addRelease(machine, j) {
+				queues = p.lookahead().allowedQueues(j)
 			}
 			continue
 		}
-		room := claim{at: clock.Forever}
+		freed := claim{availableAt: clock.Forever}
 		if j.Array() {
-			room = b.lookahead().earliest(queues, need)
+			freed = p.lookahead().claimEarliest(queues, need)
 		}
 		kind, ok := MachineKind{}, false
-		if wait := room.at - b.Now; !j.Array() || wait > b.shortest {
-			kind, ok = b.pickKind(j, need, held, wait)
+		if wait := freed.availableAt - p.Now; !j.Array() || wait > p.minUsefulWait {
+			kind, ok = p.pickKind(j, need, perZone, wait)
 		}
 		switch {
 		case ok:
-			room.putBack()
-			b.requested[kind]++
-			b.batchSupply += b.machineType(kind.Type).CPUs
-			b.bins = append(b.bins, b.newBin(kind, b.machineType(kind.Type)))
-			if x := b.fromBins(j, need, held, &next); x != nil && b.willFree(x, j) {
-				queues = b.lookahead().allowed(j)
+			freed.putBack()
+			p.requested[kind]++
+			p.batchSupply += p.machineType(kind.Type).CPUs
+			p.incoming = append(p.incoming, p.newIncomingMachine(kind, p.machineType(kind.Type)))
+			if machine := p.placeOnIncoming(j, need, perZone, &next); machine != nil && p.addRelease(machine, j) {
+				queues = p.lookahead().allowedQueues(j)
 			}
-		case room.at < clock.Forever:
-			room.consume(need, j.Estimate)
+		case freed.availableAt < clock.Forever:
+			freed.consume(need, j.Estimate)
 		default:
-			room.putBack()
+			freed.putBack()
 			return
 		}
 	}
 }
 
 // fromBins gives a task of j room on a machine on its way; nil if there is none.
-func (b *rentalPlanner) fromBins(j *sched.Job, need sched.Resources, held map[string]int, next *int) *bin {
-	for ; *next < len(b.bins); *next++ {
-		x := b.bins[*next]
-		b.binsExamined++
-		if need.Fits(x.room) && j.Allows(x.typ, x.kind.Zone, x.kind.Spot) && sched.ZoneAllows(j, held, x.kind.Zone) {
-			x.room = x.room.Sub(need)
+func (p *rentalPlanner) placeOnIncoming(j *sched.Job, need sched.Resources, perZone map[string]int, next *int) *incomingMachine {
+	for ; *next < len(p.incoming); *next++ {
+		machine := p.incoming[*next]
+		p.incomingExamined++
+		if need.Fits(machine.available) && j.Allows(machine.typ, machine.kind.Zone, machine.kind.Spot) && sched.ZoneAllows(j, perZone, machine.kind.Zone) {
+			machine.available = machine.available.Sub(need)
 			if j.Priority == wire.PriorityProduction {
-				x.reclaimableCPUs -= need.DominantCPUs(x.typ)
+				machine.reclaimableCPUs -= need.DominantCPUs(machine.typ)
 			}
-			if held != nil {
-				held[x.kind.Zone]++
+			if perZone != nil {
+				perZone[machine.kind.Zone]++
 			}
-			return x
+			return machine
 		}
 	}
 	return nil
@@ -269,38 +269,38 @@
 
 // willFree enters the end of a task that was given room on a machine on its way. It
 // reports whether that is room of a kind that was not known.
-func (b *rentalPlanner) willFree(x *bin, j *sched.Job) bool {
+func (p *rentalPlanner) addRelease(machine *incomingMachine, j *sched.Job) bool {
 	if !j.Array() {
 		return false
 	}
-	known := len(b.lookahead().queues)
-	b.lookahead().add(x.kind, x.typ, release{x.at + j.Estimate, j.Need().DominantCPUs(x.typ)})
-	return len(b.lookahead().queues) > known
+	known := len(p.lookahead().queues)
+	p.lookahead().add(machine.kind, machine.typ, expectedRelease{machine.readyAt + j.Estimate, j.Need().DominantCPUs(machine.typ)})
+	return len(p.lookahead().queues) > known
 }
 
 // pick chooses a machine to rent for j's next task, if one is worth it: the
 // one that costs least for each CPU that this and the waiting work behind it
 // would use.
-func (b *rentalPlanner) pickKind(j *sched.Job, need sched.Resources, held map[string]int, wait sched.Micros) (MachineKind, bool) {
+func (p *rentalPlanner) pickKind(j *sched.Job, need sched.Resources, perZone map[string]int, wait sched.Micros) (MachineKind, bool) {
 	best, bestCost := MachineKind{}, math.Inf(1)
-	for i := range b.Catalog {
-		t := &b.Catalog[i]
-		slots := math.Floor(min(ratio(t.CPUs, need.CPUs), ratio(t.GPUs, need.GPUs), ratio(t.MemoryGB, need.Memory)) + 1e-9)
-		usable := math.Min(math.Max(slots, 1)*need.DominantCPUs(t), need.DominantCPUs(t)+b.remainingDemand)
+	for i := range p.Catalog {
+		t := &p.Catalog[i]
+		tasksPerMachine := math.Floor(min(ratio(t.CPUs, need.CPUs), ratio(t.GPUs, need.GPUs), ratio(t.MemoryGB, need.Memory)) + 1e-9)
+		usableCPUs := math.Min(math.Max(tasksPerMachine, 1)*need.DominantCPUs(t), need.DominantCPUs(t)+p.remainingDemand)
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				k := MachineKind{t.Name, zone, spot}
-				if b.Now < b.RefusedUntil[k] || !j.Allows(t, zone, spot) || !sched.ZoneAllows(j, held, zone) {
+				if p.Now < p.RefusedUntil[k] || !j.Allows(t, zone, spot) || !sched.ZoneAllows(j, perZone, zone) {
 					continue
 				}
-				if !b.worth(j, t, spot, wait) {
+				if !p.worthRenting(j, t, spot, wait) {
 					continue
 				}
 				price := t.Price
 				if spot {
 					price = t.SpotPrice
 				}
-				if cost := price / math.Max(usable, 0.01); cost < bestCost {
+				if cost := price / math.Max(usableCPUs, 0.01); cost < bestCost {
 					best, bestCost = k, cost
 				}
 			}
@@ -312,75 +312,75 @@
 // worth reports whether a new machine beats waiting for running tasks: a spot
 // machine when the wait is more than a little, an ordinary one when waiting
 // would miss the job's aim.
-func (b *rentalPlanner) worth(j *sched.Job, t *wire.MachineType, spot bool, wait sched.Micros) bool {
+func (p *rentalPlanner) worthRenting(j *sched.Job, t *wire.MachineType, spot bool, wait sched.Micros) bool {
 	if !j.Array() {
 		return true
 	}
 	boot := clock.FromSeconds(t.BootTime)
 	if spot {
-		return wait > boot/2+b.SpotWait
+		return wait > boot/2+p.SpotWaitThreshold
 	}
-	if b.batchSupply < b.BatchLoad {
+	if p.batchSupply < p.BatchLoad {
 		// By Little's law the queue grows until more machines are up: what is
 		// needed anyway is rented at once.
 		return wait > boot/2
 	}
-	if j.TargetTime(b.Now) >= clock.Forever {
+	if j.TargetTime(p.Now) >= clock.Forever {
 		return wait > 4*boot
 	}
-	spare := j.Slack(b.Now)
-	if spare < boot+b.fetch(j, t) {
+	jobSlack := j.Slack(p.Now)
+	if jobSlack < boot+p.fetchTime(j, t) {
 		// Not even this machine would make it in time: what is late anyway does
 		// not pay for an ordinary machine unless it would wait very long.
 		return wait > 6*boot
 	}
-	return wait > spare
+	return wait > jobSlack
 }
 
 // fetch is how long the job's image takes to arrive on a new machine.
-func (b *rentalPlanner) fetch(j *sched.Job, t *wire.MachineType) sched.Micros {
-	if r := b.FetchRates[t.Name]; r > 0 {
-		return clock.FromSeconds(j.Spec.ImageGB / r)
+func (p *rentalPlanner) fetchTime(j *sched.Job, t *wire.MachineType) sched.Micros {
+	if rate := p.FetchRates[t.Name]; rate > 0 {
+		return clock.FromSeconds(j.Spec.ImageGB / rate)
 	}
 	return 0
 }
 
 // headroom buys ordinary machines until the room that is free, on its way, or
 // held by work that services may stop, covers the services expected.
-func (b *rentalPlanner) headroom() {
-	if b.Service == nil || b.Headroom <= 0 {
+func (p *rentalPlanner) rentHeadroom() {
+	if p.Service == nil || p.Headroom <= 0 {
 		return
 	}
-	have := b.SpareCPUs()
-	for _, x := range b.bins {
-		if !x.kind.Spot && b.Service.Allows(x.typ, x.kind.Zone, false) {
-			have += x.reclaimableCPUs
+	availableCPUs := p.SpareCPUs()
+	for _, machine := range p.incoming {
+		if !machine.kind.Spot && p.Service.Allows(machine.typ, machine.kind.Zone, false) {
+			availableCPUs += machine.reclaimableCPUs
 		}
 	}
-	b.upTo(b.Headroom, have, b.Service, nil)
+	p.rentUntil(p.Headroom, availableCPUs, p.Service, nil)
 }
 
 // upTo rents machines that suit a task of j until there are as many CPUs as wanted.
-func (b *rentalPlanner) upTo(want, have float64, j *sched.Job, held map[string]int) {
-	for have < want {
-		b.remainingDemand = want - have - j.TaskCPUs()
-		k, ok := b.pickKind(j, j.Need(), held, clock.Forever)
+func (p *rentalPlanner) rentUntil(wantCPUs, haveCPUs float64, j *sched.Job, perZone map[string]int) {
+	for haveCPUs < wantCPUs {
+		p.remainingDemand = wantCPUs - haveCPUs - j.TaskCPUs()
+		k, ok := p.pickKind(j, j.Need(), perZone, clock.Forever)
 		if !ok {
 			return
 		}
-		b.requested[k]++
-		have += b.machineType(k.Type).CPUs
+		p.requested[k]++
+		haveCPUs += p.machineType(k.Type).CPUs
 	}
 }
 
 // ahead rents what arriving work is going to need anyway while work waits that wants to
 // start before a machine rented for it would come: what arrives until then would wait as
 // long. By Little's law the machines for it are known.
-func (b *rentalPlanner) ahead() {
-	i := slices.IndexFunc(b.Unplaced, func(u sched.Unplaced) bool { return !u.Job.Service() && u.Job.NeedsImmediateStart(b.Now) })
+func (p *rentalPlanner) rentForExpectedLoad() {
+	i := slices.IndexFunc(p.Unplaced, func(u sched.Unplaced) bool { return !u.Job.Service() && u.Job.NeedsImmediateStart(p.Now) })
 	if i >= 0 {
-		j := b.Unplaced[i].Job
-		b.upTo(b.BatchLoad, b.batchSupply, j, j.PlacementsByZone(nil))
+		j := p.Unplaced[i].Job
+		p.rentUntil(p.BatchLoad, p.batchSupply, j, j.PlacementsByZone(nil))
 	}
 }
 
@@ -414,53 +414,53 @@
 		return nil
 	}
 	// What is free, all in all and on ordinary machines, beyond what must move.
-	var all, ordinary float64
+	var freeCPUs, freeOrdinaryCPUs float64
 	type candidate struct {
-		m    *sched.Machine
-		cost float64
+		m               *sched.Machine
+		pricePerUsedCPU float64
 	}
-	var list []candidate
+	var candidates []candidate
 	for _, m := range in.Machines {
-		room := m.AvailableCPUs()
+		available := m.AvailableCPUs()
 		switch {
 		case m.Retiring && !m.Releasing:
-			all -= m.Type.CPUs - room
-			ordinary -= m.ProductionCPUs()
+			freeCPUs -= m.Type.CPUs - available
+			freeOrdinaryCPUs -= m.ProductionCPUs()
 		case m.Usable(in.Now, in.MaxReportAge):
-			all += room
+			freeCPUs += available
 			price := m.Type.SpotPrice
 			if !m.Spot {
-				ordinary += room
+				freeOrdinaryCPUs += available
 				price = m.Type.Price
 			}
 			if m.Busy() {
-				list = append(list, candidate{m, price / (m.Type.CPUs - room + 1)})
+				candidates = append(candidates, candidate{m, price / (m.Type.CPUs - available + 1)})
 			}
 		}
 	}
-	slices.SortStableFunc(list, func(a, b candidate) int { return cmp.Compare(b.cost, a.cost) })
-	spare := in.SpareCPUs()
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.pricePerUsedCPU, a.pricePerUsedCPU) })
+	spareCPUs := in.SpareCPUs()
 	var out []*sched.Machine
-	for _, c := range list {
+	for _, c := range candidates {
 		m := c.m
-		room := m.AvailableCPUs()
-		used := m.Type.CPUs - room
+		available := m.AvailableCPUs()
+		usedCPUs := m.Type.CPUs - available
 		// Batch work finishes where it is; its successors need room elsewhere.
-		if c.cost <= 0 || all-room < used+in.Headroom {
+		if c.pricePerUsedCPU <= 0 || freeCPUs-available < usedCPUs+in.Headroom {
 			continue
 		}
-		if !m.Spot && (ordinary-room < m.ProductionCPUs() || spare-in.SpareCPUsOn(m) < m.ProductionCPUs()+in.Headroom) {
+		if !m.Spot && (freeOrdinaryCPUs-available < m.ProductionCPUs() || spareCPUs-in.SpareCPUsOn(m) < m.ProductionCPUs()+in.Headroom) {
 			continue
 		}
 		out = append(out, m)
 		if len(out) == n {
 			break
 		}
-		all -= room + used
-		ordinary -= m.ProductionCPUs()
+		freeCPUs -= available + usedCPUs
+		freeOrdinaryCPUs -= m.ProductionCPUs()
 		if !m.Spot {
-			ordinary -= room
-			spare -= in.SpareCPUsOn(m)
+			freeOrdinaryCPUs -= available
+			spareCPUs -= in.SpareCPUsOn(m)
 		}
 	}
 	return out
