--- a/internal/fleet/lookahead.go
+++ b/internal/fleet/lookahead.go
@@ -11,7 +11,7 @@
 )
 
 // release is room that a task's end frees.
-type release struct {
+type expectedRelease struct {
 	at   sched.Micros
 	cpus float64
 }
@@ -20,31 +20,31 @@
 type releaseQueue struct {
 	kind     MachineKind
 	typ      *wire.MachineType
-	releases []release
+	releases []expectedRelease
 }
 
 func (q *releaseQueue) Len() int           { return len(q.releases) }
 func (q *releaseQueue) Less(i, j int) bool { return q.releases[i].at < q.releases[j].at }
 func (q *releaseQueue) Swap(i, j int)      { q.releases[i], q.releases[j] = q.releases[j], q.releases[i] }
-func (q *releaseQueue) Push(x any)         { q.releases = append(q.releases, x.(release)) }
-func (q *releaseQueue) Pop() any           { return q.cut() }
+func (q *releaseQueue) Push(x any)         { q.releases = append(q.releases, x.(expectedRelease)) }
+func (q *releaseQueue) Pop() any           { return q.removeLast() }
 
-func (q *releaseQueue) cut() release {
+func (q *releaseQueue) removeLast() expectedRelease {
 	last := q.releases[len(q.releases)-1]
 	q.releases = q.releases[:len(q.releases)-1]
 	return last
 }
 
 // insert and takeFirst are heap.Push and heap.Pop without an allocation for each release.
-func (q *releaseQueue) insert(r release) {
+func (q *releaseQueue) insert(r expectedRelease) {
 	q.releases = append(q.releases, r)
 	heap.Fix(q, len(q.releases)-1)
 }
 
-func (q *releaseQueue) takeFirst() release {
+func (q *releaseQueue) popFirst() expectedRelease {
 	first := q.releases[0]
 	q.Swap(0, len(q.releases)-1)
-	q.cut()
+	q.removeLast()
 	if len(q.releases) > 1 {
 		heap.Fix(q, 0)
 	}
@@ -63,7 +63,7 @@
 type lookahead struct {
 	byKind           map[MachineKind]*releaseQueue
 	queues           []*releaseQueue // the same, ordered by kind
-	parts            []claimPart     // of the latest claim
+	partsBuffer      []claimPart     // of the latest claim
 	releasesExamined int             // releases looked at: the cost of it all
 }
 
@@ -81,9 +81,9 @@
 				continue
 			}
 			if q == nil {
-				q = l.queue(kindOf(m), m.Type)
+				q = l.queueFor(kindOf(m), m.Type)
 			}
-			q.releases = append(q.releases, release{endOf(p, in.Now), p.Need.DominantCPUs(m.Type)})
+			q.releases = append(q.releases, expectedRelease{expectedEnd(p, in.Now), p.Need.DominantCPUs(m.Type)})
 		}
 	}
 	for _, q := range l.queues {
@@ -93,7 +93,7 @@
 }
 
 // queue is that of a kind of machine, made if it is new.
-func (l *lookahead) queue(kind MachineKind, typ *wire.MachineType) *releaseQueue {
+func (l *lookahead) queueFor(kind MachineKind, typ *wire.MachineType) *releaseQueue {
 	q := l.byKind[kind]
 	if q == nil {
 		q = &releaseQueue{kind: kind, typ: typ}
@@ -105,7 +105,7 @@
 }
 
 // endOf is when a placed task is expected to end.
-func endOf(p *sched.Placement, now sched.Micros) sched.Micros {
+func expectedEnd(p *sched.Placement, now sched.Micros) sched.Micros {
 	start := p.RunningSince
 	if start == 0 {
 		start = now
@@ -114,12 +114,12 @@
 }
 
 // add enters room that gets free at the given time.
-func (l *lookahead) add(kind MachineKind, typ *wire.MachineType, r release) {
-	l.queue(kind, typ).insert(r)
+func (l *lookahead) add(kind MachineKind, typ *wire.MachineType, r expectedRelease) {
+	l.queueFor(kind, typ).insert(r)
 }
 
 // allowed lists the queues whose machines a job may use.
-func (l *lookahead) allowed(j *sched.Job) []*releaseQueue {
+func (l *lookahead) allowedQueues(j *sched.Job) []*releaseQueue {
 	var out []*releaseQueue
 	for _, q := range l.queues {
 		if j.Allows(q.typ, q.kind.Zone, q.kind.Spot) {
@@ -131,46 +131,46 @@
 
 // claim is the room that the next task of a job would take.
 type claim struct {
-	at    sched.Micros // when it is all free; clock.Forever if it never will be
-	parts []claimPart
+	availableAt sched.Micros // when it is all free; clock.Forever if it never will be
+	parts       []claimPart
 }
 
 // claimPart is a release that a claim takes, wholly or, if it is the last, in part.
 type claimPart struct {
 	queue *releaseQueue
-	release
-	rest float64 // CPUs that the claim leaves
+	expectedRelease
+	remainingCPUs float64 // CPUs that the claim leaves
 }
 
 // tolerance is the part of a task that may be missing for rounding.
-const tolerance = 1e-6
+const roundingTolerance = 1e-6
 
 // earliest takes out the room that one task needs from the queues given. The claim
 // has to be put back or consumed before the next.
-func (l *lookahead) earliest(queues []*releaseQueue, need sched.Resources) claim {
-	c := claim{at: clock.Forever, parts: l.parts[:0]}
-	defer func() { l.parts = c.parts }()
-	missing := 1.0 // part of the task that has no room yet
-	for missing > tolerance {
-		q := head(queues)
+func (l *lookahead) claimEarliest(queues []*releaseQueue, need sched.Resources) claim {
+	c := claim{availableAt: clock.Forever, parts: l.partsBuffer[:0]}
+	defer func() { l.partsBuffer = c.parts }()
+	unclaimedShare := 1.0 // part of the task that has no room yet
+	for unclaimedShare > roundingTolerance {
+		q := queueWithEarliestRelease(queues)
 		if q == nil {
 			return c
 		}
 		l.releasesExamined++
-		r := q.takeFirst()
-		size := need.DominantCPUs(q.typ)
-		take := min(missing*size, r.cpus)
-		missing -= take / size
-		c.parts = append(c.parts, claimPart{q, r, r.cpus - take})
-		if missing <= tolerance {
-			c.at = r.at
+		r := q.popFirst()
+		taskCPUs := need.DominantCPUs(q.typ)
+		takenCPUs := min(unclaimedShare*taskCPUs, r.cpus)
+		unclaimedShare -= takenCPUs / taskCPUs
+		c.parts = append(c.parts, claimPart{q, r, r.cpus - takenCPUs})
+		if unclaimedShare <= roundingTolerance {
+			c.availableAt = r.at
 		}
 	}
 	return c
 }
 
 // head is the queue with the earliest release, the first of those alike.
-func head(queues []*releaseQueue) *releaseQueue {
+func queueWithEarliestRelease(queues []*releaseQueue) *releaseQueue {
 	var first *releaseQueue
 	for _, q := range queues {
 		if len(q.releases) > 0 && (first == nil || cmp.Less(q.releases[0].at, first.releases[0].at)) {
@@ -183,16 +183,16 @@
 // putBack undoes the claim.
 func (c claim) putBack() {
 	for _, p := range c.parts {
-		p.queue.insert(p.release)
+		p.queue.insert(p.expectedRelease)
 	}
 }
 
 // consume gives the claimed room, which is whole, to a task that frees it again after
 // its run.
-func (c claim) consume(need sched.Resources, run sched.Micros) {
+func (c claim) consume(need sched.Resources, runTime sched.Micros) {
 	last := c.parts[len(c.parts)-1]
-	if last.rest > 0 {
-		last.queue.insert(release{last.at, last.rest})
+	if last.remainingCPUs > 0 {
+		last.queue.insert(expectedRelease{last.at, last.remainingCPUs})
 	}
-	last.queue.insert(release{last.at + run, need.DominantCPUs(last.queue.typ)})
+	last.queue.insert(expectedRelease{last.at + runTime, need.DominantCPUs(last.queue.typ)})
 }
--- a/internal/fleet/lookahead_test.go
+++ b/internal/fleet/lookahead_test.go
@@ -15,42 +15,44 @@
 
 // sortedBuyer is the rental look-ahead as it was before: one sorted list of all releases.
 // It is what the look-ahead has to agree with.
-type sortedBuyer struct {
+type sortedPlanner struct {
 	*rentalPlanner
-	frees []free // by time; worked out when first asked for
-	known bool
-	head  int // what lies before is used up
+	freed       []freedCapacity // by time; worked out when first asked for
+	computed    bool
+	firstUnused int // what lies before is used up
 }
 
 // free is room that a task's end will free.
-type free struct {
+type freedCapacity struct {
 	at   sched.Micros
 	cpus float64
 	kind MachineKind
 	typ  *wire.MachineType
 }
 
-func compareFree(x, y free) int { return cmp.Or(cmp.Compare(x.at, y.at), x.kind.compare(y.kind)) }
+func compareFreed(x, y freedCapacity) int {
+	return cmp.Or(cmp.Compare(x.at, y.at), x.kind.compare(y.kind))
+}
 
 // release enters room that gets free at the given time.
-func (b *sortedBuyer) release(f free) {
-	b.free()
-	i, found := slices.BinarySearchFunc(b.frees, f, compareFree)
+func (s *sortedPlanner) addFreed(f freedCapacity) {
+	s.computeFreed()
+	i, found := slices.BinarySearchFunc(s.freed, f, compareFreed)
 	if found {
-		b.frees[i].cpus += f.cpus
+		s.freed[i].cpus += f.cpus
 	} else {
-		b.frees = slices.Insert(b.frees, i, f)
+		s.freed = slices.Insert(s.freed, i, f)
 	}
-	b.head = min(b.head, i)
+	s.firstUnused = min(s.firstUnused, i)
 }
 
 // free works out what running tasks will free.
-func (b *sortedBuyer) free() {
-	if b.known {
+func (s *sortedPlanner) computeFreed() {
+	if s.computed {
 		return
 	}
-	b.known = true
-	for _, m := range b.Machines {
+	s.computed = true
+	for _, m := range s.Machines {
 		if m.Releasing || m.Draining || m.ReclaimAt != 0 || m.Errors > 0 {
 			continue
 		}
@@ -61,66 +63,66 @@
 			}
 			start := p.RunningSince
 			if start == 0 {
-				start = b.Now
+				start = s.Now
 			}
-			b.frees = append(b.frees, free{max(b.Now, start+p.RemainingTime()), p.Need.DominantCPUs(m.Type), kind, m.Type})
+			s.freed = append(s.freed, freedCapacity{max(s.Now, start+p.RemainingTime()), p.Need.DominantCPUs(m.Type), kind, m.Type})
 		}
 	}
-	slices.SortFunc(b.frees, compareFree)
-	merged := b.frees[:0]
-	for _, f := range b.frees {
-		if n := len(merged); n > 0 && compareFree(merged[n-1], f) == 0 {
+	slices.SortFunc(s.freed, compareFreed)
+	merged := s.freed[:0]
+	for _, f := range s.freed {
+		if n := len(merged); n > 0 && compareFreed(merged[n-1], f) == 0 {
 			merged[n-1].cpus += f.cpus
 		} else {
 			merged = append(merged, f)
 		}
 	}
-	b.frees = merged
+	s.freed = merged
 }
 
 // demand finds room for the unplaced tasks of one job.
-func (b *sortedBuyer) demand(u sched.Unplaced) {
+func (s *sortedPlanner) planJob(u sched.Unplaced) {
 	j, need := u.Job, u.Job.Need()
-	held := j.PlacementsByZone(nil)
+	perZone := j.PlacementsByZone(nil)
 	next := 0 // a bin that has no room for one task of a job has none for the others
 	for range u.Count {
-		b.remainingDemand -= j.TaskCPUs()
-		if b.fromBins(j, need, held, &next) {
+		s.remainingDemand -= j.TaskCPUs()
+		if s.placeOnIncoming(j, need, perZone, &next) {
 			continue
 		}
 		wait := clock.Forever
 		if j.Array() {
-			wait = b.nextFree(j, need) - b.Now
+			wait = s.earliestFit(j, need) - s.Now
 		}
-		kind, ok := b.pickKind(j, need, held, wait)
+		kind, ok := s.pickKind(j, need, perZone, wait)
 		switch {
 		case ok:
-			b.requested[kind]++
-			b.batchSupply += b.machineType(kind.Type).CPUs
-			b.bins = append(b.bins, b.newBin(kind, b.machineType(kind.Type)))
-			b.fromBins(j, need, held, &next)
+			s.requested[kind]++
+			s.batchSupply += s.machineType(kind.Type).CPUs
+			s.incoming = append(s.incoming, s.newIncomingMachine(kind, s.machineType(kind.Type)))
+			s.placeOnIncoming(j, need, perZone, &next)
 		case wait < clock.Forever/2:
-			b.consume(j, need)
+			s.consume(j, need)
 		default:
 			return
 		}
 	}
 }
 
-func (b *sortedBuyer) fromBins(j *sched.Job, need sched.Resources, held map[string]int, next *int) bool {
-	for ; *next < len(b.bins); *next++ {
-		x := b.bins[*next]
-		b.binsExamined++
-		if need.Fits(x.room) && j.Allows(x.typ, x.kind.Zone, x.kind.Spot) && sched.ZoneAllows(j, held, x.kind.Zone) {
-			x.room = x.room.Sub(need)
+func (s *sortedPlanner) placeOnIncoming(j *sched.Job, need sched.Resources, perZone map[string]int, next *int) bool {
+	for ; *next < len(s.incoming); *next++ {
+		machine := s.incoming[*next]
+		s.incomingExamined++
+		if need.Fits(machine.available) && j.Allows(machine.typ, machine.kind.Zone, machine.kind.Spot) && sched.ZoneAllows(j, perZone, machine.kind.Zone) {
+			machine.available = machine.available.Sub(need)
 			if j.Priority == wire.PriorityProduction {
-				x.reclaimableCPUs -= need.DominantCPUs(x.typ)
+				machine.reclaimableCPUs -= need.DominantCPUs(machine.typ)
 			}
-			if held != nil {
-				held[x.kind.Zone]++
+			if perZone != nil {
+				perZone[machine.kind.Zone]++
 			}
 			if j.Array() {
-				b.release(free{x.at + j.Estimate, need.DominantCPUs(x.typ), x.kind, x.typ})
+				s.addFreed(freedCapacity{machine.readyAt + j.Estimate, need.DominantCPUs(machine.typ), machine.kind, machine.typ})
 			}
 			return true
 		}
@@ -130,16 +132,16 @@
 
 // nextFree finds when tasks that run, or will run, have freed enough for one
 // more task of j.
-func (b *sortedBuyer) nextFree(j *sched.Job, need sched.Resources) sched.Micros {
-	b.free()
-	part := 1.0 // of the task that has no room yet
-	for b.head < len(b.frees) && b.frees[b.head].cpus <= 0 {
-		b.head++
+func (s *sortedPlanner) earliestFit(j *sched.Job, need sched.Resources) sched.Micros {
+	s.computeFreed()
+	unclaimedShare := 1.0 // of the task that has no room yet
+	for s.firstUnused < len(s.freed) && s.freed[s.firstUnused].cpus <= 0 {
+		s.firstUnused++
 	}
-	for _, f := range b.frees[b.head:] {
-		b.binsExamined++
+	for _, f := range s.freed[s.firstUnused:] {
+		s.incomingExamined++
 		if f.cpus > 0 && j.Allows(f.typ, f.kind.Zone, f.kind.Spot) {
-			if part -= f.cpus / need.DominantCPUs(f.typ); part <= 1e-6 {
+			if unclaimedShare -= f.cpus / need.DominantCPUs(f.typ); unclaimedShare <= 1e-6 {
 				return f.at
 			}
 		}
@@ -148,19 +150,19 @@
 }
 
 // consume gives the next free room to a task of j, until that ends.
-func (b *sortedBuyer) consume(j *sched.Job, need sched.Resources) {
-	part := 1.0
-	for i := b.head; i < len(b.frees); i++ {
-		f := &b.frees[i]
-		b.binsExamined++
+func (s *sortedPlanner) consume(j *sched.Job, need sched.Resources) {
+	unclaimedShare := 1.0
+	for i := s.firstUnused; i < len(s.freed); i++ {
+		f := &s.freed[i]
+		s.incomingExamined++
 		if f.cpus <= 0 || !j.Allows(f.typ, f.kind.Zone, f.kind.Spot) {
 			continue
 		}
-		size := need.DominantCPUs(f.typ)
-		take := min(part*size, f.cpus)
-		f.cpus -= take
-		if part -= take / size; part <= 1e-6 {
-			b.release(free{f.at + j.Estimate, size, f.kind, f.typ})
+		taskCPUs := need.DominantCPUs(f.typ)
+		takenCPUs := min(unclaimedShare*taskCPUs, f.cpus)
+		f.cpus -= takenCPUs
+		if unclaimedShare -= takenCPUs / taskCPUs; unclaimedShare <= 1e-6 {
+			s.addFreed(freedCapacity{f.at + j.Estimate, taskCPUs, f.kind, f.typ})
 			return
 		}
 	}
@@ -168,11 +170,11 @@
 
 // sortedPlan is Plan with the sorted list.
 func sortedPlan(in *Input) []RentalRequest {
-	b := &sortedBuyer{rentalPlanner: newRentalPlanner(in)}
-	return b.planFor(b.Unplaced, b.demand)
+	s := &sortedPlanner{rentalPlanner: newRentalPlanner(in)}
+	return s.planFor(s.Unplaced, s.planJob)
 }
 
-var kinds = []wire.MachineType{
+var machineTypes = []wire.MachineType{
 	{Name: "large", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootTime: 40, Zones: []string{"a", "b"}},
 	{Name: "small", CPUs: 8, MemoryGB: 16, Price: 0.4, SpotPrice: 0.1, BootTime: 35, Zones: []string{"a", "c"}},
 }
@@ -186,19 +188,19 @@
 		j.Priority = wire.PriorityProduction
 	}
 	if rapid.Bool().Draw(t, "only one type") {
-		j.Spec.Types = []string{rapid.SampledFrom(kinds).Draw(t, "type").Name}
+		j.Spec.Types = []string{rapid.SampledFrom(machineTypes).Draw(t, "type").Name}
 	}
 	if rapid.Bool().Draw(t, "aimed") {
 		j.FinishTargets = []sched.Micros{sched.Micros(rapid.IntRange(100, 900).Draw(t, "target")) * clock.Second}
 	}
 	j.Spec.Spread = kind == wire.KindService
-	j.ComputeSize(kinds)
+	j.ComputeSize(machineTypes)
 	return j
 }
 
 func drawMachine(t *rapid.T, i int) *sched.Machine {
 	m := newRunningMachine(i, rapid.Bool().Draw(t, "spot"), 0, 1, wire.KindArray)
-	m.Type = &kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "type")]
+	m.Type = &machineTypes[rapid.IntRange(0, len(machineTypes)-1).Draw(t, "type")]
 	m.Zone = rapid.SampledFrom(m.Type.Zones).Draw(t, "zone")
 	m.Up = rapid.IntRange(0, 4).Draw(t, "up") > 0
 	m.Draining = rapid.IntRange(0, 9).Draw(t, "draining") == 0
@@ -215,10 +217,10 @@
 
 // TestLookaheadRentsAsBefore holds the look-ahead by heaps to the same rentals as the sorted
 // list, on random fleets.
-func TestLookaheadRentsAsBefore(t *testing.T) {
+func TestLookaheadMatchesSortedList(t *testing.T) {
 	rented := 0
 	rapid.Check(t, func(t *rapid.T) {
-		in := &Input{Now: 100 * clock.Second, Catalog: kinds, RefusedUntil: map[MachineKind]sched.Micros{}, SpotWait: 5 * clock.Second,
+		in := &Input{Now: 100 * clock.Second, Catalog: machineTypes, RefusedUntil: map[MachineKind]sched.Micros{}, SpotWaitThreshold: 5 * clock.Second,
 			BatchLoad: float64(rapid.IntRange(0, 400).Draw(t, "load")), Headroom: float64(rapid.IntRange(0, 20).Draw(t, "headroom"))}
 		for i := range rapid.IntRange(0, 30).Draw(t, "machines") {
 			in.Machines = append(in.Machines, drawMachine(t, i))
@@ -230,7 +232,7 @@
 				in.Service = j
 			}
 		}
-		for _, typ := range kinds {
+		for _, typ := range machineTypes {
 			for _, zone := range typ.Zones {
 				for _, spot := range []bool{true, false} {
 					k := MachineKind{typ.Name, zone, spot}
@@ -255,12 +257,12 @@
 }
 
 // peak is a fleet that is full of short tasks, while arrays of a thousand more wait.
-func peak(machines int, refused bool) *Input {
-	in := &Input{Now: 100 * clock.Second, Catalog: kinds, RefusedUntil: map[MachineKind]sched.Micros{}, SpotWait: 5 * clock.Second}
+func newPeakInput(machines int, refused bool) *Input {
+	in := &Input{Now: 100 * clock.Second, Catalog: machineTypes, RefusedUntil: map[MachineKind]sched.Micros{}, SpotWaitThreshold: 5 * clock.Second}
 	for i := range machines {
 		m := newRunningMachine(i, i%2 == 0, 4, 4, wire.KindArray)
-		for k, p := range []string{"0", "1", "2", "3"} { // all end at times of their own
-			m.Placements[fmt.Sprintf("on-%d/%s", i, p)].RunningSince = 95*clock.Second + sched.Micros(4*i+k)*37
+		for offset, index := range []string{"0", "1", "2", "3"} { // all end at times of their own
+			m.Placements[fmt.Sprintf("on-%d/%s", i, index)].RunningSince = 95*clock.Second + sched.Micros(4*i+offset)*37
 		}
 		in.Machines = append(in.Machines, m)
 	}
@@ -270,7 +272,7 @@
 		in.Unplaced = append(in.Unplaced, sched.Unplaced{Job: j, Count: 1000})
 	}
 	if refused {
-		for _, typ := range kinds {
+		for _, typ := range machineTypes {
 			for _, zone := range typ.Zones {
 				in.RefusedUntil[MachineKind{typ.Name, zone, true}], in.RefusedUntil[MachineKind{typ.Name, zone, false}] = clock.Forever, clock.Forever
 			}
@@ -286,7 +288,7 @@
 		for name, plan := range map[string]func(*Input) []RentalRequest{"heaps": Plan, "sorted": sortedPlan} {
 			for _, refused := range []bool{false, true} {
 				b.Run(fmt.Sprintf("%s/refused=%v/%d", name, refused, n), func(b *testing.B) {
-					in := peak(n, refused)
+					in := newPeakInput(n, refused)
 					for b.Loop() {
 						plan(in)
 					}
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -34,8 +34,8 @@
 	return m
 }
 
-func bigInput(machines int) *Input {
-	in := &Input{Now: 100 * clock.Second, Catalog: catalog, RefusedUntil: map[MachineKind]sched.Micros{}, SpotWait: 5 * clock.Second}
+func newLargeInput(machines int) *Input {
+	in := &Input{Now: 100 * clock.Second, Catalog: catalog, RefusedUntil: map[MachineKind]sched.Micros{}, SpotWaitThreshold: 5 * clock.Second}
 	for i := range machines {
 		in.Machines = append(in.Machines, newRunningMachine(i, i%2 == 0, 4, 4, wire.KindArray))
 	}
@@ -53,22 +53,22 @@
 // hundreds of services are placed: a bound on the tasks looked at once left it
 // waiting for a boot and more, found on the first grown days. The cost stays
 // near the number of waiting tasks.
-func TestLooksAtAllThatWaits(t *testing.T) {
-	in := bigInput(500)
+func TestPlansForAllWaitingJobs(t *testing.T) {
+	in := newLargeInput(500)
 	in.Machines = nil
-	b := newRentalPlanner(in)
+	p := newRentalPlanner(in)
 	counts := map[bool]int{}
-	for _, buy := range b.plan() {
-		counts[buy.Kind.Spot] = buy.Count
+	for _, request := range p.plan() {
+		counts[request.Kind.Spot] = request.Count
 	}
 	if counts[true] == 0 || counts[false] == 0 {
 		t.Errorf("rents %v, want spot machines for batch and ordinary ones for services", counts)
 	}
-	in = bigInput(500)
-	b = newRentalPlanner(in)
-	b.plan()
-	if limit := 10 * 100 * 50; b.entriesExamined() > limit {
-		t.Errorf("looked at %d bins and releases, limit %d", b.entriesExamined(), limit)
+	in = newLargeInput(500)
+	p = newRentalPlanner(in)
+	p.plan()
+	if limit := 10 * 100 * 50; p.entriesExamined() > limit {
+		t.Errorf("looked at %d bins and releases, limit %d", p.entriesExamined(), limit)
 	}
 }
 
@@ -113,7 +113,7 @@
 func BenchmarkRent(b *testing.B) {
 	for _, n := range []int{250, 1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			in := bigInput(n)
+			in := newLargeInput(n)
 			for b.Loop() {
 				Plan(in)
 			}
--- a/internal/fleet/vacancy.go
+++ b/internal/fleet/vacancy.go
@@ -12,20 +12,20 @@
 }
 
 type vacancy struct {
-	machine *sched.Machine
-	room    sched.Resources
+	machine   *sched.Machine
+	available sched.Resources
 }
 
 // NewVacancies lists the machines that take new tasks, in their order.
-func NewVacancies(machines []*sched.Machine, now, fresh sched.Micros) *Vacancies {
+func NewVacancies(machines []*sched.Machine, now, maxReportAge sched.Micros) *Vacancies {
 	v := new(Vacancies)
 	for _, m := range machines {
-		if m.Errors > 0 || !m.Usable(now, fresh) {
+		if m.Errors > 0 || !m.Usable(now, maxReportAge) {
 			continue
 		}
-		room := m.Available()
-		v.machines = append(v.machines, vacancy{m, room})
-		v.largest = sched.Resources{CPUs: max(v.largest.CPUs, room.CPUs), GPUs: max(v.largest.GPUs, room.GPUs), Memory: max(v.largest.Memory, room.Memory)}
+		available := m.Available()
+		v.machines = append(v.machines, vacancy{m, available})
+		v.largest = sched.Resources{CPUs: max(v.largest.CPUs, available.CPUs), GPUs: max(v.largest.GPUs, available.GPUs), Memory: max(v.largest.Memory, available.Memory)}
 	}
 	return v
 }
@@ -37,15 +37,15 @@
 	if !p.Need.Fits(v.largest) {
 		return false
 	}
-	held := p.Job.PlacementsByZone(p)
+	perZone := p.Job.PlacementsByZone(p)
 	for i := range v.machines {
-		x := &v.machines[i]
-		if !p.Need.Fits(x.room) {
+		candidate := &v.machines[i]
+		if !p.Need.Fits(candidate.available) {
 			continue
 		}
-		m := x.machine
-		if _, warm := m.Images[p.Image]; warm && p.Job.Allows(m.Type, m.Zone, m.Spot) && sched.ZoneAllows(p.Job, held, m.Zone) {
-			x.room = x.room.Sub(p.Need)
+		m := candidate.machine
+		if _, hasImage := m.Images[p.Image]; hasImage && p.Job.Allows(m.Type, m.Zone, m.Spot) && sched.ZoneAllows(p.Job, perZone, m.Zone) {
+			candidate.available = candidate.available.Sub(p.Need)
 			return true
 		}
 	}
--- a/internal/fleet/vacancy_test.go
+++ b/internal/fleet/vacancy_test.go
@@ -12,12 +12,12 @@
 )
 
 // firstVacancy is the search over all machines that Vacancies replaces.
-func firstVacancy(machines []*sched.Machine, p *sched.Placement, now, fresh sched.Micros, claimed map[*sched.Machine]sched.Resources) bool {
-	held := p.Job.PlacementsByZone(p)
+func claimByLinearSearch(machines []*sched.Machine, p *sched.Placement, now, maxReportAge sched.Micros, claimed map[*sched.Machine]sched.Resources) bool {
+	perZone := p.Job.PlacementsByZone(p)
 	for _, m := range machines {
-		_, warm := m.Images[p.Image]
-		if warm && m.Usable(now, fresh) && m.Errors == 0 && p.Need.Fits(m.Available().Sub(claimed[m])) &&
-			p.Job.Allows(m.Type, m.Zone, m.Spot) && sched.ZoneAllows(p.Job, held, m.Zone) {
+		_, hasImage := m.Images[p.Image]
+		if hasImage && m.Usable(now, maxReportAge) && m.Errors == 0 && p.Need.Fits(m.Available().Sub(claimed[m])) &&
+			p.Job.Allows(m.Type, m.Zone, m.Spot) && sched.ZoneAllows(p.Job, perZone, m.Zone) {
 			claimed[m] = claimed[m].Add(p.Need)
 			return true
 		}
@@ -26,7 +26,7 @@
 }
 
 // TestVacanciesMoveAsBefore holds Vacancies to the same moves as the search, on random fleets.
-func TestVacanciesMoveAsBefore(t *testing.T) {
+func TestVacanciesMatchLinearSearch(t *testing.T) {
 	found := 0
 	rapid.Check(t, func(t *rapid.T) {
 		var machines []*sched.Machine
@@ -51,7 +51,7 @@
 		}
 		v, claimed := NewVacancies(machines, clock.Second, clock.Second), map[*sched.Machine]sched.Resources{}
 		for _, p := range replicas {
-			want, got := firstVacancy(machines, p, clock.Second, clock.Second, claimed), v.Claim(p)
+			want, got := claimByLinearSearch(machines, p, clock.Second, clock.Second, claimed), v.Claim(p)
 			if want != got {
 				t.Fatalf("%s: finds room %v, before %v", p.Task, got, want)
 			}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -50,27 +50,27 @@
 // Elector takes part in elections. All its methods and callbacks run on the
 // owner goroutine.
 type Elector struct {
-	env   Env
-	store store.Service
-	hooks Callbacks
-	self  Record
-	ttl   clock.Micros
-
-	leading  bool
-	term     uint64
-	version  uint64 // of the leader key
-	lease    uint64
-	deadline clock.Micros // our lease surely lives until then
-	leader   string       // who leads, as last read
-	abstain  clock.Micros
-	watching bool
-	told     clock.Micros // when a second process of our name was last told of
+	env       Env
+	store     store.Service
+	callbacks Callbacks
+	self      Record
+	ttl       clock.Micros
+
+	leading             bool
+	term                uint64
+	keyVersion          uint64 // of the leader key
+	leaseID             uint64
+	leaseDeadline       clock.Micros // our lease surely lives until then
+	leader              string       // who leads, as last read
+	abstainUntil        clock.Micros
+	watching            bool
+	duplicateReportedAt clock.Micros // when a second process of our name was last told of
 }
 
 // New makes an elector for the process that self describes, by its node, incarnation
 // and address; the incarnation must differ between processes.
-func New(env Env, s store.Service, self Record, ttl clock.Micros, hooks Callbacks) *Elector {
-	return &Elector{env: env, store: s, hooks: hooks, ttl: ttl, self: self, told: -clock.Forever}
+func New(env Env, service store.Service, self Record, ttl clock.Micros, callbacks Callbacks) *Elector {
+	return &Elector{env: env, store: service, callbacks: callbacks, ttl: ttl, self: self, duplicateReportedAt: -clock.Forever}
 }
 
 // Start begins to take part.
@@ -80,10 +80,10 @@
 func (e *Elector) Leading() bool { return e.leading }
 
 // Authority reports whether no other leader can exist now.
-func (e *Elector) HoldsValidLease() bool { return e.leading && e.env.Now() < e.deadline }
+func (e *Elector) HoldsValidLease() bool { return e.leading && e.env.Now() < e.leaseDeadline }
 
 // Deadline is when Authority ends unless the lease is renewed.
-func (e *Elector) LeaseDeadline() clock.Micros { return e.deadline }
+func (e *Elector) LeaseDeadline() clock.Micros { return e.leaseDeadline }
 
 // Term is the term led.
 func (e *Elector) Term() uint64 { return e.term }
@@ -92,80 +92,80 @@
 func (e *Elector) Leader() string { return e.leader }
 
 // Guard is the condition that every transaction of this leader carries.
-func (e *Elector) Guard() wire.Guard { return wire.Guard{Key: Key, Version: e.version} }
+func (e *Elector) Guard() wire.Guard { return wire.Guard{Key: Key, Version: e.keyVersion} }
 
-func (e *Elector) contact(o store.Outcome) {
-	if o == store.OK || o == store.Failed || o == store.Gone {
-		e.hooks.OnStoreResponse()
+func (e *Elector) noteResponse(outcome store.Outcome) {
+	if outcome == store.OK || outcome == store.Failed || outcome == store.Gone {
+		e.callbacks.OnStoreResponse()
 	}
 }
 
-func (e *Elector) retry(d clock.Micros) { e.env.After(d, e.campaign) }
+func (e *Elector) campaignAfter(delay clock.Micros) { e.env.After(delay, e.campaign) }
 
-const pause = 200 * clock.Millisecond
+const retryDelay = 200 * clock.Millisecond
 
 // campaign reads the election's keys and acts on them.
 func (e *Elector) campaign() {
 	if e.leading {
 		return
 	}
-	e.store.List(Prefix, "", 10, func(o store.Outcome, l *wire.ItemList) {
-		e.contact(o)
+	e.store.List(Prefix, "", 10, func(outcome store.Outcome, list *wire.ItemList) {
+		e.noteResponse(outcome)
 		if e.leading {
 			return
 		}
-		if o != store.OK {
+		if outcome != store.OK {
 			e.leader = ""
-			e.retry(pause)
+			e.campaignAfter(retryDelay)
 			return
 		}
-		var key *wire.Item
-		var rec Record
-		var term termRecord
+		var leaderItem *wire.Item
+		var leaderRecord Record
+		var lastTerm termRecord
 		var termVersion uint64
-		for i := range l.Items {
-			switch it := &l.Items[i]; it.Key {
+		for i := range list.Items {
+			switch item := &list.Items[i]; item.Key {
 			case Key:
-				if msgpack.Unmarshal(it.Value, &rec) == nil {
-					key = it
+				if msgpack.Unmarshal(item.Value, &leaderRecord) == nil {
+					leaderItem = item
 				}
 			case TermKey:
-				if msgpack.Unmarshal(it.Value, &term) == nil {
-					termVersion = it.Version
+				if msgpack.Unmarshal(item.Value, &lastTerm) == nil {
+					termVersion = item.Version
 				}
 			}
 		}
 		switch {
-		case key == nil:
+		case leaderItem == nil:
 			e.leader = ""
-			if wait := e.abstain - e.env.Now(); wait > 0 {
-				e.retry(min(wait, pause))
+			if wait := e.abstainUntil - e.env.Now(); wait > 0 {
+				e.campaignAfter(min(wait, retryDelay))
 				return
 			}
-			e.run(0, term.Term, termVersion)
-		case rec.Node == e.self.Node && rec.Incarnation == e.self.Incarnation && rec.Term <= e.term:
+			e.acquire(0, lastTerm.Term, termVersion)
+		case leaderRecord.Node == e.self.Node && leaderRecord.Incarnation == e.self.Incarnation && leaderRecord.Term <= e.term:
 			// The key of a term that this process has given up: leading it again
 			// would hand out its attempt numbers and rental names twice.
-			e.retry(pause)
-		case rec.Node == e.self.Node && rec.Incarnation == e.self.Incarnation:
+			e.campaignAfter(retryDelay)
+		case leaderRecord.Node == e.self.Node && leaderRecord.Incarnation == e.self.Incarnation:
 			// An election of ours whose answer was lost. The lease must be
 			// renewed before its deadline is known.
-			e.elected(rec, key.Version, key.Lease, 0)
-		case e.succeeds(rec):
-			e.run(key.Version, term.Term, termVersion)
+			e.becomeLeader(leaderRecord, leaderItem.Version, leaderItem.Lease, 0)
+		case e.holderIsDead(leaderRecord):
+			e.acquire(leaderItem.Version, lastTerm.Term, termVersion)
 		default:
-			if rec.Node == e.self.Node && e.env.Now()-e.told > tellAgain {
-				e.told = e.env.Now()
-				slog.Error("another process leads under this node's name", "name", rec.Node, "its address", rec.Addr, "ours", e.self.Addr)
+			if leaderRecord.Node == e.self.Node && e.env.Now()-e.duplicateReportedAt > duplicateReportInterval {
+				e.duplicateReportedAt = e.env.Now()
+				slog.Error("another process leads under this node's name", "name", leaderRecord.Node, "its address", leaderRecord.Addr, "ours", e.self.Addr)
 			}
-			e.leader = rec.Node
-			e.watch(l.Revision)
+			e.leader = leaderRecord.Node
+			e.watch(list.Revision)
 		}
 	})
 }
 
 // tellAgain is how often a second process under our name is told of.
-const tellAgain = 30 * clock.Second
+const duplicateReportInterval = 30 * clock.Second
 
 // succeeds reports whether the process that holds the key is surely dead because this
 // one runs: it bore our name and took requests where we do, and two live processes cannot
@@ -173,39 +173,39 @@
 // may bear it, and taking the key from a live leader would leave two that both answer
 // users, each sure of its lease. Such a key is waited for like anybody else's. Versions
 // before this one wrote no address; their processes end before ours begins.
-func (e *Elector) succeeds(rec Record) bool {
-	return rec.Node == e.self.Node && e.self.Addr != "" && (rec.Addr == e.self.Addr || rec.Addr == "")
+func (e *Elector) holderIsDead(holder Record) bool {
+	return holder.Node == e.self.Node && e.self.Addr != "" && (holder.Addr == e.self.Addr || holder.Addr == "")
 }
 
 // run tries to win: version is the leader key's, 0 when there is none.
-func (e *Elector) run(version, term, termVersion uint64) {
-	sent := e.env.Now()
-	e.store.Grant(int64(e.ttl/clock.Millisecond), func(o store.Outcome, lease uint64) {
-		e.contact(o)
-		if o != store.OK || e.leading {
-			e.retry(pause)
+func (e *Elector) acquire(keyVersion, term, termVersion uint64) {
+	sentAt := e.env.Now()
+	e.store.Grant(int64(e.ttl/clock.Millisecond), func(outcome store.Outcome, leaseID uint64) {
+		e.noteResponse(outcome)
+		if outcome != store.OK || e.leading {
+			e.campaignAfter(retryDelay)
 			return
 		}
 		rec := e.self
 		rec.Term = term + 1
 		txn := &wire.Txn{
-			If: []wire.Guard{{Key: Key, Version: version}, {Key: TermKey, Version: termVersion}},
+			If: []wire.Guard{{Key: Key, Version: keyVersion}, {Key: TermKey, Version: termVersion}},
 			Then: []wire.Change{
-				{PutKey: Key, Value: wire.Encode(&rec), Lease: lease},
+				{PutKey: Key, Value: wire.Encode(&rec), Lease: leaseID},
 				{PutKey: TermKey, Value: wire.Encode(&termRecord{rec.Term})},
 			},
 		}
-		e.store.Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
-			e.contact(o)
+		e.store.Txn(txn, func(outcome store.Outcome, answer *wire.TxnAnswer) {
+			e.noteResponse(outcome)
 			switch {
 			case e.leading:
-			case o == store.OK:
-				e.elected(rec, a.Revision, lease, e.safe(sent))
-			case o == store.Failed:
-				e.store.Revoke(lease, func(store.Outcome) {})
+			case outcome == store.OK:
+				e.becomeLeader(rec, answer.Revision, leaseID, e.safeDeadline(sentAt))
+			case outcome == store.Failed:
+				e.store.Revoke(leaseID, func(store.Outcome) {})
 				e.campaign()
 			default:
-				e.retry(pause)
+				e.campaignAfter(retryDelay)
 			}
 		})
 	})
@@ -213,79 +213,79 @@
 
 // safe is the latest instant at which a lease granted or renewed by a request
 // sent at the given time surely lives: the drift of the clocks is 0.05%.
-func (e *Elector) safe(sent clock.Micros) clock.Micros {
-	return sent + e.ttl - e.ttl/500 - 20*clock.Millisecond
+func (e *Elector) safeDeadline(sentAt clock.Micros) clock.Micros {
+	return sentAt + e.ttl - e.ttl/500 - 20*clock.Millisecond
 }
 
-func (e *Elector) elected(rec Record, version, lease uint64, deadline clock.Micros) {
-	e.leading, e.term, e.version, e.lease, e.deadline = true, rec.Term, version, lease, deadline
+func (e *Elector) becomeLeader(rec Record, keyVersion, leaseID uint64, leaseDeadline clock.Micros) {
+	e.leading, e.term, e.keyVersion, e.leaseID, e.leaseDeadline = true, rec.Term, keyVersion, leaseID, leaseDeadline
 	e.self.FenceCount = rec.FenceCount
 	e.leader = e.self.Node
 	slog.Info("elected", "term", e.term)
 	e.renew(e.term)
-	e.hooks.OnElected(e.term)
+	e.callbacks.OnElected(e.term)
 }
 
 func (e *Elector) renew(term uint64) {
 	if !e.leading || e.term != term {
 		return
 	}
-	sent := e.env.Now()
-	e.store.Renew(e.lease, func(o store.Outcome) {
-		e.contact(o)
+	sentAt := e.env.Now()
+	e.store.Renew(e.leaseID, func(outcome store.Outcome) {
+		e.noteResponse(outcome)
 		if !e.leading || e.term != term {
 			return
 		}
-		switch o {
+		switch outcome {
 		case store.OK:
-			e.deadline = max(e.deadline, e.safe(sent))
-			e.env.After(max(e.ttl/4-(e.env.Now()-sent), 0), func() { e.renew(term) })
+			e.leaseDeadline = max(e.leaseDeadline, e.safeDeadline(sentAt))
+			e.env.After(max(e.ttl/4-(e.env.Now()-sentAt), 0), func() { e.renew(term) })
 		case store.Failed:
-			e.lose("lease ended")
+			e.loseLeadership("lease ended")
 		default:
-			e.env.After(pause, func() { e.renew(term) })
+			e.env.After(retryDelay, func() { e.renew(term) })
 		}
 	})
 }
 
-func (e *Elector) lose(why string) {
+func (e *Elector) loseLeadership(reason string) {
 	if !e.leading {
 		return
 	}
-	slog.Info("lost the lead", "term", e.term, "why", why)
-	e.leading, e.deadline, e.leader = false, 0, ""
-	e.hooks.OnLeadershipLost()
+	slog.Info("lost the lead", "term", e.term, "why", reason)
+	e.leading, e.leaseDeadline, e.leader = false, 0, ""
+	e.callbacks.OnLeadershipLost()
 	e.campaign()
 }
 
 // Yield steps down because a higher term exists.
-func (e *Elector) StepDown() { e.lose("a higher term exists") }
+func (e *Elector) StepDown() { e.loseLeadership("a higher term exists") }
 
 // Resign gives the lead up and stays out of elections for a while.
-func (e *Elector) Resign(why string, abstain clock.Micros) {
+func (e *Elector) Resign(reason string, abstainFor clock.Micros) {
 	if !e.leading {
 		return
 	}
-	e.abstain = e.env.Now() + abstain
-	e.store.Revoke(e.lease, func(store.Outcome) {})
-	e.lose(why)
+	e.abstainUntil = e.env.Now() + abstainFor
+	e.store.Revoke(e.leaseID, func(store.Outcome) {})
+	e.loseLeadership(reason)
 }
 
 // watch waits for a change of the election's keys.
-func (e *Elector) watch(since uint64) {
+func (e *Elector) watch(revision uint64) {
 	if e.watching || e.leading {
 		return
 	}
 	e.watching = true
-	e.store.Watch(Prefix, since, 10_000, func(o store.Outcome, a *wire.WatchAnswer) {
+	e.store.Watch(Prefix, revision, 10_000, func(outcome store.Outcome, answer *wire.WatchAnswer) {
 		e.watching = false
-		e.contact(o)
-		if o == store.OK && len(a.Events) == 0 {
-			e.watch(a.Revision)
+		e.noteResponse(outcome)
+		if outcome == store.OK && len(answer.Events) == 0 {
+			e.watch(answer.Revision)
 			return
 		}
-		if o != store.OK {
-			e.retry(pause)
+		if outcome != store.OK {
+			e.campaignAfter(retryDelay)
 			return
 		}
 		e.campaign()
@@ -296,23 +296,23 @@
 // still ours and Guard is fresh.
 func (e *Elector) VerifyLeadership(done func(ok bool)) {
 	term := e.term
-	e.store.Get(Key, func(o store.Outcome, it *wire.Item) {
-		e.contact(o)
+	e.store.Get(Key, func(outcome store.Outcome, item *wire.Item) {
+		e.noteResponse(outcome)
 		if !e.leading || e.term != term {
 			done(false)
 			return
 		}
 		var rec Record
 		switch {
-		case o == store.OK && msgpack.Unmarshal(it.Value, &rec) == nil &&
+		case outcome == store.OK && msgpack.Unmarshal(item.Value, &rec) == nil &&
 			rec.Incarnation == e.self.Incarnation && rec.Term == term:
-			e.version = it.Version
+			e.keyVersion = item.Version
 			done(true)
-		case o == store.OK, o == store.Failed:
-			e.lose("another leader")
+		case outcome == store.OK, outcome == store.Failed:
+			e.loseLeadership("another leader")
 			done(false)
 		default:
-			e.env.After(pause, func() { e.VerifyLeadership(done) })
+			e.env.After(retryDelay, func() { e.VerifyLeadership(done) })
 		}
 	})
 }
@@ -320,7 +320,7 @@
 // Fence rewrites the leader key, so that no transaction sent before can still
 // be applied. It is needed whenever a transaction's outcome is unknown.
 func (e *Elector) Fence(done func(ok bool)) {
-	term, before := e.term, e.version
+	term, versionBefore := e.term, e.keyVersion
 	if !e.leading {
 		done(false)
 		return
@@ -330,28 +330,28 @@
 	e.self.FenceCount++
 	rec.FenceCount = e.self.FenceCount
 	txn := &wire.Txn{If: []wire.Guard{e.Guard()},
-		Then: []wire.Change{{PutKey: Key, Value: wire.Encode(&rec), Lease: e.lease}}}
-	again := func() {
+		Then: []wire.Change{{PutKey: Key, Value: wire.Encode(&rec), Lease: e.leaseID}}}
+	verifyAndRetry := func() {
 		e.VerifyLeadership(func(ok bool) {
-			if ok && e.version == before {
-				e.env.After(pause, func() { e.Fence(done) })
+			if ok && e.keyVersion == versionBefore {
+				e.env.After(retryDelay, func() { e.Fence(done) })
 				return
 			}
 			done(ok)
 		})
 	}
-	e.store.Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
-		e.contact(o)
+	e.store.Txn(txn, func(outcome store.Outcome, answer *wire.TxnAnswer) {
+		e.noteResponse(outcome)
 		switch {
 		case !e.leading || e.term != term:
 			done(false)
-		case o == store.OK:
-			e.version = a.Revision
+		case outcome == store.OK:
+			e.keyVersion = answer.Revision
 			done(true)
-		case o == store.Refused:
-			e.env.After(pause, again)
+		case outcome == store.Refused:
+			e.env.After(retryDelay, verifyAndRetry)
 		default:
-			again()
+			verifyAndRetry()
 		}
 	})
 }
--- a/internal/lead/renewal.go
+++ b/internal/lead/renewal.go
@@ -21,12 +21,12 @@
 
 // Allowed reports whether a leader may renew now; informed: it has read what was committed
 // before its term.
-func (r RenewalLimits) Allowed(now, deadline clock.Micros, informed bool) bool {
-	return informed && now < deadline+r.GracePeriod()
+func (r RenewalLimits) Allowed(now, deadline clock.Micros, recordsLoaded bool) bool {
+	return recordsLoaded && now < deadline+r.GracePeriod()
 }
 
 // Outlives reports whether a lease renewed now might outlive what users were told at the given
 // time: from then on a worker that may yet start a cancelled task must not be renewed.
-func (r RenewalLimits) MayOutliveCancel(now, told clock.Micros) bool {
-	return now >= told+r.GracePeriod()
+func (r RenewalLimits) MayOutliveCancel(now, notifiedAt clock.Micros) bool {
+	return now >= notifiedAt+r.GracePeriod()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,52 +23,52 @@
 
 // Node is one running controller.
 type Node struct {
-	start time.Time
-	mu    sync.Mutex // guards queue
-	queue []func()
-	wake  chan struct{}
-	core  *controller.Core
-	state *store.HTTPClient
-	cloud *cloud.HTTPClient
-	links *peer.Links
-	work  *worker.HTTPClient
-	serve *server.Server
+	start       time.Time
+	mu          sync.Mutex // guards queue
+	queue       []func()
+	wake        chan struct{}
+	core        *controller.Core
+	stateClient *store.HTTPClient
+	cloudClient *cloud.HTTPClient
+	peerLinks   *peer.Links
+	workers     *worker.HTTPClient
+	httpServer  *server.Server
 }
 
 // Run serves until a listener fails.
 func Run(cfg *config.Config, pol *policy.Policy) error {
 	n := &Node{wake: make(chan struct{}, 1), start: time.Now()}
-	peers := map[string]string{}
+	peerAddrs := map[string]string{}
 	for _, p := range cfg.Peers {
-		peers[p.Name] = p.Addr
+		peerAddrs[p.Name] = p.Addr
 	}
-	ln, err := net.Listen("tcp4", cfg.Listen)
+	listener, err := net.Listen("tcp4", cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	peerLn, err := net.Listen("tcp4", cfg.PeerListen)
+	peerListener, err := net.Listen("tcp4", cfg.PeerListen)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	n.state = store.NewHTTPClient(cfg.Endpoints.State, n.Post)
-	n.cloud = cloud.NewHTTPClient(cfg.Endpoints.Cloud, n.Post)
-	n.links = peer.NewLinks(peers, n.Post)
-	n.work = worker.NewHTTPClient(n.Post)
-	n.serve = server.New(n, cfg.MaxClientConns())
+	n.stateClient = store.NewHTTPClient(cfg.Endpoints.State, n.Post)
+	n.cloudClient = cloud.NewHTTPClient(cfg.Endpoints.Cloud, n.Post)
+	n.peerLinks = peer.NewLinks(peerAddrs, n.Post)
+	n.workers = worker.NewHTTPClient(n.Post)
+	n.httpServer = server.New(n, cfg.MaxClientConns())
 	n.core = controller.New(n, cfg, pol, rand.Uint64())
-	failed := make(chan error, 2)
+	serveErrors := make(chan error, 2)
 	go func() {
-		failed <- peer.Serve(peerLn, func(m *peer.Msg, reply func(*peer.Msg)) {
+		serveErrors <- peer.Serve(peerListener, func(m *peer.Msg, reply func(*peer.Msg)) {
 			n.Post(func() { n.core.HandlePeerMessage(m, reply) })
 		})
 	}()
-	go func() { failed <- n.serve.Serve(ln) }()
+	go func() { serveErrors <- n.httpServer.Serve(listener) }()
 	n.Post(n.core.Start)
 	for {
 		select {
 		case <-n.wake:
 			n.drain()
-		case err := <-failed:
+		case err := <-serveErrors:
 			return err
 		}
 	}
@@ -118,19 +118,19 @@
 
 // Ask sends a message to a peer.
 func (n *Node) Call(name string, m *peer.Msg, timeout clock.Micros, done func(*peer.Msg)) {
-	n.links.Call(name, m, timeout.Duration(), done)
+	n.peerLinks.Call(name, m, timeout.Duration(), done)
 }
 
 // Order sends commands straight to a worker.
-func (n *Node) SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
-	n.work.SendOrders(addr, o, done)
+func (n *Node) SendOrders(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
+	n.workers.SendOrders(addr, orders, done)
 }
 
 // Sockets is the share of the connections for users and workers that is in use.
-func (n *Node) ConnectionUsage() float64 { return n.serve.ConnectionUsage() }
+func (n *Node) ConnectionUsage() float64 { return n.httpServer.ConnectionUsage() }
 
 // State is the state service.
-func (n *Node) State() store.Service { return n.state }
+func (n *Node) State() store.Service { return n.stateClient }
 
 // Cloud is the cloud.
-func (n *Node) Cloud() controller.Cloud { return n.cloud }
+func (n *Node) Cloud() controller.Cloud { return n.cloudClient }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,12 +15,12 @@
 // TestServes runs three controllers on real sockets against the stand-ins, with users at
 // all of them at once: what the edges share is what the race detector looks at here.
 func TestServes(t *testing.T) {
-	live, settings, err := sim.StartLoopback(3)
+	simServer, settings, err := sim.StartLoopback(3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := live.Close(); err != nil {
+		if err := simServer.Close(); err != nil {
 			t.Error(err)
 		}
 	}()
@@ -42,24 +42,24 @@
 			defer users.Done()
 			job := &wire.Job{ID: fmt.Sprintf("req-%06d", i+1), Class: "c", Team: "core", Kind: wire.KindArray,
 				Priority: "normal", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, Estimate: 0.5}
-			live.WithWorld(func(w *sim.World) { w.Rules.AddJob(job) })
+			simServer.WithWorld(func(w *sim.World) { w.Rules.AddJob(job) })
 			c := client.New(settings[i%len(settings)].Listen)
 			if _, err := c.Submit(job); err != nil {
 				t.Errorf("%s: %v", job.ID, err)
 				return
 			}
 			if i%4 == 3 {
-				live.WithWorld(func(w *sim.World) { w.Rules.CancelRequested(job.ID) })
+				simServer.WithWorld(func(w *sim.World) { w.Rules.CancelRequested(job.ID) })
 				if _, err := c.Cancel(job.ID); err != nil {
 					t.Errorf("%s: %v", job.ID, err)
 				}
 				return
 			}
-			for until := time.Now().Add(time.Minute); ; time.Sleep(50 * time.Millisecond) {
-				if st, err := c.Status(job.ID); err == nil && st.Phase == wire.PhaseDone {
+			for deadline := time.Now().Add(time.Minute); ; time.Sleep(50 * time.Millisecond) {
+				if status, err := c.Status(job.ID); err == nil && status.Phase == wire.PhaseDone {
 					return
 				}
-				if time.Now().After(until) {
+				if time.Now().After(deadline) {
 					t.Errorf("%s is not done", job.ID)
 					return
 				}
@@ -67,7 +67,7 @@
 		}()
 	}
 	users.Wait()
-	live.WithWorld(func(w *sim.World) {
+	simServer.WithWorld(func(w *sim.World) {
 		if w.Rules.CheckFinal(); len(w.Rules.Violations) > 0 {
 			t.Errorf("rules broken: %v", w.Rules.Violations)
 		}
--- a/internal/oneway/oneway.go
+++ b/internal/oneway/oneway.go
@@ -27,11 +27,11 @@
 // Detector is what is known of the way from the controllers to one machine.
 type Detector struct {
 	Partitioned      bool
-	since            Micros // when the first sign of it came, without a proof since
-	lost             bool   // its session moved since: nothing of before is on it
-	signs            Symptom
-	at               Micros // of the latest sign
-	asked            Micros // when it was last asked for a proof
+	firstSymptomAt   Micros // when the first sign of it came, without a proof since
+	sessionLost      bool   // its session moved since: nothing of before is on it
+	symptomWeight    Symptom
+	lastSymptomAt    Micros // of the latest sign
+	lastProbeAt      Micros // when it was last asked for a proof
 	unansweredProbes int    // questions without an answer, since then
 }
 
@@ -41,18 +41,18 @@
 // See notes a sign; within the span that follows another of its weight it is taken for
 // the same one, so that repeats and copies weigh nothing. It reports whether the machine
 // passes for partitioned from now on.
-func (d *Detector) RecordSymptom(s Symptom, now, span Micros) bool {
-	if s < SessionLost && d.signs > 0 && now-d.at < span {
+func (d *Detector) RecordSymptom(s Symptom, now, dedupWindow Micros) bool {
+	if s < SessionLost && d.symptomWeight > 0 && now-d.lastSymptomAt < dedupWindow {
 		return false
 	}
-	if d.signs == 0 {
-		d.since = now
+	if d.symptomWeight == 0 {
+		d.firstSymptomAt = now
 	}
-	d.signs, d.at = d.signs+s, now
+	d.symptomWeight, d.lastSymptomAt = d.symptomWeight+s, now
 	if s == SessionLost {
-		d.lost = true
+		d.sessionLost = true
 	}
-	if d.Partitioned || d.signs < partitionThreshold {
+	if d.Partitioned || d.symptomWeight < partitionThreshold {
 		return false
 	}
 	d.Partitioned, d.unansweredProbes = true, 0
@@ -60,22 +60,22 @@
 }
 
 // Suspected reports whether any sign of it was seen since the last proof.
-func (d *Detector) Suspected() bool { return d.signs > 0 }
+func (d *Detector) Suspected() bool { return d.symptomWeight > 0 }
 
 // Ask reports whether the machine should be asked for a proof now, and notes that it is:
 // soon after a sign, and ever less often while it stays silent. Whoever asks has one
 // question to a machine under way at a time.
 func (d *Detector) BeginProbe(now Micros) bool {
-	if d.signs == 0 || now-d.asked < min(2*clock.Second<<min(d.unansweredProbes, 4), 20*clock.Second) {
+	if d.symptomWeight == 0 || now-d.lastProbeAt < min(2*clock.Second<<min(d.unansweredProbes, 4), 20*clock.Second) {
 		return false
 	}
-	d.asked = now
+	d.lastProbeAt = now
 	return true
 }
 
 // Answered notes the outcome of a question: a machine that answers hears.
-func (d *Detector) RecordProbeResult(ok bool) {
-	if ok {
+func (d *Detector) RecordProbeResult(answered bool) {
+	if answered {
 		d.ConfirmReachable()
 	} else if d.Partitioned {
 		d.unansweredProbes++
@@ -87,6 +87,6 @@
 
 // Hopeless reports whether the machine should be returned: it does not answer, and what
 // ran on it is gone or will be before long, as its lease has not been renewed since.
-func (d *Detector) Unrecoverable(now, lease Micros) bool {
-	return d.Partitioned && d.unansweredProbes >= unansweredProbeLimit && (d.lost || now-d.since > lease/2)
+func (d *Detector) Unrecoverable(now, leaseDuration Micros) bool {
+	return d.Partitioned && d.unansweredProbes >= unansweredProbeLimit && (d.sessionLost || now-d.firstSymptomAt > leaseDuration/2)
 }
--- a/internal/peer/admission.go
+++ b/internal/peer/admission.go
@@ -21,7 +21,7 @@
 	for i := len(n.Refusals) - 1; i >= 0; i-- {
 		b.PrependUint32(n.Refusals[i].Hash)
 	}
-	told := b.EndVector(len(n.Refusals))
+	hashes := b.EndVector(len(n.Refusals))
 	fb.NoticeStartAsksVector(b, len(n.Refusals))
 	for i := len(n.Refusals) - 1; i >= 0; i-- {
 		fb.CreateAsk(b, n.Refusals[i].Account, n.Refusals[i].CPUs)
@@ -30,7 +30,7 @@
 	fb.NoticeStart(b)
 	fb.NoticeAddDigest(b, n.Digest)
 	fb.NoticeAddAccounts(b, accounts)
-	fb.NoticeAddTold(b, told)
+	fb.NoticeAddTold(b, hashes)
 	fb.NoticeAddAsks(b, asks)
 	return fb.NoticeEnd(b)
 }
@@ -47,12 +47,12 @@
 	}
 	var ask fb.Ask
 	for i := range checkVectorLength(t.ToldLength()) {
-		told := admit.Refusal{Hash: t.Told(i)}
+		refusal := admit.Refusal{Hash: t.Told(i)}
 		if i < t.AsksLength() { // versions before this one say nothing of it
 			t.Asks(&ask, i)
-			told.Account, told.CPUs = ask.Account(), ask.Cpus()
+			refusal.Account, refusal.CPUs = ask.Account(), ask.Cpus()
 		}
-		n.Refusals = append(n.Refusals, told)
+		n.Refusals = append(n.Refusals, refusal)
 	}
 	return n
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -13,130 +13,130 @@
 // Links talks to the other controllers: one connection to each, redialled when
 // it breaks or goes quiet, requests paired with answers by number.
 type Links struct {
-	post  func(func())
-	links map[string]*link
+	post   func(func())
+	byName map[string]*link
 }
 
 type link struct {
 	name, addr string
-	out        chan []byte
+	outgoing   chan []byte
 	mu         sync.Mutex
-	next       uint64
-	waiting    map[uint64]func(*Msg)
+	lastID     uint64
+	pending    map[uint64]func(*Msg)
 	conn       net.Conn
-	misses     int
+	timeouts   int
 }
 
 // NewLinks makes links to the peers given by name and address.
 func NewLinks(peers map[string]string, post func(func())) *Links {
-	l := &Links{post: post, links: map[string]*link{}}
+	l := &Links{post: post, byName: map[string]*link{}}
 	for name, addr := range peers {
-		k := &link{name: name, addr: addr, out: make(chan []byte, 64), waiting: map[uint64]func(*Msg){}}
-		l.links[name] = k
-		go l.run(k)
+		peerLink := &link{name: name, addr: addr, outgoing: make(chan []byte, 64), pending: map[uint64]func(*Msg){}}
+		l.byName[name] = peerLink
+		go l.run(peerLink)
 	}
 	return l
 }
 
 // Ask sends m to a peer; done gets the answer, or nil after the timeout.
 func (l *Links) Call(name string, m *Msg, timeout time.Duration, done func(*Msg)) {
-	k := l.links[name]
-	if k == nil {
+	peerLink := l.byName[name]
+	if peerLink == nil {
 		l.post(func() { done(nil) })
 		return
 	}
-	k.mu.Lock()
-	k.next++
-	id := k.next
-	k.waiting[id] = done
-	k.mu.Unlock()
+	peerLink.mu.Lock()
+	peerLink.lastID++
+	id := peerLink.lastID
+	peerLink.pending[id] = done
+	peerLink.mu.Unlock()
 	m.ID = id
 	select {
-	case k.out <- m.Encode():
+	case peerLink.outgoing <- m.Encode():
 	default: // the peer is not taking anything
 	}
 	time.AfterFunc(timeout, func() {
-		k.mu.Lock()
-		f := k.waiting[id]
-		delete(k.waiting, id)
-		if f != nil {
-			if k.misses++; k.misses >= 2 && k.conn != nil {
-				k.conn.Close() // quiet: a cut holds its packets back
+		peerLink.mu.Lock()
+		callback := peerLink.pending[id]
+		delete(peerLink.pending, id)
+		if callback != nil {
+			if peerLink.timeouts++; peerLink.timeouts >= 2 && peerLink.conn != nil {
+				peerLink.conn.Close() // quiet: a cut holds its packets back
 			}
 		}
-		k.mu.Unlock()
-		if f != nil {
-			l.post(func() { f(nil) })
+		peerLink.mu.Unlock()
+		if callback != nil {
+			l.post(func() { callback(nil) })
 		}
 	})
 }
 
-func (l *Links) run(k *link) {
+func (l *Links) run(peerLink *link) {
 	for {
-		conn, err := net.DialTimeout("tcp", k.addr, time.Second)
+		conn, err := net.DialTimeout("tcp", peerLink.addr, time.Second)
 		if err != nil {
 			time.Sleep(500 * time.Millisecond)
-			k.drain()
+			peerLink.drain()
 			continue
 		}
-		k.mu.Lock()
-		k.conn, k.misses = conn, 0
-		k.mu.Unlock()
-		broken := make(chan struct{})
+		peerLink.mu.Lock()
+		peerLink.conn, peerLink.timeouts = conn, 0
+		peerLink.mu.Unlock()
+		closed := make(chan struct{})
 		go func() {
-			l.read(k, conn)
-			close(broken)
+			l.readAnswers(peerLink, conn)
+			close(closed)
 		}()
-		k.write(conn, broken)
+		peerLink.writeFrames(conn, closed)
 		conn.Close()
-		<-broken
-		k.mu.Lock()
-		k.conn = nil
-		k.mu.Unlock()
+		<-closed
+		peerLink.mu.Lock()
+		peerLink.conn = nil
+		peerLink.mu.Unlock()
 	}
 }
 
 // drain throws away frames whose askers have given up or soon will.
-func (k *link) drain() {
+func (l *link) drain() {
 	for {
 		select {
-		case <-k.out:
+		case <-l.outgoing:
 		default:
 			return
 		}
 	}
 }
 
-func (k *link) write(conn net.Conn, broken chan struct{}) {
+func (l *link) writeFrames(conn net.Conn, closed chan struct{}) {
 	for {
 		select {
-		case frame := <-k.out:
+		case frame := <-l.outgoing:
 			conn.SetWriteDeadline(time.Now().Add(2 * time.Second))
 			if WriteFrame(conn, frame) != nil {
 				return
 			}
-		case <-broken:
+		case <-closed:
 			return
 		}
 	}
 }
 
-func (l *Links) read(k *link, conn net.Conn) {
+func (l *Links) readAnswers(peerLink *link, conn net.Conn) {
 	for {
 		m, err := ReadFrame(conn)
 		if err != nil {
 			if err != io.EOF {
-				slog.Debug("peer link", "peer", k.name, "err", err)
+				slog.Debug("peer link", "peer", peerLink.name, "err", err)
 			}
 			return
 		}
-		k.mu.Lock()
-		f := k.waiting[m.ID]
-		delete(k.waiting, m.ID)
-		k.misses = 0
-		k.mu.Unlock()
-		if f != nil {
-			l.post(func() { f(m) })
+		peerLink.mu.Lock()
+		callback := peerLink.pending[m.ID]
+		delete(peerLink.pending, m.ID)
+		peerLink.timeouts = 0
+		peerLink.mu.Unlock()
+		if callback != nil {
+			l.post(func() { callback(m) })
 		}
 	}
 }
@@ -150,15 +150,15 @@
 
 // ReadFrame reads one frame.
 func ReadFrame(r io.Reader) (*Msg, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > MaxFrameBytes {
+	length := binary.BigEndian.Uint32(header[:])
+	if length > MaxFrameBytes {
 		return nil, errInvalidFrame
 	}
-	frame := make([]byte, n)
+	frame := make([]byte, length)
 	if _, err := io.ReadFull(r, frame); err != nil {
 		return nil, err
 	}
@@ -184,9 +184,9 @@
 					}
 					return
 				}
-				handle(m, func(a *Msg) {
-					a.ID = m.ID
-					frame := a.Encode()
+				handle(m, func(answer *Msg) {
+					answer.ID = m.ID
+					frame := answer.Encode()
 					go func() { // the owner never waits for a peer's socket
 						mu.Lock()
 						defer mu.Unlock()
--- a/internal/peer/msg.go
+++ b/internal/peer/msg.go
@@ -58,7 +58,7 @@
 		body = b.CreateByteVector(m.Body)
 	}
 	notice, table := encodeNotice(b, m.AdmissionNotice), encodeAdmissionTable(b, m.AdmissionTable)
-	relayed := m.encodeRelay(b)
+	relayed := m.encodeRelayFields(b)
 	fb.MessageStart(b)
 	fb.MessageAddId(b, m.ID)
 	fb.MessageAddKind(b, m.Kind)
@@ -81,7 +81,7 @@
 	fb.MessageAddRetryAfter(b, byte(m.RetryAfter))
 	fb.MessageAddInMemory(b, m.InMemoryOnly)
 	fb.MessageAddIncarnation(b, m.Incarnation)
-	relayed.add(b)
+	relayed.addToMessage(b)
 	fb.MessageAddSockets(b, uint16(m.ConnectionUsagePermille))
 	b.Finish(fb.MessageEnd(b))
 	return b.FinishedBytes()
@@ -106,7 +106,7 @@
 		MaxFormatLevel: int(t.Speaks()), FormatLevel: int(t.Level()), RetryAfter: int(t.RetryAfter()), InMemoryOnly: t.InMemory(), Incarnation: t.Incarnation(),
 		AdmissionNotice: decodeNotice(t.Notice(nil)), AdmissionTable: decodeAdmissionTable(t.Admission(nil)), ConnectionUsagePermille: int(t.Sockets()),
 	}
-	m.decodeRelay(t)
+	m.decodeRelayFields(t)
 	if body := t.BodyBytes(); body != nil {
 		m.Body = append([]byte(nil), body...)
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -10,7 +10,7 @@
 	"lilacthread/wire/fb"
 )
 
-func sample() *Msg {
+func sampleMessage() *Msg {
 	return &Msg{ID: 7, Kind: fb.KindStatus, Node: "n", Term: 3, StateOK: true, ReportingWorkers: 2, Job: "req-000001",
 		Body: []byte{1, 2}, Code: 200, Phase: "done", Done: 4, Running: 5, MaxFormatLevel: 2, FormatLevel: 1,
 		RetryAfter: 9, InMemoryOnly: true,
@@ -26,7 +26,7 @@
 
 func TestFrame(t *testing.T) {
 	var buf bytes.Buffer
-	want := sample()
+	want := sampleMessage()
 	if err := WriteFrame(&buf, want.Encode()); err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(sample().Encode())
+	f.Add(sampleMessage().Encode())
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		if m, err := Decode(frame); err == nil && m.Kind > fb.KindResults {
 			t.Fatal("unknown kind let through")
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -18,7 +18,7 @@
 }
 
 // Size is about what it takes of a frame.
-func (r *RelayedReport) Size() int { return itemRest + len(r.Machine) + len(r.Body) }
+func (r *RelayedReport) Size() int { return itemOverhead + len(r.Machine) + len(r.Body) }
 
 // RelayedAnswer is the leader's answer to one.
 type RelayedAnswer struct {
@@ -35,7 +35,7 @@
 }
 
 // Size is about what it takes of a frame.
-func (o *Order) Size() int { return itemRest + len(o.Addr) + len(o.Body) }
+func (o *Order) Size() int { return itemOverhead + len(o.Addr) + len(o.Body) }
 
 // OrderResult is what became of one.
 type OrderResult struct {
@@ -45,19 +45,19 @@
 }
 
 // Size is about what it takes of a frame.
-func (r *OrderResult) Size() int { return itemRest + len(r.Body) }
+func (r *OrderResult) Size() int { return itemOverhead + len(r.Body) }
 
 // itemRest is more than the fixed part of an item takes of a frame.
-const itemRest = 72
+const itemOverhead = 72
 
 // vector writes the tables of a list, and the vector of their offsets.
-func vector[T any](b *flatbuffers.Builder, list []T, table func(*T) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
+func encodeVector[T any](b *flatbuffers.Builder, list []T, encodeItem func(*T) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	if list == nil {
 		return 0
 	}
 	offsets := make([]flatbuffers.UOffsetT, len(list))
 	for i := range list {
-		offsets[i] = table(&list[i])
+		offsets[i] = encodeItem(&list[i])
 	}
 	b.StartVector(flatbuffers.SizeUOffsetT, len(list), flatbuffers.SizeUOffsetT)
 	for i := len(offsets) - 1; i >= 0; i-- {
@@ -66,7 +66,7 @@
 	return b.EndVector(len(offsets))
 }
 
-func bytesOf(b *flatbuffers.Builder, body []byte) flatbuffers.UOffsetT {
+func encodeBytes(b *flatbuffers.Builder, body []byte) flatbuffers.UOffsetT {
 	if body == nil {
 		return 0
 	}
@@ -76,10 +76,10 @@
 // relayOffsets are those of what a message holds for relaying; 0: nothing.
 type relayOffsets struct{ reports, answers, orders, results, relays flatbuffers.UOffsetT }
 
-func (m *Msg) encodeRelay(b *flatbuffers.Builder) relayOffsets {
+func (m *Msg) encodeRelayFields(b *flatbuffers.Builder) relayOffsets {
 	return relayOffsets{
-		vector(b, m.RelayedReports, func(r *RelayedReport) flatbuffers.UOffsetT {
-			body, machine := bytesOf(b, r.Body), b.CreateString(r.Machine)
+		encodeVector(b, m.RelayedReports, func(r *RelayedReport) flatbuffers.UOffsetT {
+			body, machine := encodeBytes(b, r.Body), b.CreateString(r.Machine)
 			fb.ReportItemStart(b)
 			fb.ReportItemAddBody(b, body)
 			fb.ReportItemAddMachine(b, machine)
@@ -89,39 +89,39 @@
 			fb.ReportItemAddBase(b, r.BaseSeq)
 			return fb.ReportItemEnd(b)
 		}),
-		vector(b, m.ReportAnswers, func(a *RelayedAnswer) flatbuffers.UOffsetT {
-			body := bytesOf(b, a.Body)
+		encodeVector(b, m.ReportAnswers, func(a *RelayedAnswer) flatbuffers.UOffsetT {
+			body := encodeBytes(b, a.Body)
 			fb.AnswerItemStart(b)
 			fb.AnswerItemAddCode(b, uint16(a.Code))
 			fb.AnswerItemAddToken(b, a.Token)
 			fb.AnswerItemAddBody(b, body)
 			return fb.AnswerItemEnd(b)
 		}),
-		vector(b, m.Orders, func(o *Order) flatbuffers.UOffsetT {
-			addr, body := b.CreateString(o.Addr), bytesOf(b, o.Body)
+		encodeVector(b, m.Orders, func(o *Order) flatbuffers.UOffsetT {
+			addr, body := b.CreateString(o.Addr), encodeBytes(b, o.Body)
 			fb.OrderItemStart(b)
 			fb.OrderItemAddId(b, o.ID)
 			fb.OrderItemAddAddr(b, addr)
 			fb.OrderItemAddBody(b, body)
 			return fb.OrderItemEnd(b)
 		}),
-		vector(b, m.OrderResults, func(r *OrderResult) flatbuffers.UOffsetT {
-			body := bytesOf(b, r.Body)
+		encodeVector(b, m.OrderResults, func(r *OrderResult) flatbuffers.UOffsetT {
+			body := encodeBytes(b, r.Body)
 			fb.ResultItemStart(b)
 			fb.ResultItemAddId(b, r.ID)
 			fb.ResultItemAddOutcome(b, r.Outcome)
 			fb.ResultItemAddBody(b, body)
 			return fb.ResultItemEnd(b)
 		}),
-		encodeRelays(b, m.RelayTable),
+		encodeRelayTable(b, m.RelayTable),
 	}
 }
 
-func encodeRelays(b *flatbuffers.Builder, t *relay.Table) flatbuffers.UOffsetT {
+func encodeRelayTable(b *flatbuffers.Builder, t *relay.Table) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	members := vector(b, t.Members, func(name *string) flatbuffers.UOffsetT { return b.CreateString(*name) })
+	members := encodeVector(b, t.Members, func(name *string) flatbuffers.UOffsetT { return b.CreateString(*name) })
 	fb.RelaysStart(b)
 	fb.RelaysAddTerm(b, t.Term)
 	fb.RelaysAddNumber(b, t.Number)
@@ -130,7 +130,7 @@
 }
 
 // add enters what is there into the message being built.
-func (o relayOffsets) add(b *flatbuffers.Builder) {
+func (o relayOffsets) addToMessage(b *flatbuffers.Builder) {
 	fb.MessageAddRelayed(b, o.reports)
 	fb.MessageAddAnswers(b, o.answers)
 	fb.MessageAddOrders(b, o.orders)
@@ -138,7 +138,7 @@
 	fb.MessageAddRelays(b, o.relays)
 }
 
-func copied(body []byte) []byte {
+func cloneBytes(body []byte) []byte {
 	if body == nil {
 		return nil
 	}
@@ -146,27 +146,27 @@
 }
 
 // decodeRelay reads what a message holds for relaying.
-func (m *Msg) decodeRelay(t *fb.Message) {
+func (m *Msg) decodeRelayFields(t *fb.Message) {
 	var report fb.ReportItem
 	for i := range checkVectorLength(t.RelayedLength()) {
 		t.Relayed(&report, i)
-		m.RelayedReports = append(m.RelayedReports, RelayedReport{copied(report.BodyBytes()), string(report.Machine()),
+		m.RelayedReports = append(m.RelayedReports, RelayedReport{cloneBytes(report.BodyBytes()), string(report.Machine()),
 			report.Session(), report.Seq(), report.Token(), report.Base()})
 	}
 	var answer fb.AnswerItem
 	for i := range checkVectorLength(t.AnswersLength()) {
 		t.Answers(&answer, i)
-		m.ReportAnswers = append(m.ReportAnswers, RelayedAnswer{int(answer.Code()), answer.Token(), copied(answer.BodyBytes())})
+		m.ReportAnswers = append(m.ReportAnswers, RelayedAnswer{int(answer.Code()), answer.Token(), cloneBytes(answer.BodyBytes())})
 	}
 	var order fb.OrderItem
 	for i := range checkVectorLength(t.OrdersLength()) {
 		t.Orders(&order, i)
-		m.Orders = append(m.Orders, Order{order.Id(), string(order.Addr()), copied(order.BodyBytes())})
+		m.Orders = append(m.Orders, Order{order.Id(), string(order.Addr()), cloneBytes(order.BodyBytes())})
 	}
 	var result fb.ResultItem
 	for i := range checkVectorLength(t.ResultsLength()) {
 		t.Results(&result, i)
-		m.OrderResults = append(m.OrderResults, OrderResult{result.Id(), result.Outcome(), copied(result.BodyBytes())})
+		m.OrderResults = append(m.OrderResults, OrderResult{result.Id(), result.Outcome(), cloneBytes(result.BodyBytes())})
 	}
 	if r := t.Relays(nil); r != nil {
 		m.RelayTable = &relay.Table{Term: r.Term(), Number: r.Number()}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -64,11 +64,11 @@
 func Parse(programs ...Program) (*Policy, error) {
 	values := starlark.StringDict{}
 	known := map[string]bool{}
-	set := map[string]string{} // where each name was set last
-	for i, src := range append([]Program{{"default.star", defaults}}, programs...) {
-		thread := &starlark.Thread{Name: src.Name}
+	positions := map[string]string{} // where each name was set last
+	for i, program := range append([]Program{{"default.star", defaults}}, programs...) {
+		thread := &starlark.Thread{Name: program.Name}
 		thread.SetMaxExecutionSteps(1_000_000)
-		file, prog, err := starlark.SourceProgramOptions(&syntax.FileOptions{}, src.Name, src.Text, values.Has)
+		file, prog, err := starlark.SourceProgramOptions(&syntax.FileOptions{}, program.Name, program.Text, values.Has)
 		if err != nil {
 			return nil, fmt.Errorf("policy: %w", err)
 		}
@@ -77,45 +77,45 @@
 			return nil, fmt.Errorf("policy: %w", err)
 		}
 		globals.Freeze()
-		place(set, src.Name, file)
-		for k, v := range globals {
+		recordPositions(positions, program.Name, file)
+		for name, value := range globals {
 			if i == 0 {
-				known[k] = true
-			} else if _, fn := v.(starlark.Callable); !known[k] && !fn && k[0] != '_' {
-				return nil, fmt.Errorf("policy: %s: unknown setting %q; names that begin with _ are yours", cmp.Or(set[k], src.Name), k)
+				known[name] = true
+			} else if _, isFunction := value.(starlark.Callable); !known[name] && !isFunction && name[0] != '_' {
+				return nil, fmt.Errorf("policy: %s: unknown setting %q; names that begin with _ are yours", cmp.Or(positions[name], program.Name), name)
 			}
-			values[k] = v
+			values[name] = value
 		}
 	}
-	r := reader{values: values, set: set}
-	p := &Policy{
-		MaxPassDelay:        r.seconds("cycle_s", 0.01, 60),
-		Smoothing:           r.number("smoothing", 0.01, 1),
-		UsageWindow:         r.seconds("use_window_s", 1, 1e7),
-		DefaultFetchRate:    r.number("fetch_gb_per_s", 1e-4, 1e3),
-		LeaderTTL:           r.seconds("leader_ttl_s", 0.5, 60),
-		LeaseMargin:         r.seconds("margin_s", 0.1, 30),
-		IdleTimeout:         r.seconds("idle_s", 0, 1e5),
-		BootTimeoutFactor:   r.number("boot_factor", 1, 100),
-		MaxMissedReports:    r.number("silent_reports", 2, 100),
-		Headroom:            r.number("headroom", 0, 100),
-		UnhealthyFailures:   int(r.number("sick_errors", 1, 100)),
-		RentRetryDelay:      r.seconds("refused_s", 1, 3600),
-		SpotWaitThreshold:   r.seconds("spot_wait_s", 0, 3600),
-		ReplicaMoveInterval: r.seconds("move_period_s", 1, 1e7),
-		MaxDrainingShare:    r.number("emptying", 0, 1),
-		ImageLocalityWindow: r.seconds("patience_s", 0, 1e6),
-		StartWaitLimit:      r.seconds("begin_s", 0, 1e6),
+	settings := reader{values: values, positions: positions}
+	policy := &Policy{
+		MaxPassDelay:        settings.seconds("cycle_s", 0.01, 60),
+		Smoothing:           settings.number("smoothing", 0.01, 1),
+		UsageWindow:         settings.seconds("use_window_s", 1, 1e7),
+		DefaultFetchRate:    settings.number("fetch_gb_per_s", 1e-4, 1e3),
+		LeaderTTL:           settings.seconds("leader_ttl_s", 0.5, 60),
+		LeaseMargin:         settings.seconds("margin_s", 0.1, 30),
+		IdleTimeout:         settings.seconds("idle_s", 0, 1e5),
+		BootTimeoutFactor:   settings.number("boot_factor", 1, 100),
+		MaxMissedReports:    settings.number("silent_reports", 2, 100),
+		Headroom:            settings.number("headroom", 0, 100),
+		UnhealthyFailures:   int(settings.number("sick_errors", 1, 100)),
+		RentRetryDelay:      settings.seconds("refused_s", 1, 3600),
+		SpotWaitThreshold:   settings.seconds("spot_wait_s", 0, 3600),
+		ReplicaMoveInterval: settings.seconds("move_period_s", 1, 1e7),
+		MaxDrainingShare:    settings.number("emptying", 0, 1),
+		ImageLocalityWindow: settings.seconds("patience_s", 0, 1e6),
+		StartWaitLimit:      settings.seconds("begin_s", 0, 1e6),
 		Admission: admit.Settings{
-			Enabled:              r.boolean("admission"),
-			MinServedShare:       r.number("serve", 0, 1),
-			ClassMinServedShares: r.table("class_serve", 0, 1),
-			MaxQueueWait:         r.seconds("answer_s", 0.01, 4),
-			OverloadBacklog:      r.seconds("overload_s", 0, 1e6),
+			Enabled:              settings.boolean("admission"),
+			MinServedShare:       settings.number("serve", 0, 1),
+			ClassMinServedShares: settings.table("class_serve", 0, 1),
+			MaxQueueWait:         settings.seconds("answer_s", 0.01, 4),
+			OverloadBacklog:      settings.seconds("overload_s", 0, 1e6),
 		},
-		Relay: Relay{Enabled: r.boolean("relay"), MinWorkers: int(r.number("relay_workers", 1, 1e6))},
+		Relay: Relay{Enabled: settings.boolean("relay"), MinWorkers: int(settings.number("relay_workers", 1, 1e6))},
 	}
-	return p, r.err
+	return policy, settings.err
 }
 
 // Check compares what the policy says of classes with those that the settings name.
@@ -129,33 +129,33 @@
 }
 
 // place notes at which file and line a program assigns each of its names.
-func place(set map[string]string, name string, file *syntax.File) {
+func recordPositions(positions map[string]string, name string, file *syntax.File) {
 	for _, stmt := range file.Stmts {
-		if a, ok := stmt.(*syntax.AssignStmt); ok {
-			if id, ok := a.LHS.(*syntax.Ident); ok {
-				set[id.Name] = fmt.Sprintf("%s:%d", name, id.NamePos.Line)
+		if assignment, ok := stmt.(*syntax.AssignStmt); ok {
+			if identifier, ok := assignment.LHS.(*syntax.Ident); ok {
+				positions[identifier.Name] = fmt.Sprintf("%s:%d", name, identifier.NamePos.Line)
 			}
 		}
 	}
 }
 
 type reader struct {
-	values starlark.StringDict
-	set    map[string]string
-	err    error
+	values    starlark.StringDict
+	positions map[string]string
+	err       error
 }
 
 // refuse keeps the first complaint about a name, with the place where it was set.
-func (r *reader) refuse(name, format string, args ...any) {
+func (r *reader) fail(name, format string, args ...any) {
 	if r.err == nil {
-		r.err = fmt.Errorf("policy: %s: %s: %s", r.set[name], name, fmt.Sprintf(format, args...))
+		r.err = fmt.Errorf("policy: %s: %s: %s", r.positions[name], name, fmt.Sprintf(format, args...))
 	}
 }
 
 func (r *reader) number(name string, min, max float64) float64 {
 	v, ok := starlark.AsFloat(r.values[name])
 	if !ok || !(v >= min && v <= max) {
-		r.refuse(name, "%v is not between %v and %v", r.values[name], min, max)
+		r.fail(name, "%v is not between %v and %v", r.values[name], min, max)
 	}
 	return v
 }
@@ -167,7 +167,7 @@
 func (r *reader) boolean(name string) bool {
 	v, ok := r.values[name].(starlark.Bool)
 	if !ok {
-		r.refuse(name, "%v is neither True nor False", r.values[name])
+		r.fail(name, "%v is neither True nor False", r.values[name])
 	}
 	return bool(v)
 }
@@ -177,16 +177,16 @@
 	out := map[string]float64{}
 	dict, ok := r.values[name].(*starlark.Dict)
 	if !ok {
-		r.refuse(name, "%v is not a dictionary", r.values[name])
+		r.fail(name, "%v is not a dictionary", r.values[name])
 		return out
 	}
 	for _, item := range dict.Items() {
-		class, text := starlark.AsString(item[0])
-		v, num := starlark.AsFloat(item[1])
-		if !text || class == "" || !num || !(v >= min && v <= max) {
-			r.refuse(name, "%v: %v is not a class with a number between %v and %v", item[0], item[1], min, max)
+		class, isString := starlark.AsString(item[0])
+		value, isNumber := starlark.AsFloat(item[1])
+		if !isString || class == "" || !isNumber || !(value >= min && value <= max) {
+			r.fail(name, "%v: %v is not a class with a number between %v and %v", item[0], item[1], min, max)
 		}
-		out[class] = v
+		out[class] = value
 	}
 	return out
 }
--- a/internal/quota/amounts.go
+++ b/internal/quota/amounts.go
@@ -84,12 +84,12 @@
 }
 
 // share is whole*part/of, rounded down, for 0 <= part <= of.
-func mulDiv(whole, part, of int64) int64 {
-	if of == 0 {
+func mulDiv(x, numerator, denominator int64) int64 {
+	if denominator == 0 {
 		return 0
 	}
-	hi, lo := bits.Mul64(uint64(whole), uint64(part))
-	q, _ := bits.Div64(hi, lo, uint64(of))
+	hi, lo := bits.Mul64(uint64(x), uint64(numerator))
+	q, _ := bits.Div64(hi, lo, uint64(denominator))
 	return int64(q)
 }
 
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -42,11 +42,11 @@
 	return &Refusal{Malformed: true, Reason: fmt.Sprintf("quota: change."+format, args...)}
 }
 
-func refused(err error) *Refusal { return &Refusal{Reason: err.Error()} }
+func refusalFor(err error) *Refusal { return &Refusal{Reason: err.Error()} }
 
 // recent is how many changes are remembered by their ids: what is older is stale
 // by its version anyway, since each change raises that by one.
-const recent = 64
+const maxApplied = 64
 
 // Book is a tree with its version and the changes that made it.
 type VersionedTree struct {
@@ -82,7 +82,7 @@
 		return nil, 0, err
 	}
 	next = &VersionedTree{Tree: tree, Version: b.Version + 1}
-	next.Applied = append(slices.Clone(b.Applied[max(len(b.Applied)-recent+1, 0):]), AppliedChange{c.ID, next.Version})
+	next.Applied = append(slices.Clone(b.Applied[max(len(b.Applied)-maxApplied+1, 0):]), AppliedChange{c.ID, next.Version})
 	return next, next.Version, nil
 }
 
@@ -93,10 +93,10 @@
 	if c.Name == "" {
 		return malformed("name: missing")
 	}
-	sizes := c.Guarantee != nil || c.Limit != nil || c.Weight != 0
+	setsAmounts := c.Guarantee != nil || c.Limit != nil || c.Weight != 0
 	switch c.Op {
 	case OpGrant, OpShrink:
-		if !sizes {
+		if !setsAmounts {
 			return malformed("guarantee: a %s needs a guarantee, a limit or a weight", c.Op)
 		}
 		if c.Parent != "" || c.Team != "" || c.Classes != nil {
@@ -107,7 +107,7 @@
 			return malformed("limit: a new node needs a guarantee and a limit")
 		}
 	case OpRemove, OpMove:
-		if sizes || c.Team != "" || c.Classes != nil || c.Op == OpRemove && c.Parent != "" {
+		if setsAmounts || c.Team != "" || c.Classes != nil || c.Op == OpRemove && c.Parent != "" {
 			return malformed("guarantee: a %s changes no amounts", c.Op)
 		}
 	default:
@@ -122,25 +122,25 @@
 	for _, n := range t.order {
 		specs = append(specs, n.Spec)
 	}
-	at := slices.IndexFunc(specs, func(s Spec) bool { return s.Name == c.Name })
-	if at < 0 && c.Op != OpAdd {
-		return nil, refused(nodeError(c.Name, "name: there is no such node"))
+	index := slices.IndexFunc(specs, func(s Spec) bool { return s.Name == c.Name })
+	if index < 0 && c.Op != OpAdd {
+		return nil, refusalFor(nodeError(c.Name, "name: there is no such node"))
 	}
 	switch c.Op {
 	case OpGrant, OpShrink:
-		s := &specs[at]
-		for _, f := range []struct {
-			name    string
-			to, old *Resources
+		s := &specs[index]
+		for _, field := range []struct {
+			name               string
+			requested, current *Resources
 		}{{"guarantee", c.Guarantee, &s.Guarantee}, {"limit", c.Limit, &s.Limit}} {
-			if f.to == nil {
+			if field.requested == nil {
 				continue
 			}
-			less, more := f.to.Within(*f.old), f.old.Within(*f.to)
-			if c.Op == OpGrant && !more || c.Op == OpShrink && !less {
-				return nil, refused(nodeError(c.Name, "%s: a %s can't set %v to %v", f.name, c.Op, *f.old, *f.to))
+			notAbove, notBelow := field.requested.Within(*field.current), field.current.Within(*field.requested)
+			if c.Op == OpGrant && !notBelow || c.Op == OpShrink && !notAbove {
+				return nil, refusalFor(nodeError(c.Name, "%s: a %s can't set %v to %v", field.name, c.Op, *field.current, *field.requested))
 			}
-			*f.old = *f.to
+			*field.current = *field.requested
 		}
 		if c.Op == OpShrink && c.Limit != nil && c.Guarantee == nil {
 			s.Guarantee = minResources(s.Guarantee, s.Limit) // nobody is guaranteed more than the limit
@@ -154,27 +154,27 @@
 	case OpRemove:
 		n := t.nodes[c.Name]
 		if len(n.children) > 0 {
-			return nil, refused(nodeError(c.Name, "name: has children"))
+			return nil, refusalFor(nodeError(c.Name, "name: has children"))
 		}
 		if !n.held.IsZero() {
-			return nil, refused(nodeError(c.Name, "name: holds %v; shrink it to nothing first", n.held))
+			return nil, refusalFor(nodeError(c.Name, "name: holds %v; shrink it to nothing first", n.held))
 		}
-		specs = slices.Delete(specs, at, at+1)
+		specs = slices.Delete(specs, index, index+1)
 	case OpMove:
-		specs[at].Parent = c.Parent
+		specs[index].Parent = c.Parent
 	}
 	next, err := Build(specs)
 	if err != nil {
-		return nil, refused(err)
+		return nil, refusalFor(err)
 	}
 	for _, n := range t.order {
-		if m := next.nodes[n.Name]; m != nil && len(n.children) == 0 && len(m.children) == 0 {
-			next.Acquire(m, n.held)
-			next.SetDemand(m, n.demand)
+		if successor := next.nodes[n.Name]; successor != nil && len(n.children) == 0 && len(successor.children) == 0 {
+			next.Acquire(successor, n.held)
+			next.SetDemand(successor, n.demand)
 		}
 	}
-	if err := next.follows(t, c); err != nil {
-		return nil, refused(err)
+	if err := next.checkTransition(t, c); err != nil {
+		return nil, refusalFor(err)
 	}
 	return next, nil
 }
@@ -182,21 +182,21 @@
 // follows judges what Build does not: a node gives its children no more than it
 // holds, unless a shrink of its own made it so, and a subtree that moves while in
 // use fits where it goes at once.
-func (t *Tree) follows(before *Tree, c *Change) error {
+func (t *Tree) checkTransition(before *Tree, c *Change) error {
 	for _, n := range t.order {
-		over := n.excess()
-		if old := before.nodes[n.Name]; old != nil && (over.Within(old.excess()) || c.Op == OpShrink) {
+		overcommit := n.overcommit()
+		if previous := before.nodes[n.Name]; previous != nil && (overcommit.Within(previous.overcommit()) || c.Op == OpShrink) {
 			continue
 		}
-		if !over.IsZero() {
-			return nodeError(n.Name, "guarantee: its children would have %v more than it", over)
+		if !overcommit.IsZero() {
+			return nodeError(n.Name, "guarantee: its children would have %v more than it", overcommit)
 		}
 	}
 	if c.Op != OpMove && c.Op != OpAdd {
 		return nil
 	}
 	for n := t.nodes[c.Name].parent; n != nil; n = n.parent {
-		if old := before.nodes[n.Name]; n.held != old.held && !n.held.Within(maxResources(n.Limit, old.held)) {
+		if previous := before.nodes[n.Name]; n.held != previous.held && !n.held.Within(maxResources(n.Limit, previous.held)) {
 			return nodeError(n.Name, "limit: %v held by %s do not fit", t.nodes[c.Name].held, c.Name)
 		}
 	}
--- a/internal/quota/divide.go
+++ b/internal/quota/divide.go
@@ -18,80 +18,80 @@
 // weight until he has what he wants. No part exceeds its want, the parts together
 // are the smaller of the total and all wants, and what one side leaves the others
 // get. Amounts below 0 count as 0.
-func Divide(total int64, asks []Request) []int64 {
-	parts := make([]int64, len(asks))
-	var floors, wants uint64
-	for i := range asks {
-		parts[i] = min(max(asks[i].Minimum, 0), max(asks[i].Demand, 0))
-		floors += uint64(parts[i])
-		wants = sumOf(wants, uint64(max(asks[i].Demand, 0)))
+func Divide(total int64, requests []Request) []int64 {
+	shares := make([]int64, len(requests))
+	var minimums, demands uint64
+	for i := range requests {
+		shares[i] = min(max(requests[i].Minimum, 0), max(requests[i].Demand, 0))
+		minimums += uint64(shares[i])
+		demands = addSaturating(demands, uint64(max(requests[i].Demand, 0)))
 	}
 	total = max(total, 0)
-	if wants <= uint64(total) {
-		for i := range asks {
-			parts[i] = max(asks[i].Demand, 0)
+	if demands <= uint64(total) {
+		for i := range requests {
+			shares[i] = max(requests[i].Demand, 0)
 		}
-		return parts
+		return shares
 	}
-	if floors > uint64(total) {
-		left := total
-		for i := range parts {
-			hi, lo := bits.Mul64(uint64(total), uint64(parts[i]))
-			q, _ := bits.Div64(hi, lo, floors)
-			parts[i] = int64(q)
-			left -= parts[i]
+	if minimums > uint64(total) {
+		remainder := total
+		for i := range shares {
+			hi, lo := bits.Mul64(uint64(total), uint64(shares[i]))
+			q, _ := bits.Div64(hi, lo, minimums)
+			shares[i] = int64(q)
+			remainder -= shares[i]
 		}
-		spread(parts, asks, left)
-		return parts
+		distributeRemainder(shares, requests, remainder)
+		return shares
 	}
 	// The least hungry for his weight is satisfied first; what he leaves is there
 	// for all that come after.
-	order := make([]int, len(asks))
+	order := make([]int, len(requests))
 	weights := int64(0)
-	for i := range asks {
+	for i := range requests {
 		order[i] = i
-		weights += weight(asks[i])
+		weights += effectiveWeight(requests[i])
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return compareRatios(max(asks[a].Demand-parts[a], 0), weight(asks[a]), max(asks[b].Demand-parts[b], 0), weight(asks[b]))
+		return compareRatios(max(requests[a].Demand-shares[a], 0), effectiveWeight(requests[a]), max(requests[b].Demand-shares[b], 0), effectiveWeight(requests[b]))
 	})
-	left := total - int64(floors)
+	remaining := total - int64(minimums)
 	for n, i := range order {
-		w := weight(asks[i])
-		if more := max(asks[i].Demand-parts[i], 0); compareRatios(more, w, left, weights) > 0 {
-			rest := left
-			for _, k := range order[n:] {
-				got := mulDiv(left, weight(asks[k]), weights)
-				parts[k] += got
-				rest -= got
+		w := effectiveWeight(requests[i])
+		if unmet := max(requests[i].Demand-shares[i], 0); compareRatios(unmet, w, remaining, weights) > 0 {
+			remainder := remaining
+			for _, later := range order[n:] {
+				share := mulDiv(remaining, effectiveWeight(requests[later]), weights)
+				shares[later] += share
+				remainder -= share
 			}
-			spread(parts, asks, rest)
-			return parts
+			distributeRemainder(shares, requests, remainder)
+			return shares
 		} else {
-			parts[i] += more
-			left -= more
+			shares[i] += unmet
+			remaining -= unmet
 		}
 		weights -= w
 	}
-	return parts
+	return shares
 }
 
 // spread hands out the few units that rounding left.
-func spread(parts []int64, asks []Request, left int64) {
-	for i := 0; left > 0 && i < len(parts); i++ {
-		if parts[i] < asks[i].Demand {
-			parts[i]++
-			left--
+func distributeRemainder(shares []int64, requests []Request, remainder int64) {
+	for i := 0; remainder > 0 && i < len(shares); i++ {
+		if shares[i] < requests[i].Demand {
+			shares[i]++
+			remainder--
 		}
 	}
 }
 
-func weight(a Request) int64 { return min(max(a.Weight, 1), MaxRequestWeight) }
+func effectiveWeight(r Request) int64 { return min(max(r.Weight, 1), MaxRequestWeight) }
 
 // MaxAskWeight bounds a weight so that the sum over many asks is no overflow.
 const MaxRequestWeight = int64(1) << 40
 
-func sumOf(a, b uint64) uint64 {
+func addSaturating(a, b uint64) uint64 {
 	if s, over := bits.Add64(a, b, 0); over == 0 {
 		return s
 	}
--- a/internal/quota/lend.go
+++ b/internal/quota/lend.go
@@ -14,7 +14,7 @@
 
 // ask works a leaf's claim out again, and with it the claims of all above it.
 func (t *Tree) updateClaim(leaf *Node) {
-	claim := minResources(leaf.demand, leaf.spare())
+	claim := minResources(leaf.demand, leaf.unusedEntitlement())
 	for n := leaf.parent; n != nil; n = n.parent {
 		n.claim = n.claim.Sub(leaf.claim).Add(claim)
 	}
@@ -22,7 +22,9 @@
 }
 
 // spare is what a node is entitled to and does not hold.
-func (n *Node) spare() Resources { return maxResources(n.entitled.Sub(n.held), Resources{}) }
+func (n *Node) unusedEntitlement() Resources {
+	return maxResources(n.entitled.Sub(n.held), Resources{})
+}
 
 // Allows reports whether a leaf may start one more task. No node on the way up may
 // pass its limit. Where a node goes beyond its entitlement it borrows from its
@@ -46,9 +48,9 @@
 
 // fits reports whether there is room for what is needed; what is not needed at all
 // fits into a node that is over its limit.
-func (a Resources) fits(room Resources) bool {
+func (a Resources) fits(free Resources) bool {
 	for i := range numResources {
-		if x := *a.component(i); x > 0 && x > *room.component(i) {
+		if x := *a.component(i); x > 0 && x > *free.component(i) {
 			return false
 		}
 	}
@@ -101,95 +103,95 @@
 // keeps a claim from being met. Of the borrowers under the node that is short, those
 // give back first that have borrowed most for their weight.
 func (t *Tree) Reclaims() []Reclaim {
-	g := &giver{given: map[*Node]Resources{}}
+	g := &reclaimPlan{planned: map[*Node]Resources{}}
 	for i := len(t.order) - 1; i >= 0; i-- { // below first: that counts further up
 		n := t.order[i]
-		if over := maxResources(n.held.Sub(g.given[n]).Sub(n.Limit), Resources{}); !over.IsZero() {
-			g.collect(n, over, nil, Reclaim{OverLimit: true})
+		if excess := maxResources(n.held.Sub(g.planned[n]).Sub(n.Limit), Resources{}); !excess.IsZero() {
+			g.collect(n, excess, nil, Reclaim{OverLimit: true})
 		}
 	}
 	for _, leaf := range t.order {
 		if len(leaf.children) > 0 || leaf.claim.IsZero() {
 			continue
 		}
-		g.recall(leaf)
+		g.reclaimFor(leaf)
 	}
-	return g.dues
+	return g.reclaims
 }
 
 // recall takes back what keeps a leaf's claim from being met. At each node on the way
 // up that lacks room the other children give as far as the side that asks is entitled
 // to it; the rest has to come from that side itself, where somebody borrowed it.
-func (g *giver) recall(leaf *Node) {
+func (g *reclaimPlan) reclaimFor(leaf *Node) {
 	path := []*Node{leaf}
 	for n := leaf.parent; n != nil; n = n.parent {
 		path = append(path, n)
 	}
 	for i, n := range path[1:] {
-		room := n.Limit.Sub(n.held.Sub(g.given[n]))
-		lacks := perResource(func(r int) int64 {
+		free := n.Limit.Sub(n.held.Sub(g.planned[n]))
+		shortfall := perResource(func(r int) int64 {
 			if *leaf.claim.component(r) == 0 { // what it does not claim it does not lack
 				return 0
 			}
-			return max(*leaf.claim.component(r)-*room.component(r), 0)
+			return max(*leaf.claim.component(r)-*free.component(r), 0)
 		})
-		due := Reclaim{Claimant: leaf}
-		lacks = lacks.Sub(g.collect(n, minResources(lacks, path[i].spare()), path[i], due))
-		for k := i; k >= 1 && !lacks.IsZero(); k-- {
-			lacks = lacks.Sub(g.collect(path[k], lacks, path[k-1], due))
+		reclaim := Reclaim{Claimant: leaf}
+		shortfall = shortfall.Sub(g.collect(n, minResources(shortfall, path[i].unusedEntitlement()), path[i], reclaim))
+		for k := i; k >= 1 && !shortfall.IsZero(); k-- {
+			shortfall = shortfall.Sub(g.collect(path[k], shortfall, path[k-1], reclaim))
 		}
 	}
 }
 
 // giver adds up what is given back while it is being listed.
-type giver struct {
-	given map[*Node]Resources
-	dues  []Reclaim
+type reclaimPlan struct {
+	planned  map[*Node]Resources
+	reclaims []Reclaim
 }
 
 // collect takes an amount back from below n. What the child named by asks holds is
 // left alone.
-func (g *giver) collect(n *Node, amount Resources, asks *Node, due Reclaim) Resources {
+func (g *reclaimPlan) collect(n *Node, amount Resources, exclude *Node, reclaim Reclaim) Resources {
 	if len(n.children) == 0 {
-		have := g.beyond(n)
-		if due.OverLimit {
-			have = n.held.Sub(g.given[n])
+		available := g.aboveEntitlement(n)
+		if reclaim.OverLimit {
+			available = n.held.Sub(g.planned[n])
 		}
-		got := minResources(amount, have)
-		if got.IsZero() {
-			return got
+		taken := minResources(amount, available)
+		if taken.IsZero() {
+			return taken
 		}
-		due.Leaf, due.Amount = n, got
-		g.dues = append(g.dues, due)
+		reclaim.Leaf, reclaim.Amount = n, taken
+		g.reclaims = append(g.reclaims, reclaim)
 		for a := n; a != nil; a = a.parent {
-			g.given[a] = g.given[a].Add(got)
+			g.planned[a] = g.planned[a].Add(taken)
 		}
-		return got
+		return taken
 	}
-	list := slices.Clone(n.children)
-	slices.SortStableFunc(list, func(a, b *Node) int {
-		return cmp.Or(compareRatios(g.beyond(b).CPUs, b.Weight, g.beyond(a).CPUs, a.Weight), cmp.Compare(a.Name, b.Name))
+	children := slices.Clone(n.children)
+	slices.SortStableFunc(children, func(a, b *Node) int {
+		return cmp.Or(compareRatios(g.aboveEntitlement(b).CPUs, b.Weight, g.aboveEntitlement(a).CPUs, a.Weight), cmp.Compare(a.Name, b.Name))
 	})
 	var total Resources
-	from := func(c *Node, bound Resources) {
-		if ask := minResources(amount.Sub(total), bound); c != asks && !ask.IsZero() {
-			total = total.Add(g.collect(c, ask, nil, due))
+	collectFrom := func(c *Node, bound Resources) {
+		if part := minResources(amount.Sub(total), bound); c != exclude && !part.IsZero() {
+			total = total.Add(g.collect(c, part, nil, reclaim))
 		}
 	}
 	// Those beyond their entitlement give first, and no more than that; a shrink goes
 	// on with what was guaranteed.
-	for _, c := range list {
-		from(c, g.beyond(c))
+	for _, c := range children {
+		collectFrom(c, g.aboveEntitlement(c))
 	}
-	if due.OverLimit {
-		for _, c := range list {
-			from(c, amount)
+	if reclaim.OverLimit {
+		for _, c := range children {
+			collectFrom(c, amount)
 		}
 	}
 	return total
 }
 
 // beyond is what a node holds above its entitlement, less what it gives back.
-func (g *giver) beyond(n *Node) Resources {
-	return maxResources(n.held.Sub(g.given[n]).Sub(n.entitled), Resources{})
+func (g *reclaimPlan) aboveEntitlement(n *Node) Resources {
+	return maxResources(n.held.Sub(g.planned[n]).Sub(n.entitled), Resources{})
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -26,15 +26,15 @@
 // model plays a tree against a plain account of it: what each leaf holds as a list
 // of tasks, and the limits in force as the note defines them, lowered step by step.
 type model struct {
-	t     *rapid.T
-	book  *VersionedTree
-	tasks map[string][]Resources // by leaf
-	force map[string]Resources
-	next  int
+	t         *rapid.T
+	versioned *VersionedTree
+	tasks     map[string][]Resources // by leaf
+	inForce   map[string]Resources
+	changes   int
 }
 
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, tasks: map[string][]Resources{}, force: map[string]Resources{}}
+	m := &model{t: t, tasks: map[string][]Resources{}, inForce: map[string]Resources{}}
 	var specs []Spec
 	n := rapid.IntRange(1, 12).Draw(t, "nodes")
 	for i := range n {
@@ -59,16 +59,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.book = &VersionedTree{Tree: tree, Version: 1}
+	m.versioned = &VersionedTree{Tree: tree, Version: 1}
 	for _, n := range tree.Nodes() {
-		m.force[n.Name] = n.Limit
+		m.inForce[n.Name] = n.Limit
 	}
 	return m
 }
 
 func (m *model) leaf() *Node {
 	var leaves []*Node
-	for _, n := range m.book.Tree.Nodes() {
+	for _, n := range m.versioned.Tree.Nodes() {
 		if n.Team != "" {
 			leaves = append(leaves, n)
 		}
@@ -80,10 +80,10 @@
 }
 
 func (m *model) start(n *Node, need Resources) bool {
-	if !m.book.Tree.Allows(n, need) {
+	if !m.versioned.Tree.Allows(n, need) {
 		return false
 	}
-	m.book.Tree.Acquire(n, need)
+	m.versioned.Tree.Acquire(n, need)
 	m.tasks[n.Name] = append(m.tasks[n.Name], need)
 	return true
 }
@@ -91,7 +91,7 @@
 func (m *model) end(n *Node, i int) {
 	need := m.tasks[n.Name][i]
 	m.tasks[n.Name] = append(m.tasks[n.Name][:i:i], m.tasks[n.Name][i+1:]...)
-	m.book.Tree.Release(n, need)
+	m.versioned.Tree.Release(n, need)
 }
 
 // held adds up what a subtree's tasks hold, from the account alone.
@@ -108,25 +108,25 @@
 
 // check is the bound and the conservation of what is held, after every step.
 func (m *model) check() {
-	for _, n := range m.book.Tree.Nodes() {
+	for _, n := range m.versioned.Tree.Nodes() {
 		held := m.held(n)
 		if held != n.Held() {
 			m.t.Fatalf("%s holds %v by the account, %v by the tree", n.Name, held, n.Held())
 		}
-		force, known := m.force[n.Name]
-		if !known {
-			force = n.Limit
+		effective, ok := m.inForce[n.Name]
+		if !ok {
+			effective = n.Limit
 		}
 		// The limit in force rises with the one that is set, and falls to it only as
 		// tasks are proven gone.
-		force = maxResources(n.Limit, minResources(force, held))
-		if !held.Within(force) {
-			m.t.Fatalf("%s holds %v, in force is %v", n.Name, held, force)
+		effective = maxResources(n.Limit, minResources(effective, held))
+		if !held.Within(effective) {
+			m.t.Fatalf("%s holds %v, in force is %v", n.Name, held, effective)
 		}
-		if force != n.EffectiveLimit() {
-			m.t.Fatalf("%s: in force is %v by the account, %v by the tree", n.Name, force, n.EffectiveLimit())
+		if effective != n.EffectiveLimit() {
+			m.t.Fatalf("%s: in force is %v by the account, %v by the tree", n.Name, effective, n.EffectiveLimit())
 		}
-		m.force[n.Name] = force
+		m.inForce[n.Name] = effective
 		var claims Resources
 		for _, c := range n.children {
 			claims = claims.Add(c.claim)
@@ -139,10 +139,10 @@
 
 // starts tries a start. It must fit the limits in force as they are when the step
 // begins, not as it makes them.
-func (m *model) starts(n *Node, need Resources) {
+func (m *model) tryStart(n *Node, need Resources) {
 	limits := map[string]Resources{}
 	for a := n; a != nil; a = a.parent {
-		limits[a.Name] = maxResources(m.force[a.Name], a.Limit)
+		limits[a.Name] = maxResources(m.inForce[a.Name], a.Limit)
 		if !a.Held().Within(a.Limit) {
 			limits[a.Name] = a.Held() // nothing new above what is set
 		}
@@ -157,10 +157,10 @@
 }
 
 func (m *model) change() {
-	t, tree := m.t, m.book.Tree
+	t, tree := m.t, m.versioned.Tree
 	n := rapid.SampledFrom(tree.Nodes()).Draw(t, "node")
-	m.next++
-	c := &Change{ID: fmt.Sprint("c", m.next), Version: m.book.Version, Name: n.Name}
+	m.changes++
+	c := &Change{ID: fmt.Sprint("c", m.changes), Version: m.versioned.Version, Name: n.Name}
 	amount := cpus(rapid.Int64Range(0, 50).Draw(t, "amount"))
 	switch c.Op = rapid.SampledFrom([]string{OpGrant, OpShrink, OpAdd, OpRemove, OpMove}).Draw(t, "op"); c.Op {
 	case OpGrant, OpShrink:
@@ -170,7 +170,7 @@
 			c.Limit = &amount
 		}
 	case OpAdd:
-		c.Name, c.Parent = fmt.Sprint("a", m.next), n.Name
+		c.Name, c.Parent = fmt.Sprint("a", m.changes), n.Name
 		half := cpus(amount.CPUs / 2)
 		c.Limit, c.Guarantee = &amount, &half
 		c.Team = "team-" + c.Name
@@ -181,14 +181,14 @@
 	case OpMove:
 		c.Parent = rapid.SampledFrom(tree.Nodes()).Draw(t, "parent").Name
 	}
-	next, version, err := m.book.Apply(c)
+	next, version, err := m.versioned.Apply(c)
 	if err != nil {
 		return
 	}
-	if version != m.book.Version+1 || next.Version != version {
-		t.Fatalf("version %d after %d", version, m.book.Version)
+	if version != m.versioned.Version+1 || next.Version != version {
+		t.Fatalf("version %d after %d", version, m.versioned.Version)
 	}
-	m.book = next
+	m.versioned = next
 	if _, again, err := next.Apply(c); err != nil || again != version {
 		t.Fatalf("a repeated change: version %d, %v", again, err)
 	}
@@ -203,7 +203,7 @@
 // does.
 func (m *model) takeover() {
 	var specs []Spec
-	for _, n := range m.book.Tree.Nodes() {
+	for _, n := range m.versioned.Tree.Nodes() {
 		specs = append(specs, n.Spec)
 	}
 	tree, err := Build(specs)
@@ -215,18 +215,18 @@
 			tree.Acquire(tree.Node(name), need)
 		}
 	}
-	m.book = &VersionedTree{Tree: tree, Version: m.book.Version, Applied: m.book.Applied}
+	m.versioned = &VersionedTree{Tree: tree, Version: m.versioned.Version, Applied: m.versioned.Applied}
 }
 
 // TestBound plays random trees with random starts, ends, waves of lost machines,
 // changes and takeovers.
-func TestBound(t *testing.T) {
+func TestUsageWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
 				m.t = t
-				m.starts(m.leaf(), cpus(rapid.Int64Range(1, 8).Draw(t, "need")))
+				m.tryStart(m.leaf(), cpus(rapid.Int64Range(1, 8).Draw(t, "need")))
 			},
 			"end": func(t *rapid.T) {
 				m.t = t
@@ -236,7 +236,7 @@
 			},
 			"lost": func(t *rapid.T) {
 				m.t = t
-				for _, n := range m.book.Tree.Nodes() {
+				for _, n := range m.versioned.Tree.Nodes() {
 					for len(m.tasks[n.Name]) > 1 {
 						m.end(n, 0)
 					}
@@ -244,7 +244,7 @@
 			},
 			"want": func(t *rapid.T) {
 				m.t = t
-				m.book.Tree.SetDemand(m.leaf(), cpus(rapid.Int64Range(0, 30).Draw(t, "want")))
+				m.versioned.Tree.SetDemand(m.leaf(), cpus(rapid.Int64Range(0, 30).Draw(t, "want")))
 			},
 			"change":   func(t *rapid.T) { m.t = t; m.change() },
 			"takeover": func(t *rapid.T) { m.t = t; m.takeover() },
@@ -267,48 +267,48 @@
 // and waits for, no matter what the borrowers start meanwhile. Only others that are
 // entitled too may take what was given back, and so ask for another round; nobody gives
 // back what he is entitled to.
-func TestLentReturns(t *testing.T) {
+func TestReclaimMeetsClaim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
-		asks := m.leaf()
+		claimant := m.leaf()
 		var others []*Node
-		for _, n := range m.book.Tree.Nodes() {
-			if n.Team != "" && n != asks {
+		for _, n := range m.versioned.Tree.Nodes() {
+			if n.Team != "" && n != claimant {
 				others = append(others, n)
 			}
 		}
 		m.fill(others...)
 		want := rapid.Int64Range(0, 40).Draw(t, "want")
-		m.book.Tree.SetDemand(asks, cpus(want))
-		claim := asks.claim.CPUs
-		for round := 0; asks.Held().CPUs < claim; round++ {
-			dues := m.book.Tree.Reclaims()
+		m.versioned.Tree.SetDemand(claimant, cpus(want))
+		claim := claimant.claim.CPUs
+		for round := 0; claimant.Held().CPUs < claim; round++ {
+			reclaims := m.versioned.Tree.Reclaims()
 			if round > 50 {
-				if name, ok := roof(asks); ok {
-					t.Fatalf("%s claims %v and has %v after %d rounds; below %s is lent share, due %v", asks.Name, claim, asks.Held(), round, name, dues)
+				if name, ok := borrowedAbove(claimant); ok {
+					t.Fatalf("%s claims %v and has %v after %d rounds; below %s is lent share, due %v", claimant.Name, claim, claimant.Held(), round, name, reclaims)
 				}
 				return // the limits above are too low for what is guaranteed below
 			}
-			for _, d := range dues {
-				if d.OverLimit || d.Claimant != asks || d.Leaf == asks {
-					t.Fatalf("due of %s for %v, shrink %v", d.Leaf.Name, d.Claimant, d.OverLimit)
+			for _, reclaim := range reclaims {
+				if reclaim.OverLimit || reclaim.Claimant != claimant || reclaim.Leaf == claimant {
+					t.Fatalf("due of %s for %v, shrink %v", reclaim.Leaf.Name, reclaim.Claimant, reclaim.OverLimit)
 				}
-				if left := d.Leaf.Held().Sub(d.Amount); left.CPUs < d.Leaf.Entitled().CPUs {
-					t.Fatalf("%s is to give back %v of %v, though entitled to %v", d.Leaf.Name, d.Amount, d.Leaf.Held(), d.Leaf.Entitled())
+				if left := reclaim.Leaf.Held().Sub(reclaim.Amount); left.CPUs < reclaim.Leaf.Entitled().CPUs {
+					t.Fatalf("%s is to give back %v of %v, though entitled to %v", reclaim.Leaf.Name, reclaim.Amount, reclaim.Leaf.Held(), reclaim.Leaf.Entitled())
 				}
-				for range d.Amount.CPUs {
-					m.end(d.Leaf, 0)
+				for range reclaim.Amount.CPUs {
+					m.end(reclaim.Leaf, 0)
 				}
 			}
 			m.fill(others...) // borrowers try again
-			for asks.Held().CPUs < claim && m.start(asks, cpus(1)) {
-				m.book.Tree.SetDemand(asks, cpus(want-asks.Held().CPUs))
+			for claimant.Held().CPUs < claim && m.start(claimant, cpus(1)) {
+				m.versioned.Tree.SetDemand(claimant, cpus(want-claimant.Held().CPUs))
 				m.fill(others...)
 			}
 		}
-		m.book.Tree.SetDemand(asks, Resources{})
-		if dues := m.book.Tree.Reclaims(); len(dues) > 0 {
-			t.Fatalf("still due: %v of %s", dues[0].Amount, dues[0].Leaf.Name)
+		m.versioned.Tree.SetDemand(claimant, Resources{})
+		if reclaims := m.versioned.Tree.Reclaims(); len(reclaims) > 0 {
+			t.Fatalf("still due: %v of %s", reclaims[0].Amount, reclaims[0].Leaf.Name)
 		}
 	})
 }
@@ -316,7 +316,7 @@
 // roof finds a node above a leaf whose limit would allow for it and which is kept full
 // by those that are beyond their entitlement; without one, the limits themselves are
 // too low for all entitlements below them.
-func roof(leaf *Node) (string, bool) {
+func borrowedAbove(leaf *Node) (string, bool) {
 	for n := leaf.parent; n != nil; n = n.parent {
 		for _, c := range n.children {
 			if c.Held().CPUs > c.Entitled().CPUs {
@@ -328,7 +328,7 @@
 }
 
 // TestDemandServed: alone, a leaf may start until some limit on its way is reached.
-func TestDemandServed(t *testing.T) {
+func TestStartsUntilLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		n := m.leaf()
@@ -344,7 +344,7 @@
 
 // campus is a small tree for the cases below: 100 CPUs, of which north is guaranteed
 // 60, divided between ingest and transcoding of one team, and south 40.
-func campus() []Spec {
+func sampleSpecs() []Spec {
 	return []Spec{
 		{Name: "office", Guarantee: cpus(100), Limit: cpus(100), Weight: 1},
 		{Name: "north", Parent: "office", Guarantee: cpus(60), Limit: cpus(100), Weight: 3},
@@ -355,8 +355,8 @@
 }
 
 // TestRefused covers input that must not become a tree, or a change.
-func TestRefused(t *testing.T) {
-	for want, spoil := range map[string]func(s []Spec) []Spec{
+func TestInvalidInput(t *testing.T) {
+	for want, corrupt := range map[string]func(s []Spec) []Spec{
 		"north.name: stands for two nodes":                     func(s []Spec) []Spec { s[4].Name = "north"; return s },
 		"nodes[1].name: \"\"":                                  func(s []Spec) []Spec { s[1].Name = ""; return s },
 		"south.parent: there is no node \"east\"":              func(s []Spec) []Spec { s[4].Parent = "east"; return s },
@@ -371,23 +371,23 @@
 		"office.classes: without a team":                       func(s []Spec) []Spec { s[0].Classes = []string{"a"}; return s },
 		"levels deep": func(s []Spec) []Spec {
 			for i := range MaxDepth {
-				s = append(s, Spec{Name: fmt.Sprint("d", i), Parent: s[max(i+4, 5)*b2i(i > 0)].Name, Weight: 1})
+				s = append(s, Spec{Name: fmt.Sprint("d", i), Parent: s[max(i+4, 5)*boolToInt(i > 0)].Name, Weight: 1})
 			}
 			return s
 		},
 		"4097 nodes are more than 4096": func([]Spec) []Spec { return make([]Spec, MaxNodes+1) },
 	} {
-		if _, err := Build(spoil(campus())); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if _, err := Build(corrupt(sampleSpecs())); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
-	tree, err := Build(campus())
+	tree, err := Build(sampleSpecs())
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := &VersionedTree{Tree: tree, Version: 7}
+	versioned := &VersionedTree{Tree: tree, Version: 7}
 	tree.Acquire(tree.Node("south"), cpus(30))
-	few, lots := cpus(10), cpus(90)
+	low, high := cpus(10), cpus(90)
 	for want, c := range map[string]Change{
 		"change.id":                         {Version: 7, Op: OpRemove, Name: "south"},
 		"change.op":                         {ID: "1", Version: 7, Op: "lend", Name: "south"},
@@ -395,21 +395,21 @@
 		"east.name: there is no such node":  {ID: "1", Version: 7, Op: OpRemove, Name: "east"},
 		"north.name: has children":          {ID: "1", Version: 7, Op: OpRemove, Name: "north"},
 		"south.name: holds":                 {ID: "1", Version: 7, Op: OpRemove, Name: "south"},
-		"office.guarantee: its children":    {ID: "1", Version: 7, Op: OpGrant, Name: "south", Guarantee: &lots},
-		"guarantee: a grant can't set":      {ID: "1", Version: 7, Op: OpGrant, Name: "south", Guarantee: &few},
-		"guarantee: a shrink can't set":     {ID: "1", Version: 7, Op: OpShrink, Name: "south", Guarantee: &lots},
+		"office.guarantee: its children":    {ID: "1", Version: 7, Op: OpGrant, Name: "south", Guarantee: &high},
+		"guarantee: a grant can't set":      {ID: "1", Version: 7, Op: OpGrant, Name: "south", Guarantee: &low},
+		"guarantee: a shrink can't set":     {ID: "1", Version: 7, Op: OpShrink, Name: "south", Guarantee: &high},
 		"north.parent: north is below":      {ID: "1", Version: 7, Op: OpMove, Name: "north", Parent: "north"},
 		"change.guarantee: a remove":        {ID: "1", Version: 7, Op: OpRemove, Name: "south", Weight: 2},
 		"change.limit: a new node needs":    {ID: "1", Version: 7, Op: OpAdd, Name: "east"},
 		"north.guarantee: its children wou": {ID: "1", Version: 7, Op: OpMove, Name: "south", Parent: "north"},
 	} {
-		if _, _, err := book.Apply(&c); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := versioned.Apply(&c); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -419,20 +419,20 @@
 // TestShrinkInUse: what is given up belongs to nobody until tasks have left, and a
 // parent that holds less than it guaranteed shrinks its children's entitlements alike.
 func TestShrinkInUse(t *testing.T) {
-	tree, err := Build(campus())
+	tree, err := Build(sampleSpecs())
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := &VersionedTree{Tree: tree, Version: 1}
+	versioned := &VersionedTree{Tree: tree, Version: 1}
 	tree.Acquire(tree.Node("south"), cpus(40))
 	tree.Acquire(tree.Node("transcode"), cpus(50))
 	tree.Acquire(tree.Node("ingest"), cpus(10))
 	half := cpus(50)
-	book, _, refusal := book.Apply(&Change{ID: "1", Version: 1, Op: OpShrink, Name: "office", Limit: &half})
+	versioned, _, refusal := versioned.Apply(&Change{ID: "1", Version: 1, Op: OpShrink, Name: "office", Limit: &half})
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
-	tree = book.Tree
+	tree = versioned.Tree
 	office, north, south := tree.Node("office"), tree.Node("north"), tree.Node("south")
 	if office.EffectiveLimit() != cpus(100) || office.Guarantee != half || north.Entitled() != cpus(30) || south.Entitled() != cpus(20) {
 		t.Errorf("in force %v, guaranteed %v, entitled %v and %v", office.EffectiveLimit(), office.Guarantee, north.Entitled(), south.Entitled())
@@ -446,16 +446,16 @@
 	if _, ok := tree.FitsLimits(north, half); !ok {
 		t.Error("50 CPUs do not fit an office of 50, though it is only full now")
 	}
-	due := map[string]int64{}
+	reclaimed := map[string]int64{}
 	for _, d := range tree.Reclaims() {
-		if due[d.Leaf.Name] += d.Amount.CPUs; !d.OverLimit {
+		if reclaimed[d.Leaf.Name] += d.Amount.CPUs; !d.OverLimit {
 			t.Errorf("%s is to give back for %s", d.Leaf.Name, d.Claimant.Name)
 		}
 	}
 	// Beyond their entitlements, 30 and 20: north by 30, all of it transcode's, south
 	// by 20.
-	if fmt.Sprint(due) != "map[south:20 transcode:30]" {
-		t.Errorf("due: %v", due)
+	if fmt.Sprint(reclaimed) != "map[south:20 transcode:30]" {
+		t.Errorf("due: %v", reclaimed)
 	}
 	for n, name := range map[int64]string{30: "transcode", 20: "south"} {
 		if tree.Allows(tree.Node("ingest"), cpus(1)) {
@@ -469,7 +469,7 @@
 }
 
 // TestByWeight: what is lent goes to the side that has borrowed less for its weight.
-func TestByWeight(t *testing.T) {
+func TestBorrowByWeight(t *testing.T) {
 	tree, err := Build([]Spec{
 		{Name: "top", Guarantee: cpus(100), Limit: cpus(100), Weight: 1},
 		{Name: "idle", Parent: "top", Guarantee: cpus(100), Limit: cpus(100), Weight: 1, Team: "i"},
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -54,7 +54,7 @@
 type Tree struct {
 	nodes  map[string]*Node
 	order  []*Node // parents before children
-	tops   []*Node
+	roots  []*Node
 	byTeam map[string][]*Node
 }
 
@@ -68,15 +68,15 @@
 // the class or, failing that, the one of the team that names none. Nil means that
 // the tree does not bound such jobs.
 func (t *Tree) LeafFor(team, class string) *Node {
-	var rest *Node
+	var fallback *Node
 	for _, n := range t.byTeam[team] {
 		if len(n.Classes) == 0 {
-			rest = n
+			fallback = n
 		} else if slices.Contains(n.Classes, class) {
 			return n
 		}
 	}
-	return rest
+	return fallback
 }
 
 // fault names the node and the field that are wrong.
@@ -105,7 +105,7 @@
 	for _, s := range specs {
 		n := t.nodes[s.Name]
 		if s.Parent == "" {
-			t.tops = append(t.tops, n)
+			t.roots = append(t.roots, n)
 			continue
 		}
 		if n.parent = t.nodes[s.Parent]; n.parent == nil {
@@ -116,7 +116,7 @@
 		}
 		n.parent.children = append(n.parent.children, n)
 	}
-	t.order = slices.Clone(t.tops)
+	t.order = slices.Clone(t.roots)
 	for i := 0; i < len(t.order); i++ {
 		n := t.order[i]
 		if n.depth >= MaxDepth {
@@ -136,11 +136,11 @@
 		}
 	}
 	for _, s := range specs {
-		if err := t.bind(t.nodes[s.Name]); err != nil {
+		if err := t.bindTeam(t.nodes[s.Name]); err != nil {
 			return nil, err
 		}
 	}
-	t.entitle()
+	t.updateEntitlements()
 	return t, nil
 }
 
@@ -174,7 +174,7 @@
 }
 
 // bind enters a leaf under its team. No job may belong to two leaves.
-func (t *Tree) bind(n *Node) error {
+func (t *Tree) bindTeam(n *Node) error {
 	if n.Team == "" {
 		return nil
 	}
@@ -183,13 +183,13 @@
 			return nodeError(n.Name, "classes: %q is empty or stands there twice", class)
 		}
 	}
-	for _, o := range t.byTeam[n.Team] {
-		if len(n.Classes) == 0 && len(o.Classes) == 0 {
-			return nodeError(n.Name, "team: %s is bound to %s already", n.Team, o.Name)
+	for _, other := range t.byTeam[n.Team] {
+		if len(n.Classes) == 0 && len(other.Classes) == 0 {
+			return nodeError(n.Name, "team: %s is bound to %s already", n.Team, other.Name)
 		}
 		for _, class := range n.Classes {
-			if slices.Contains(o.Classes, class) {
-				return nodeError(n.Name, "classes: %s of team %s is bound to %s already", class, n.Team, o.Name)
+			if slices.Contains(other.Classes, class) {
+				return nodeError(n.Name, "classes: %s of team %s is bound to %s already", class, n.Team, other.Name)
 			}
 		}
 	}
@@ -201,20 +201,20 @@
 // holds itself; nil if there is none.
 func (t *Tree) CheckOvercommit() error {
 	for _, n := range t.order {
-		if over := n.excess(); !over.IsZero() {
-			return nodeError(n.Name, "guarantee: its children have %v more than it", over)
+		if overcommit := n.overcommit(); !overcommit.IsZero() {
+			return nodeError(n.Name, "guarantee: its children have %v more than it", overcommit)
 		}
 	}
 	return nil
 }
 
 // excess is what a node's children are guaranteed beyond what it is.
-func (n *Node) excess() Resources {
-	return maxResources(n.granted().Sub(n.Guarantee), Resources{})
+func (n *Node) overcommit() Resources {
+	return maxResources(n.childGuarantees().Sub(n.Guarantee), Resources{})
 }
 
 // granted is what a node's children are guaranteed in all.
-func (n *Node) granted() Resources {
+func (n *Node) childGuarantees() Resources {
 	var sum Resources
 	for _, c := range n.children {
 		sum = sum.Add(c.Guarantee)
@@ -225,19 +225,19 @@
 // entitle works out what each guarantee is worth. A node's own counts in full at
 // the top; below a parent that has guaranteed more than it is entitled to, the
 // children's shrink alike.
-func (t *Tree) entitle() {
-	for _, n := range t.tops {
+func (t *Tree) updateEntitlements() {
+	for _, n := range t.roots {
 		n.entitled = n.Guarantee
 	}
 	for _, n := range t.order {
-		sum := n.granted()
+		guaranteed := n.childGuarantees()
 		for _, c := range n.children {
 			c.entitled = perResource(func(i int) int64 {
-				g, all, have := *c.Guarantee.component(i), *sum.component(i), *n.entitled.component(i)
-				if all <= have {
-					return g
+				guarantee, total, available := *c.Guarantee.component(i), *guaranteed.component(i), *n.entitled.component(i)
+				if total <= available {
+					return guarantee
 				}
-				return mulDiv(have, g, all)
+				return mulDiv(available, guarantee, total)
 			})
 		}
 	}
@@ -245,12 +245,12 @@
 
 // Take adds what a task of a leaf holds, from the decision to start it on; Give
 // takes it away once the task's absence is proven.
-func (t *Tree) Acquire(leaf *Node, need Resources) { t.move(leaf, need, 1) }
+func (t *Tree) Acquire(leaf *Node, need Resources) { t.addHeld(leaf, need, 1) }
 
 // Give is the reverse of Take.
-func (t *Tree) Release(leaf *Node, need Resources) { t.move(leaf, need, -1) }
+func (t *Tree) Release(leaf *Node, need Resources) { t.addHeld(leaf, need, -1) }
 
-func (t *Tree) move(leaf *Node, need Resources, sign int64) {
+func (t *Tree) addHeld(leaf *Node, need Resources, sign int64) {
 	for n := leaf; n != nil; n = n.parent {
 		n.held = perResource(func(i int) int64 { return *n.held.component(i) + sign**need.component(i) })
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,7 +11,7 @@
 	"lilacthread/internal/clock"
 )
 
-func names(n int) []string {
+func nodeNames(n int) []string {
 	var out []string
 	for i := range n {
 		out = append(out, fmt.Sprintf("node-%d", i))
@@ -20,16 +20,16 @@
 }
 
 // TestOnlyItsPartMoves: when a member leaves, or is back, no worker of another one moves.
-func TestOnlyItsPartMoves(t *testing.T) {
+func TestOnlyWorkersOfChangedMemberMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members := names(rapid.IntRange(2, 12).Draw(t, "members"))
-		gone := rapid.SampledFrom(members).Draw(t, "gone")
+		members := nodeNames(rapid.IntRange(2, 12).Draw(t, "members"))
+		removed := rapid.SampledFrom(members).Draw(t, "gone")
 		before := Table{Members: members}
-		after := Table{Members: slices.DeleteFunc(slices.Clone(members), func(m string) bool { return m == gone })}
+		after := Table{Members: slices.DeleteFunc(slices.Clone(members), func(m string) bool { return m == removed })}
 		for i := range 300 {
 			machine := fmt.Sprintf("m-%06d", i)
 			a, b := before.RelayFor(machine), after.RelayFor(machine)
-			if a != gone && a != b {
+			if a != removed && a != b {
 				t.Fatalf("%s moves from %s to %s", machine, a, b)
 			}
 		}
@@ -38,7 +38,7 @@
 
 // TestEvenLoad: members carry about the same number of workers.
 func TestEvenLoad(t *testing.T) {
-	table, count := Table{Members: names(5)}, map[string]int{}
+	table, count := Table{Members: nodeNames(5)}, map[string]int{}
 	for i := range 3100 {
 		count[table.RelayFor(fmt.Sprintf("m-%06d", i))]++
 	}
@@ -50,14 +50,14 @@
 }
 
 // view has every candidate heard just now but for those named, which fell silent.
-func view(now Micros, silent map[string]Micros, all ...string) []Candidate {
+func candidatesSeen(now Micros, silentSince map[string]Micros, all ...string) []Candidate {
 	var out []Candidate
 	for _, name := range all {
-		heard := now
-		if at, ok := silent[name]; ok {
-			heard = at
+		lastSeen := now
+		if at, ok := silentSince[name]; ok {
+			lastSeen = at
 		}
-		out = append(out, Candidate{Name: name, LastSeen: heard})
+		out = append(out, Candidate{Name: name, LastSeen: lastSeen})
 	}
 	return out
 }
@@ -66,13 +66,13 @@
 // workers each time; one that stays away leaves, and is back after a while.
 func TestMembershipDoesNotFlap(t *testing.T) {
 	m, changes := NewMembership(1, 0), 0
-	silent := map[string]Micros{}
+	silentSince := map[string]Micros{}
 	for now := Micros(0); now < 300*clock.Second; now += clock.Second / 2 {
-		delete(silent, "node-1")
+		delete(silentSince, "node-1")
 		if now > 20*clock.Second && now/clock.Second%4 < 3 { // heard one second of four
-			silent["node-1"] = now/(4*clock.Second)*(4*clock.Second) - clock.Second
+			silentSince["node-1"] = now/(4*clock.Second)*(4*clock.Second) - clock.Second
 		}
-		if m.Update(now, "self", 100, 50, view(now, silent, names(3)...)) {
+		if m.Update(now, "self", 100, 50, candidatesSeen(now, silentSince, nodeNames(3)...)) {
 			changes++
 		}
 	}
@@ -85,12 +85,12 @@
 // too few workers.
 func TestMembersLeaveAndJoin(t *testing.T) {
 	m, now := NewMembership(1, 0), Micros(0)
-	all := names(4)
-	judge := func(workers int, change func([]Candidate)) []string {
+	all := nodeNames(4)
+	updatedMembers := func(workers int, change func([]Candidate)) []string {
 		now += 20 * clock.Second
 		for range 3 { // who joins must have been heard for a while
-			now += joinAfter
-			list := view(now, nil, all...)
+			now += joinDelay
+			list := candidatesSeen(now, nil, all...)
 			if change != nil {
 				change(list)
 			}
@@ -99,7 +99,7 @@
 		return m.Table().Members
 	}
 	steps := []struct {
-		what    string
+		name    string
 		workers int
 		change  func([]Candidate)
 		want    []string
@@ -120,15 +120,15 @@
 		{"few workers", 30, nil, nil},
 		{"more, but not enough", 45, nil, nil},
 	}
-	for _, s := range steps {
-		if got := judge(s.workers, s.change); !slices.Equal(got, s.want) {
-			t.Errorf("%s: %v, want %v", s.what, got, s.want)
+	for _, step := range steps {
+		if got := updatedMembers(step.workers, step.change); !slices.Equal(got, step.want) {
+			t.Errorf("%s: %v, want %v", step.name, got, step.want)
 		}
 	}
 }
 
 // TestBatches holds batches to their bounds, in order and without loss.
-func TestBatches(t *testing.T) {
+func TestBatcherLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBatcher[int](BatchLimits{MaxItems: 5, MaxBytes: 100, MaxInFlight: 2, MaxQueued: 20})
 		added, taken := 0, 0
--- a/internal/relay/table.go
+++ b/internal/relay/table.go
@@ -26,18 +26,18 @@
 func (t *Table) Active() bool { return len(t.Members) > 0 }
 
 // Newer reports whether the table replaces an older one.
-func (t *Table) Newer(than *Table) bool {
-	return cmp.Or(cmp.Compare(t.Term, than.Term), cmp.Compare(t.Number, than.Number)) > 0
+func (t *Table) Newer(other *Table) bool {
+	return cmp.Or(cmp.Compare(t.Term, other.Term), cmp.Compare(t.Number, other.Number)) > 0
 }
 
 // Carrier is the member that carries a worker's connection: the one with the highest
 // score, by rendezvous hashing. When a member joins or leaves, only the workers that it
 // carries move.
 func (t *Table) RelayFor(machine string) string {
-	best, most := "", uint64(0)
+	best, bestScore := "", uint64(0)
 	for _, member := range t.Members {
-		if s := score(member, machine); best == "" || s > most {
-			best, most = member, s
+		if memberScore := score(member, machine); best == "" || memberScore > bestScore {
+			best, bestScore = member, memberScore
 		}
 	}
 	return best
@@ -62,31 +62,31 @@
 // Limits of the membership.
 const (
 	// leaveAfter is how long a member may be silent: it greets every second.
-	leaveAfter = 5 * clock.Second / 2
+	leaveTimeout = 5 * clock.Second / 2
 	// joinAfter is how long a controller is heard without a gap before it joins, so that
 	// one that comes and goes does not move workers each time.
-	joinAfter = 5 * clock.Second
+	joinDelay = 5 * clock.Second
 	// joinEvery bounds how often a member joins: each moves its part of the workers.
-	joinEvery = 10 * clock.Second
+	joinInterval = 10 * clock.Second
 	// Members beyond the first share of their connections take no more workers, and do
 	// again below the second.
-	fullFrom, fullUntil = 0.75, 0.6
+	highConnectionUsage, lowConnectionUsage = 0.75, 0.6
 	// fewest is how many members there must be besides the leader for it to carry none.
-	fewest = 2
+	minMembers = 2
 )
 
 // Membership is the leader's view of who relays, in its term.
 type Membership struct {
-	table  Table
-	on     bool
-	joined Micros            // when the latest member joined
-	since  map[string]Micros // since when each candidate is heard without a gap
-	full   map[string]bool
+	table           Table
+	enabled         bool
+	lastJoinAt      Micros            // when the latest member joined
+	seenSince       map[string]Micros // since when each candidate is heard without a gap
+	connectionsFull map[string]bool
 }
 
 // NewMembership begins a term. Those who are heard then need not wait to join.
 func NewMembership(term uint64, now Micros) *Membership {
-	return &Membership{table: Table{Term: term}, joined: now - joinEvery, since: map[string]Micros{}, full: map[string]bool{}}
+	return &Membership{table: Table{Term: term}, lastJoinAt: now - joinInterval, seenSince: map[string]Micros{}, connectionsFull: map[string]bool{}}
 }
 
 // Table is the one in force.
@@ -94,15 +94,15 @@
 
 // Judge makes a new table if it has to change; it reports whether it has. workers is how
 // many there are, from how many is how many make relaying worth it.
-func (m *Membership) Update(now Micros, self string, workers, from int, candidates []Candidate) bool {
-	if workers >= from {
-		m.on = true
-	} else if workers < from*4/5 {
-		m.on = false
+func (m *Membership) Update(now Micros, self string, workers, minWorkers int, candidates []Candidate) bool {
+	if workers >= minWorkers {
+		m.enabled = true
+	} else if workers < minWorkers*4/5 {
+		m.enabled = false
 	}
 	var members []string
-	if m.on {
-		members = m.members(now, self, candidates)
+	if m.enabled {
+		members = m.selectMembers(now, self, candidates)
 	}
 	if slices.Equal(members, m.table.Members) {
 		return false
@@ -112,23 +112,23 @@
 	return true
 }
 
-func (m *Membership) members(now Micros, self string, candidates []Candidate) []string {
+func (m *Membership) selectMembers(now Micros, self string, candidates []Candidate) []string {
 	var members []string
-	first := len(m.table.Members) == 0
-	for _, c := range candidates {
-		if !m.present(c, now) {
+	tableEmpty := len(m.table.Members) == 0
+	for _, candidate := range candidates {
+		if !m.eligible(candidate, now) {
 			continue
 		}
-		known := slices.Contains(m.table.Members, c.Name)
-		if !known && !first {
-			if now-m.since[c.Name] < joinAfter || now-m.joined < joinEvery {
+		isMember := slices.Contains(m.table.Members, candidate.Name)
+		if !isMember && !tableEmpty {
+			if now-m.seenSince[candidate.Name] < joinDelay || now-m.lastJoinAt < joinInterval {
 				continue
 			}
-			m.joined = now
+			m.lastJoinAt = now
 		}
-		members = append(members, c.Name)
+		members = append(members, candidate.Name)
 	}
-	if len(members) < fewest {
+	if len(members) < minMembers {
 		if len(members) == 0 {
 			return nil // the leader alone takes the reports as ever
 		}
@@ -139,19 +139,19 @@
 }
 
 // present reports whether a candidate is heard and has connections left.
-func (m *Membership) present(c Candidate, now Micros) bool {
-	if now-c.LastSeen > leaveAfter {
-		delete(m.since, c.Name)
+func (m *Membership) eligible(c Candidate, now Micros) bool {
+	if now-c.LastSeen > leaveTimeout {
+		delete(m.seenSince, c.Name)
 		return false
 	}
-	if _, known := m.since[c.Name]; !known {
-		m.since[c.Name] = now
+	if _, known := m.seenSince[c.Name]; !known {
+		m.seenSince[c.Name] = now
 	}
 	switch {
-	case c.ConnectionUsage >= fullFrom:
-		m.full[c.Name] = true
-	case c.ConnectionUsage < fullUntil:
-		delete(m.full, c.Name)
+	case c.ConnectionUsage >= highConnectionUsage:
+		m.connectionsFull[c.Name] = true
+	case c.ConnectionUsage < lowConnectionUsage:
+		delete(m.connectionsFull, c.Name)
 	}
-	return !m.full[c.Name]
+	return !m.connectionsFull[c.Name]
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -16,13 +16,13 @@
 
 // Client calls one server.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
 // New makes a client of the server at addr (host and port).
 func New(addr string) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{
+	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 			MaxIdleConnsPerHost: 16,
@@ -36,50 +36,50 @@
 // NewOnce makes a client that uses a connection for one call only.
 func NewSingleUse(addr string) *Client {
 	c := New(addr)
-	c.http.Transport.(*http.Transport).DisableKeepAlives = true
+	c.httpClient.Transport.(*http.Transport).DisableKeepAlives = true
 	return c
 }
 
 // Close closes the connections that are not in use.
-func (c *Client) Close() { c.http.CloseIdleConnections() }
+func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
 // ErrNotSent means that no connection was made, so nothing was executed.
 var ErrNotSent = errors.New("not sent")
 
 // maxAnswer bounds answers; those of a watch have no limit of their own.
-const maxAnswer = 16 << 20
+const maxAnswerBytes = 16 << 20
 
 // Call sends in (nil: no body) and decodes the answer into out if the status
 // is 200 or 201. The status is 0 when no valid answer came.
-func (c *Client) Call(method, path string, in, out any, timeout time.Duration) (int, []byte, http.Header, error) {
+func (c *Client) Call(method, path string, message, answer any, timeout time.Duration) (int, []byte, http.Header, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var body io.Reader
-	if in != nil {
-		body = bytes.NewReader(wire.Encode(in))
+	if message != nil {
+		body = bytes.NewReader(wire.Encode(message))
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return 0, nil, nil, errors.Join(ErrNotSent, err)
 	}
 	req.Header.Set("Content-Type", "application/msgpack")
-	res, err := c.http.Do(req)
+	res, err := c.httpClient.Do(req)
 	if err != nil {
-		var op *net.OpError
-		if errors.As(err, &op) && op.Op == "dial" {
+		var opErr *net.OpError
+		if errors.As(err, &opErr) && opErr.Op == "dial" {
 			err = errors.Join(ErrNotSent, err)
 		}
 		return 0, nil, nil, err
 	}
 	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	answerBody, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	if out != nil && (res.StatusCode == http.StatusOK || res.StatusCode == http.StatusCreated) {
-		if err := wire.Decode(raw, out); err != nil {
-			return 0, raw, nil, err
+	if answer != nil && (res.StatusCode == http.StatusOK || res.StatusCode == http.StatusCreated) {
+		if err := wire.Decode(answerBody, answer); err != nil {
+			return 0, answerBody, nil, err
 		}
 	}
-	return res.StatusCode, raw, res.Header, nil
+	return res.StatusCode, answerBody, res.Header, nil
 }
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -24,7 +24,7 @@
 const ticksPerSecond = 100
 
 // usageOf reads the kernel's account of a process.
-func usageOf(pid int) (Usage, error) {
+func readUsage(pid int) (Usage, error) {
 	var u Usage
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
@@ -36,12 +36,12 @@
 	if len(fields) < 22 {
 		return u, fmt.Errorf("%s/stat: %d fields", dir, len(fields))
 	}
-	ticks := number(fields[11]) + number(fields[12])
+	ticks := parseInt(fields[11]) + parseInt(fields[12])
 	u.CPU = time.Duration(ticks) * time.Second / ticksPerSecond
-	u.Resident = residentOf(pid)
+	u.Resident = residentBytes(pid)
 	if fds, err := os.ReadDir(filepath.Join(dir, "fd")); err == nil {
 		for _, fd := range fds {
-			if to, err := os.Readlink(filepath.Join(dir, "fd", fd.Name())); err == nil && strings.HasPrefix(to, "socket:") {
+			if target, err := os.Readlink(filepath.Join(dir, "fd", fd.Name())); err == nil && strings.HasPrefix(target, "socket:") {
 				u.Sockets++
 			}
 		}
@@ -50,7 +50,7 @@
 		for line := range strings.Lines(string(io)) {
 			name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
 			if name == "rchar" || name == "wchar" {
-				u.IOBytes += number(value)
+				u.IOBytes += parseInt(value)
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 	for _, name := range threads {
 		if raw, err := os.ReadFile(name); err == nil {
 			if parts := bytes.Fields(raw); len(parts) == 3 {
-				u.CPUWait += time.Duration(number(string(parts[1])))
+				u.CPUWait += time.Duration(parseInt(string(parts[1])))
 			}
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // residentOf is what a process holds of the memory; 0 of one that has just ended.
-func residentOf(pid int) int64 {
+func residentBytes(pid int) int64 {
 	raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "statm"))
 	if err != nil {
 		return 0
@@ -75,26 +75,26 @@
 	if len(fields) < 2 {
 		return 0
 	}
-	return number(fields[1]) * int64(os.Getpagesize())
+	return parseInt(fields[1]) * int64(os.Getpagesize())
 }
 
 // number reads a whole number of a line of the kernel's; 0 if it is none.
-func number(text string) int64 {
+func parseInt(text string) int64 {
 	n, _ := strconv.ParseInt(text, 10, 64)
 	return n
 }
 
 // checkMachine refuses a run for which the machine's memory or this process's sockets
 // would not do.
-func (s *Scenario) checkMachine() error {
+func (s *Scenario) checkHost() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	if need := uint64(s.Workers*socketsPerWorker + socketsBeside); need > limit.Cur {
+	if need := uint64(s.Workers*workerSockets + otherSockets); need > limit.Cur {
 		return fmt.Errorf("%d workers need %d open files, this process may have %d (ulimit -n)", s.Workers, need, limit.Cur)
 	}
-	if need := int64(s.Workers)*memoryPerWorker + int64(s.Controllers)*int64(s.MemoryMB)<<20; need > totalMemory()/2 {
+	if need := int64(s.Workers)*workerBytes + int64(s.Controllers)*int64(s.MemoryMB)<<20; need > totalMemory()/2 {
 		return fmt.Errorf("%d workers and %d controllers need up to %d MB, half of this machine's memory is %d MB",
 			s.Workers, s.Controllers, need>>20, totalMemory()>>21)
 	}
@@ -102,9 +102,9 @@
 }
 
 const (
-	socketsPerWorker = 4 // a listener, a connection to a controller, orders
-	socketsBeside    = 1000
-	memoryPerWorker  = 300 << 10 // of a hollow one, measured with room to spare
+	workerSockets = 4 // a listener, a connection to a controller, orders
+	otherSockets  = 1000
+	workerBytes   = 300 << 10 // of a hollow one, measured with room to spare
 )
 
 // memory is the machine's, in bytes.
--- a/internal/sched/booking.go
+++ b/internal/sched/booking.go
@@ -24,9 +24,9 @@
 
 // booking is room that a machine keeps for a task, from when it will have it.
 type reservation struct {
-	job  *Job
-	need Resources
-	at   Micros
+	job         *Job
+	need        Resources
+	availableAt Micros
 }
 
 // ending is room that is freed at an instant.
@@ -38,37 +38,37 @@
 const (
 	// bookAfter is how long a job of any urgency waits before it books: the largest of a
 	// class are to begin within a few minutes, however much small work there is.
-	bookAfter = 60 * clock.Second
+	reserveAfter = 60 * clock.Second
 	// mostBooked and mostOfJob bound what one pass books, in tasks: far more than a fleet
 	// frees between two passes, and little enough to be cheap.
-	mostBooked = 128
-	mostOfJob  = 64
+	maxReservedTasks       = 128
+	maxReservedTasksPerJob = 64
 	// yieldFor is how long a job leaves room that it could use to those before it: none is to
 	// wait 90 s while a machine has room, and a booked one may be due only when hours of work
 	// elsewhere have ended (scenario gang_books_room).
-	yieldFor = 75 * clock.Second
+	maxDeferral = 75 * clock.Second
 	// yieldPause is how long it may find no such room in between.
-	yieldPause = 10 * clock.Second
+	maxDeferralGap = 10 * clock.Second
 	// mostOfArray is what an array books at once: its tasks need not begin together.
-	mostOfArray = 4
+	maxReservedArrayTasks = 4
 )
 
 // bulky reports whether one task's end may not make room for the job.
-func (j *Job) bulky() bool { return j.Gang() || j.large }
+func (j *Job) needsReservation() bool { return j.Gang() || j.largeTask }
 
 // toBook is for how many of its tasks the job wants room.
-func (j *Job) toBook() int {
+func (j *Job) tasksToReserve() int {
 	if j.Gang() {
 		return len(j.Queue)
 	}
-	return min(len(j.Queue), mostOfArray)
+	return min(len(j.Queue), maxReservedArrayTasks)
 }
 
 // books reports whether the job may book machines.
-func (p *pass) books(j *Job) bool {
-	n := j.toBook()
-	return j.bulky() && n > 0 && n <= mostOfJob && p.reservedTasks+n <= mostBooked &&
-		(j.urgency(p.Now) <= mustStartNow || p.Now-j.ReadyAt > bookAfter)
+func (p *pass) mayReserve(j *Job) bool {
+	n := j.tasksToReserve()
+	return j.needsReservation() && n > 0 && n <= maxReservedTasksPerJob && p.reservedTasks+n <= maxReservedTasks &&
+		(j.urgency(p.Now) <= mustStartNow || p.Now-j.ReadyAt > reserveAfter)
 }
 
 // rebook makes the bookings of the pass before again, before anything is placed.
@@ -104,7 +104,7 @@
 // book keeps room for all tasks of a gang or for none, and for the next few of an array. What
 // a job keeps already stands.
 func (p *pass) reserve(j *Job) {
-	if j.reserved || !p.books(j) {
+	if j.reserved || !p.mayReserve(j) {
 		return
 	}
 	j.reservedMachines = j.reservedMachines[:0]
@@ -116,16 +116,16 @@
 	if j.Spec.OneZone {
 		zones = p.allZones()
 	}
-	need, done := j.Need(), clock.Forever
+	need, readyAt := j.Need(), clock.Forever
 	var best []int
-	var bestAt []Micros
+	var bestAvailableAt []Micros
 	for _, zone := range zones {
-		if picks, at := p.bookings(j, zone); picks != nil && slices.Max(at) < done {
-			best, bestAt, done = picks, at, slices.Max(at)
+		if picks, at := p.pickReservations(j, zone); picks != nil && slices.Max(at) < readyAt {
+			best, bestAvailableAt, readyAt = picks, at, slices.Max(at)
 		}
 	}
 	for k, i := range best {
-		p.reservations[i] = append(p.reservations[i], reservation{j, need, bestAt[k]})
+		p.reservations[i] = append(p.reservations[i], reservation{j, need, bestAvailableAt[k]})
 		j.reserved, j.reservedMachines = true, append(j.reservedMachines, i)
 		p.reservedTasks++
 	}
@@ -133,8 +133,8 @@
 
 // candidate is a machine and when it will have the room for a task.
 type candidate struct {
-	i  int
-	at Micros
+	machine     int
+	availableAt Micros
 }
 
 // shape is what of a job decides which machines may take its tasks, and when.
@@ -150,7 +150,7 @@
 
 func (c candidates) Len() int { return len(c) }
 func (c candidates) Less(x, y int) bool {
-	return c[x].at < c[y].at || c[x].at == c[y].at && c[x].i < c[y].i
+	return c[x].availableAt < c[y].availableAt || c[x].availableAt == c[y].availableAt && c[x].machine < c[y].machine
 }
 func (c candidates) Swap(x, y int) { c[x], c[y] = c[y], c[x] }
 func (c *candidates) Push(x any)   { *c = append(*c, x.(candidate)) }
@@ -160,7 +160,7 @@
 	return last
 }
 
-func (p *pass) shapeOf(j *Job, zone string) requirements {
+func (p *pass) requirementsOf(j *Job, zone string) requirements {
 	return requirements{j.Need(), j.Spec.Spot, j.Spec.Zone + "/" + zone, strings.Join(j.Spec.Types, "/")}
 }
 
@@ -168,63 +168,63 @@
 // Jobs of one shape share them through the pass, so that many of them cost little more
 // than one.
 func (p *pass) candidatesFor(j *Job, zone string) *candidates {
-	key := p.shapeOf(j, zone)
-	if c := p.candidatesByRequirements[key]; c != nil {
-		return c
+	key := p.requirementsOf(j, zone)
+	if list := p.candidatesByRequirements[key]; list != nil {
+		return list
 	}
-	c := new(candidates)
+	list := new(candidates)
 	for i, m := range p.usableMachines {
 		if zone != "" && m.Zone != zone || m.Errors > 0 || !p.allowed(j, m) {
 			continue
 		}
-		if t := p.roomAt(i, key.need); t < clock.Forever {
-			*c = append(*c, candidate{i, t})
+		if t := p.roomAvailableAt(i, key.need); t < clock.Forever {
+			*list = append(*list, candidate{i, t})
 		}
 	}
-	heap.Init(c)
-	p.candidatesByRequirements[key] = c
-	return c
+	heap.Init(list)
+	p.candidatesByRequirements[key] = list
+	return list
 }
 
 // bookings picks a machine for each task of j, and tells when it will have the room.
-func (p *pass) bookings(j *Job, zone string) (picks []int, at []Micros) {
+func (p *pass) pickReservations(j *Job, zone string) (picks []int, availableAt []Micros) {
 	need, list := j.Need(), p.candidatesFor(j, zone)
-	held, mine := j.PlacementsByZone(nil), map[int]Resources{}
-	var aside candidates
-	for len(picks) < j.toBook() && len(*list) > 0 {
+	placedByZone, ownReserved := j.PlacementsByZone(nil), map[int]Resources{}
+	var skipped candidates
+	for len(picks) < j.tasksToReserve() && len(*list) > 0 {
 		c := heap.Pop(list).(candidate)
-		if !ZoneAllows(j, held, p.usableMachines[c.i].Zone) {
-			aside = append(aside, c)
+		if !ZoneAllows(j, placedByZone, p.usableMachines[c.machine].Zone) {
+			skipped = append(skipped, c)
 			continue
 		}
-		if now := p.roomAt(c.i, need.Add(mine[c.i])); now > c.at {
-			if now < clock.Forever {
-				heap.Push(list, candidate{c.i, now})
+		if roomAt := p.roomAvailableAt(c.machine, need.Add(ownReserved[c.machine])); roomAt > c.availableAt {
+			if roomAt < clock.Forever {
+				heap.Push(list, candidate{c.machine, roomAt})
 			} else {
-				aside = append(aside, c)
+				skipped = append(skipped, c)
 			}
 			continue
 		}
-		picks, at = append(picks, c.i), append(at, c.at)
-		mine[c.i] = mine[c.i].Add(need)
-		if held != nil {
-			held[p.usableMachines[c.i].Zone]++
+		picks, availableAt = append(picks, c.machine), append(availableAt, c.availableAt)
+		ownReserved[c.machine] = ownReserved[c.machine].Add(need)
+		if placedByZone != nil {
+			placedByZone[p.usableMachines[c.machine].Zone]++
 		}
 		heap.Push(list, c)
 	}
-	for _, c := range aside {
+	for _, c := range skipped {
 		heap.Push(list, c)
 	}
-	if len(picks) == 0 || j.Gang() && len(picks) < j.toBook() {
-		delete(p.candidatesByRequirements, p.shapeOf(j, zone)) // what was tried is in its times
+	if len(picks) == 0 || j.Gang() && len(picks) < j.tasksToReserve() {
+		delete(p.candidatesByRequirements, p.requirementsOf(j, zone)) // what was tried is in its times
 		return nil, nil
 	}
-	return picks, at
+	return picks, availableAt
 }
 
 // endings lists what the machine's tasks will free, by time. Services end when their users
 // say so.
-func (p *pass) endings(i int) []expectedRelease {
+func (p *pass) releasesOn(i int) []expectedRelease {
 	if p.expectedReleases[i] != nil {
 		return p.expectedReleases[i]
 	}
@@ -234,7 +234,7 @@
 		if pl.Exited || pl.Job == nil || pl.Job.Service() && !pl.Stopping {
 			continue
 		}
-		end := p.Now + clock.FromSeconds(p.delayOf(pl)) + pl.RemainingTime()
+		end := p.Now + clock.FromSeconds(p.remainingFetchDelay(pl)) + pl.RemainingTime()
 		switch {
 		case pl.Stopping:
 			end = p.Now + clock.FromSeconds(pl.Grace)
@@ -251,7 +251,7 @@
 }
 
 // delayOf is how long a placed task that does not run yet may still fetch.
-func (p *pass) delayOf(pl *Placement) float64 {
+func (p *pass) remainingFetchDelay(pl *Placement) float64 {
 	if pl.SentAt == 0 {
 		return pl.FetchDelay
 	}
@@ -259,7 +259,7 @@
 }
 
 // roomAt is when a machine will have the room for a need beside what is booked there.
-func (p *pass) roomAt(i int, need Resources) Micros {
+func (p *pass) roomAvailableAt(i int, need Resources) Micros {
 	room := p.available[i]
 	for _, b := range p.reservations[i] {
 		room = room.Sub(b.need)
@@ -267,7 +267,7 @@
 	if need.Fits(room) {
 		return p.Now
 	}
-	for _, e := range p.endings(i) {
+	for _, e := range p.releasesOn(i) {
 		if room = room.Add(e.need); need.Fits(room) {
 			return e.at
 		}
@@ -278,34 +278,34 @@
 // barred reports whether a task of j, placed on a machine now, would take room that is
 // kept for a job before it, and j is to leave it that.
 func (p *pass) blockedByReservation(j *Job, i int, delay float64) bool {
-	if !p.keptFrom(j, i, delay) {
+	if !p.takesReservedRoom(j, i, delay) {
 		return false
 	}
-	if p.Now-j.lastDeferred > yieldPause {
+	if p.Now-j.lastDeferred > maxDeferralGap {
 		j.deferringSince = p.Now
 	}
 	j.lastDeferred = p.Now
-	return p.Now-j.deferringSince < yieldFor
+	return p.Now-j.deferringSince < maxDeferral
 }
 
 // keptFrom reports whether the room that a task of j would take, placed on a machine now, is kept
 // for a job before it.
-func (p *pass) keptFrom(j *Job, i int, delay float64) bool {
+func (p *pass) takesReservedRoom(j *Job, i int, delay float64) bool {
 	if p.reservedTasks == 0 || len(p.reservations[i]) == 0 || j.Priority == wire.PriorityProduction {
 		return false
 	}
-	room, from, until := p.available[i], Micros(0), clock.Forever
+	room, latest, earliest := p.available[i], Micros(0), clock.Forever
 	for _, b := range p.reservations[i] {
 		if b.job != j && b.job.passPosition < j.passPosition {
 			room = room.Sub(b.need)
-			from, until = max(from, b.at), min(until, b.at)
+			latest, earliest = max(latest, b.availableAt), min(earliest, b.availableAt)
 		}
 	}
-	if until == clock.Forever || p.Now+clock.FromSeconds(delay)+j.Estimate <= until {
+	if earliest == clock.Forever || p.Now+clock.FromSeconds(delay)+j.Estimate <= earliest {
 		return false // nothing is kept from it, or it ends before
 	}
-	for _, e := range p.endings(i) {
-		if e.at <= from {
+	for _, e := range p.releasesOn(i) {
+		if e.at <= latest {
 			room = room.Add(e.need)
 		}
 	}
--- a/internal/sched/booking_test.go
+++ b/internal/sched/booking_test.go
@@ -29,14 +29,14 @@
 }
 
 // world lets small tasks come for ever and end one after the other, with one pass a second.
-func whenBegun(t *testing.T, machines int, waiting []*Job, limit Micros) map[string]Micros {
+func beginTimes(t *testing.T, machines int, waiting []*Job, limit Micros) map[string]Micros {
 	t.Helper()
 	var fleet []*Machine
 	for i := range machines {
 		fleet = append(fleet, newAcceleratorMachine(i))
 	}
-	teams, attempts, begun := map[string]*Team{"t": {Name: "t"}}, uint64(0), map[string]Micros{}
-	var small []*Job
+	teams, attempts, beginAt := map[string]*Team{"t": {Name: "t"}}, uint64(0), map[string]Micros{}
+	var smallJobs []*Job
 	for now := clock.Second; now < limit; now += clock.Second {
 		for _, m := range fleet {
 			m.LastReportAt = now
@@ -54,9 +54,9 @@
 			}
 		}
 		if n := int(now / clock.Second); n%2 == 0 {
-			small = append(small, newAcceleratorJob(fmt.Sprintf("s-%04d", n), wire.KindArray, 3, 1, Micros(n), 7+Micros(n%5)))
+			smallJobs = append(smallJobs, newAcceleratorJob(fmt.Sprintf("s-%04d", n), wire.KindArray, 3, 1, Micros(n), 7+Micros(n%5)))
 		}
-		jobs := slices.Clone(small)
+		jobs := slices.Clone(smallJobs)
 		for _, j := range waiting {
 			if j.ReadyAt <= now {
 				jobs = append(jobs, j)
@@ -65,12 +65,12 @@
 		Plan(&Input{Now: now, MaxReportAge: 60 * clock.Second, Jobs: jobs, Machines: fleet, Teams: teams, FetchRates: map[string]float64{"g": 1},
 			NextAttempt: func() uint64 { attempts++; return attempts }, MaxTasksPerMachine: 100, ImageLocalityWindow: 60 * clock.Second})
 		for _, j := range waiting {
-			if begun[j.ID] == 0 && j.PlacedCount > 0 {
-				begun[j.ID] = now
+			if beginAt[j.ID] == 0 && j.PlacedCount > 0 {
+				beginAt[j.ID] = now
 			}
 		}
 	}
-	return begun
+	return beginAt
 }
 
 // TestLargeJobsBegin guards against large work that never finds room: each accelerator
@@ -79,10 +79,10 @@
 	gang := newAcceleratorJob("gang", wire.KindGang, 4, 4, 20, 30)
 	whole := newAcceleratorJob("whole", wire.KindArray, 1, 4, 20, 30)
 	second := newAcceleratorJob("second", wire.KindGang, 4, 4, 21, 30)
-	begun := whenBegun(t, 4, []*Job{gang, whole, second}, 300*clock.Second)
-	for id, most := range map[string]Micros{"gang": 120, "whole": 180, "second": 240} {
-		if at := begun[id] / clock.Second; at == 0 || at > most {
-			t.Errorf("%s began at %d s, want at most %d", id, at, most)
+	beginAt := beginTimes(t, 4, []*Job{gang, whole, second}, 300*clock.Second)
+	for id, limit := range map[string]Micros{"gang": 120, "whole": 180, "second": 240} {
+		if at := beginAt[id] / clock.Second; at == 0 || at > limit {
+			t.Errorf("%s began at %d s, want at most %d", id, at, limit)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		m := newAcceleratorMachine(0)
 		running := newAcceleratorJob("running", wire.KindArray, 1, 3, 0, 50)
 		large := newAcceleratorJob("large", wire.KindGang, 1, 4, 0, 50)
-		late := newAcceleratorJob("late", wire.KindArray, 1, float64(c.gpus), 99, c.estimate)
+		backfill := newAcceleratorJob("late", wire.KindArray, 1, float64(c.gpus), 99, c.estimate)
 		teams := map[string]*Team{"t": {Name: "t"}}
 		in := &Input{Now: 100 * clock.Second, MaxReportAge: 60 * clock.Second, Jobs: []*Job{running}, Machines: []*Machine{m}, Teams: teams,
 			FetchRates: map[string]float64{"g": 1}, NextAttempt: func() uint64 { return 1 }, MaxTasksPerMachine: 100}
@@ -109,16 +109,16 @@
 		for _, p := range m.Placements {
 			p.RunningSince, p.SentAt = in.Now, in.Now
 		}
-		in.Jobs = []*Job{large, late}
+		in.Jobs = []*Job{large, backfill}
 		Plan(in)
-		if got := late.PlacedCount == 1; got != c.placed || !large.reserved {
+		if got := backfill.PlacedCount == 1; got != c.placed || !large.reserved {
 			t.Errorf("%s: placed %v, booked %v", name, got, large.reserved)
 		}
 	}
 }
 
 // crowded is a full fleet with accelerators, and gangs and arrays that wait.
-func crowded(machines int) *Input {
+func fullFleetInput(machines int) *Input {
 	in := &Input{Now: 1000 * clock.Second, MaxReportAge: 60 * clock.Second, Teams: map[string]*Team{"t": {Name: "t"}}, FetchRates: map[string]float64{"g": 0.5},
 		MaxTasksPerMachine: 1000, ImageLocalityWindow: 60 * clock.Second}
 	attempts := uint64(0)
@@ -154,12 +154,12 @@
 // and under overload.
 func BenchmarkCrowded(b *testing.B) {
 	for _, n := range []int{900, 1800, 2700} {
-		for _, over := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d-%v", n, over), func(b *testing.B) {
-				in := crowded(n)
-				if over {
-					due := &FairShare{Share: 1e9}
-					in.FairShare = func(*Job) *FairShare { return due }
+		for _, overloaded := range []bool{false, true} {
+			b.Run(fmt.Sprintf("%d-%v", n, overloaded), func(b *testing.B) {
+				in := fullFleetInput(n)
+				if overloaded {
+					fairShare := &FairShare{Share: 1e9}
+					in.FairShare = func(*Job) *FairShare { return fairShare }
 				}
 				Plan(in)
 				for b.Loop() {
--- a/internal/sched/dominant_test.go
+++ b/internal/sched/dominant_test.go
@@ -20,7 +20,7 @@
 			t.Fatalf("%v counts as %v, room as %v", n, n.DominantCPUs(&plain), n.RemainingCPUs(&plain))
 		}
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 8), 1, 12).Draw(t, "sizes")
-		place := func(gpus float64) []string {
+		placements := func(gpus float64) []string {
 			typ := plain
 			typ.GPUs = gpus
 			in := &Input{Now: 1, MaxReportAge: 10, Teams: map[string]*Team{"t": {Name: "t"}}, FetchRates: map[string]float64{"g": 1}, MaxTasksPerMachine: 100,
@@ -48,7 +48,7 @@
 			}
 			return out
 		}
-		if without, with := place(0), place(4); !slices.Equal(without, with) {
+		if without, with := placements(0), placements(4); !slices.Equal(without, with) {
 			t.Fatalf("without accelerators %v, with %v", without, with)
 		}
 	})
--- a/internal/sched/graph.go
+++ b/internal/sched/graph.go
@@ -27,59 +27,59 @@
 
 // Link notes that j needs n. Whether it still waits for it is for the caller to
 // say, in Blocked.
-func AddDependency(j, n *Job) {
-	j.Dependencies, n.DirectDependents = append(j.Dependencies, n), append(n.DirectDependents, j)
-	j.startFrom(n.PipelineStart)
-	n.inherit()
+func AddDependency(j, dependency *Job) {
+	j.Dependencies, dependency.DirectDependents = append(j.Dependencies, dependency), append(dependency.DirectDependents, j)
+	j.propagatePipelineStart(dependency.PipelineStart)
+	dependency.recomputeInherited()
 }
 
 // Unlink forgets what j needs, once it is ready or over, and returns that.
 func RemoveDependencies(j *Job) []*Job {
-	before := j.Dependencies
+	dependencies := j.Dependencies
 	j.Dependencies = nil
-	for _, n := range before {
-		n.DirectDependents = slices.DeleteFunc(n.DirectDependents, func(o *Job) bool { return o == j })
-		n.inherit()
+	for _, dependency := range dependencies {
+		dependency.DirectDependents = slices.DeleteFunc(dependency.DirectDependents, func(o *Job) bool { return o == j })
+		dependency.recomputeInherited()
 	}
-	return before
+	return dependencies
 }
 
 // startFrom hands an earlier start on to all that need j.
-func (j *Job) startFrom(start Micros) {
+func (j *Job) propagatePipelineStart(start Micros) {
 	if start >= j.PipelineStart {
 		return
 	}
 	j.PipelineStart = start
 	for _, d := range j.DirectDependents {
-		d.startFrom(start)
+		d.propagatePipelineStart(start)
 	}
 }
 
 // inherit works out again what the jobs that need j ask of it, and if that
 // changed, the same for what j itself needs.
-func (j *Job) inherit() {
-	tail, deadline, priority := Micros(0), j.ownDeadline(), wire.PriorityOf(j.Spec.Priority)
+func (j *Job) recomputeInherited() {
+	dependentsRank, deadline, priority := Micros(0), j.ownDeadline(), wire.PriorityOf(j.Spec.Priority)
 	for _, d := range j.DirectDependents {
-		tail = max(tail, d.UpwardRank())
+		dependentsRank = max(dependentsRank, d.UpwardRank())
 		priority = max(priority, d.Priority)
 		if d.Deadline < clock.Forever {
 			deadline = min(deadline, d.Deadline-d.Estimate)
 		}
 	}
-	if tail == j.dependentsRank && deadline == j.Deadline && priority == j.Priority {
+	if dependentsRank == j.dependentsRank && deadline == j.Deadline && priority == j.Priority {
 		return
 	}
-	j.dependentsRank, j.Deadline = tail, deadline
+	j.dependentsRank, j.Deadline = dependentsRank, deadline
 	if priority != j.Priority {
 		j.Priority = priority
 		for i := range j.Tasks { // what runs already is protected as well
-			if p := j.Tasks[i].Placement; p != nil {
-				p.setPriority(priority)
+			if pl := j.Tasks[i].Placement; pl != nil {
+				pl.setPriority(priority)
 			}
 		}
 	}
-	for _, n := range j.Dependencies {
-		n.inherit()
+	for _, dependency := range j.Dependencies {
+		dependency.recomputeInherited()
 	}
 }
 
@@ -92,13 +92,13 @@
 }
 
 // setPriority keeps the machine's sum of production work right.
-func (p *Placement) setPriority(priority int) {
-	if !p.Exited {
-		p.Machine.adjustAllocated(p, -1)
+func (pl *Placement) setPriority(priority int) {
+	if !pl.Exited {
+		pl.Machine.adjustAllocated(pl, -1)
 	}
-	p.Priority = priority
-	if !p.Exited {
-		p.Machine.adjustAllocated(p, 1)
+	pl.Priority = priority
+	if !pl.Exited {
+		pl.Machine.adjustAllocated(pl, 1)
 	}
 }
 
--- a/internal/sched/graph_test.go
+++ b/internal/sched/graph_test.go
@@ -11,13 +11,13 @@
 // stage late, and one of them cancelled: rank, latest start, inherited priority
 // and the pipeline's start, in seconds.
 func TestGraph(t *testing.T) {
-	const s = clock.Second
+	const second = clock.Second
 	a := newJob("a", wire.PriorityLow, 1, 10, 0)
 	b := newJob("b", wire.PriorityLow, 2, 20, 0)
 	c := newJob("c", wire.PriorityNormal, 3, 30, 0)
 	d := newJob("d", wire.PriorityHigh, 9, 5, 0)
-	due := 91.0 // after 9 s: at 100 s
-	d.Spec.Deadline = &due
+	deadlineSeconds := 91.0 // after 9 s: at 100 s
+	d.Spec.Deadline = &deadlineSeconds
 	d.Init()
 	type want struct {
 		job                   *Job
@@ -27,11 +27,11 @@
 	check := func(when string, wants ...want) {
 		t.Helper()
 		for _, w := range wants {
-			deadline := w.deadline * s
+			deadline := w.deadline * second
 			if w.deadline == 0 {
 				deadline = clock.Forever
 			}
-			if j := w.job; j.UpwardRank() != w.rank*s || j.PipelineStart != w.start*s || j.Deadline != deadline || j.Priority != w.priority {
+			if j := w.job; j.UpwardRank() != w.rank*second || j.PipelineStart != w.start*second || j.Deadline != deadline || j.Priority != w.priority {
 				t.Errorf("%s: %s: rank %v, start %v, deadline %v, priority %d; want %+v", when, j.ID,
 					j.UpwardRank().Seconds(), j.PipelineStart.Seconds(), j.Deadline.Seconds(), j.Priority, w)
 			}
@@ -73,11 +73,11 @@
 
 // TestLentPriority: a priority that a later stage lends goes before lower ones,
 // but hurries nobody while there is time.
-func TestLentPriority(t *testing.T) {
+func TestInheritedPriority(t *testing.T) {
 	stage := newJob("stage", wire.PriorityLow, 0, 20, 0)
 	last := newJob("last", wire.PriorityHigh, 0, 10, 0)
-	due := 130.0
-	last.Spec.Deadline = &due
+	deadlineSeconds := 130.0
+	last.Spec.Deadline = &deadlineSeconds
 	last.Init()
 	AddDependency(last, stage)
 	normal := newJob("normal", wire.PriorityNormal, 0, 20, 500)
--- a/internal/sched/model.go
+++ b/internal/sched/model.go
@@ -69,7 +69,7 @@
 
 	taskCPUs    float64 // see Measure
 	fastestBoot Micros  // what the quickest machine that it may use takes to come
-	large       bool    // a task takes more than half of each machine
+	largeTask   bool    // a task takes more than half of each machine
 
 	reserved                     bool   // machines keep room for it, see booking
 	reservedMachines             []int  // which
@@ -92,14 +92,14 @@
 func (j *Job) Active() bool { return !j.Cancelled && !j.Ended }
 
 // soundAfter is how long a task runs that does not fail at once.
-const soundAfter = 10 * clock.Second
+const stableAfter = 10 * clock.Second
 
 // Runs reports whether some task of the job, other than the one at the given place, has
 // been running for a while.
 func (j *Job) HasRunningTask(now Micros, without *Placement) bool {
 	for i := range j.Tasks {
 		pl := j.Tasks[i].Placement
-		if pl != nil && pl != without && pl.RunningSince > 0 && !pl.Exited && now-pl.RunningSince > soundAfter {
+		if pl != nil && pl != without && pl.RunningSince > 0 && !pl.Exited && now-pl.RunningSince > stableAfter {
 			return true
 		}
 	}
@@ -123,11 +123,11 @@
 // Need gives the resources of one task.
 func (j *Job) Need() Resources { return Resources{j.Spec.CPUs, j.Spec.GPUs, j.Spec.MemoryGB} }
 
-const slack = 1e-6 // tolerance of resource sums
+const resourceTolerance = 1e-6 // tolerance of resource sums
 
 // Fits reports whether a task needing n fits into the room r.
 func (n Resources) Fits(r Resources) bool {
-	return n.CPUs <= r.CPUs+slack && n.GPUs <= r.GPUs+slack && n.Memory <= r.Memory+slack
+	return n.CPUs <= r.CPUs+resourceTolerance && n.GPUs <= r.GPUs+resourceTolerance && n.Memory <= r.Memory+resourceTolerance
 }
 
 // Add and Sub move resources between sums.
@@ -199,12 +199,12 @@
 	LastCommandAt        Micros // when it last answered an order, or one that may start something was sent
 	ReclaimAt            Micros // when the cloud takes it; 0: no notice
 
-	Placements map[string]*Placement
-	allocated  Resources         // by the places that are not exited; see hold
-	prod       float64           // the CPUs of it that production work holds, see Need.On
-	passIndex  int               // in the pass under way
-	Images     map[string]Micros // last use
-	ImageSizes map[string]float64
+	Placements     map[string]*Placement
+	allocated      Resources         // by the places that are not exited; see hold
+	productionCPUs float64           // the CPUs of it that production work holds, see Need.On
+	passIndex      int               // in the pass under way
+	Images         map[string]Micros // last use
+	ImageSizes     map[string]float64
 
 	Downlink              oneway.Detector // whether it hears us
 	LastRedirectAt        Micros          // when it was last sent away, to look for a successor
@@ -242,13 +242,13 @@
 func (m *Machine) AvailableCPUs() float64 { return m.Available().RemainingCPUs(m.Type) }
 
 // Production is the CPUs that production work holds, which nothing may stop.
-func (m *Machine) ProductionCPUs() float64 { return m.prod }
+func (m *Machine) ProductionCPUs() float64 { return m.productionCPUs }
 
 // hold adds a place to what the machine holds, or with sign -1 takes it away.
-func (m *Machine) adjustAllocated(p *Placement, sign float64) {
-	m.allocated = m.allocated.Add(Resources{sign * p.Need.CPUs, sign * p.Need.GPUs, sign * p.Need.Memory})
-	if p.Priority == wire.PriorityProduction {
-		m.prod += sign * p.Need.DominantCPUs(m.Type)
+func (m *Machine) adjustAllocated(pl *Placement, sign float64) {
+	m.allocated = m.allocated.Add(Resources{sign * pl.Need.CPUs, sign * pl.Need.GPUs, sign * pl.Need.Memory})
+	if pl.Priority == wire.PriorityProduction {
+		m.productionCPUs += sign * pl.Need.DominantCPUs(m.Type)
 	}
 }
 
@@ -265,9 +265,9 @@
 func (m *Machine) Busy() bool { return len(m.Placements) > 0 }
 
 // Usable reports whether new tasks may be placed.
-func (m *Machine) Usable(now, fresh Micros) bool {
+func (m *Machine) Usable(now, maxReportAge Micros) bool {
 	return m.Up && m.Acked && !m.Draining && !m.Retiring && !m.Releasing && m.ReclaimAt == 0 && !m.Failed && !m.Downlink.Partitioned &&
-		now-m.LastReportAt <= fresh && now >= m.AvoidUntil
+		now-m.LastReportAt <= maxReportAge && now >= m.AvoidUntil
 }
 
 // Touch notes the use of an image and forgets the least recently used ones
@@ -328,6 +328,6 @@
 
 // Allows reports whether the team may take n more.
 func (t *Team) Allows(n Resources) bool {
-	return (t.Limit.CPUs == 0 || t.Allocated.CPUs+n.CPUs <= t.Limit.CPUs+slack) &&
-		(t.Limit.GPUs == 0 || t.Allocated.GPUs+n.GPUs <= t.Limit.GPUs+slack)
+	return (t.Limit.CPUs == 0 || t.Allocated.CPUs+n.CPUs <= t.Limit.CPUs+resourceTolerance) &&
+		(t.Limit.GPUs == 0 || t.Allocated.GPUs+n.GPUs <= t.Limit.GPUs+resourceTolerance)
 }
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -56,7 +56,7 @@
 // priority was early. Work that has missed its aim is not put last: tried, and
 // more of the rest came late too.
 func SortJobs(jobs []*Job, teams map[string]*Team, now Micros) {
-	use := func(j *Job) float64 {
+	usage := func(j *Job) float64 {
 		if t := teams[j.Spec.Team]; t != nil {
 			return t.Usage
 		}
@@ -70,8 +70,8 @@
 		return cmp.Or(
 			cmp.Compare(a.urgency(now), b.urgency(now)),
 			cmp.Compare(b.Priority, a.Priority),
-			cmp.Compare(b2i(b.Deadline < clock.Forever), b2i(a.Deadline < clock.Forever)),
-			cmp.Compare(use(a), use(b)),
+			cmp.Compare(boolToInt(b.Deadline < clock.Forever), boolToInt(a.Deadline < clock.Forever)),
+			cmp.Compare(usage(a), usage(b)),
 			cmp.Compare(a.PipelineStart, b.PipelineStart),
 			cmp.Compare(b.UpwardRank(), a.UpwardRank()),
 			cmp.Compare(a.ID, b.ID),
@@ -83,33 +83,33 @@
 // served in time then, and who goes to those that are late already makes all others
 // late too. In the usual order, where nearly all are in time, that gains nothing.
 const (
-	inTime   = iota // can start as its users want it, or has begun and can end in time
-	lateEnd         // starts too late, but can be done by the widest of its aims
-	doubtful        // the same if all its tasks take no longer than expected, and start at once
+	feasible  = iota // can start as its users want it, or has begun and can end in time
+	lateStart        // starts too late, but can be done by the widest of its aims
+	atRisk           // the same if all its tasks take no longer than expected, and start at once
 	late
 )
 
-func (j *Job) hope(now Micros) int {
-	end, widest := j.end(), j.widest()
+func (j *Job) feasibilityLevel(now Micros) int {
+	finishTarget, latestTarget := j.latestFinishTarget(), j.latestTarget()
 	switch {
-	case widest <= 0 || now-j.ReadyAt > longest*(widest-j.ReadyAt):
-		return inTime // nobody waits for ever, however many come after him
-	case j.begun() && now+j.Estimate <= end:
-		return inTime // what has begun is ended: half of a job is of no use
-	case j.LastStartTarget > 0 && now+pressedFor <= j.LastStartTarget:
-		return inTime
-	case end == clock.Forever || now+j.Estimate > end:
+	case latestTarget <= 0 || now-j.ReadyAt > maxWaitFactor*(latestTarget-j.ReadyAt):
+		return feasible // nobody waits for ever, however many come after him
+	case j.hasBegun() && now+j.Estimate <= finishTarget:
+		return feasible // what has begun is ended: half of a job is of no use
+	case j.LastStartTarget > 0 && now+minSlack <= j.LastStartTarget:
+		return feasible
+	case finishTarget == clock.Forever || now+j.Estimate > finishTarget:
 		return late
-	case now+pressedFor+3*j.Estimate/2 > end:
-		return doubtful // its longest task ends later than the usual one, after a fetch
+	case now+minSlack+3*j.Estimate/2 > finishTarget:
+		return atRisk // its longest task ends later than the usual one, after a fetch
 	case j.LastStartTarget == 0:
-		return inTime
+		return feasible
 	}
-	return lateEnd
+	return lateStart
 }
 
 // end is when the job should be done by the widest of its aims; clock.Forever without one.
-func (j *Job) end() Micros {
+func (j *Job) latestFinishTarget() Micros {
 	if n := len(j.FinishTargets); n > 0 {
 		return min(j.Deadline, j.FinishTargets[n-1])
 	}
@@ -117,9 +117,9 @@
 }
 
 // widest is the end of the job's widest aim of either kind; 0 without one.
-func (j *Job) widest() Micros {
-	if end := j.end(); end < clock.Forever {
-		return max(j.LastStartTarget, end)
+func (j *Job) latestTarget() Micros {
+	if finishTarget := j.latestFinishTarget(); finishTarget < clock.Forever {
+		return max(j.LastStartTarget, finishTarget)
 	}
 	return j.LastStartTarget
 }
@@ -127,17 +127,17 @@
 // Prospect tells of a job that waits or runs whether its aims are kept, can be, or
 // cannot be any more.
 func (j *Job) Feasibility(now Micros) admit.Feasibility {
-	end := j.end()
+	finishTarget := j.latestFinishTarget()
 	switch {
-	case len(j.Queue) == 0 && now+j.Estimate/2 <= end:
+	case len(j.Queue) == 0 && now+j.Estimate/2 <= finishTarget:
 		return admit.OnTime
-	case j.LastStartTarget > 0 && now > j.LastStartTarget && !j.begun():
+	case j.LastStartTarget > 0 && now > j.LastStartTarget && !j.hasBegun():
 		return admit.Infeasible
 	}
-	switch j.hope(now) {
-	case inTime:
+	switch j.feasibilityLevel(now) {
+	case feasible:
 		return admit.Feasible
-	case doubtful:
+	case atRisk:
 		return admit.AtRisk
 	}
 	return admit.Infeasible
@@ -145,13 +145,13 @@
 
 // longest is how many times its widest aim a job may have waited before it goes with
 // those that are still in time.
-const longest = 3
+const maxWaitFactor = 3
 
 // Levels of urgency.
 const (
-	first        = iota // production
-	overdue             // has not begun for so long that its users think it forgotten
-	high                // of high priority
+	production   = iota // production
+	startOverdue        // has not begun for so long that its users think it forgotten
+	highPriority        // of high priority
 	mustStartNow        // must start now to meet its aim
 	canWait
 )
@@ -161,17 +161,17 @@
 	// each wave of a pipeline's tasks would stop other work while there is time.
 	switch {
 	case j.Priority >= wire.PriorityProduction:
-		return first
+		return production
 	case j.overdue(now):
-		return overdue
-	case wire.PriorityOf(j.Spec.Priority) >= wire.PriorityHigh && !j.patient(now):
-		return high
+		return startOverdue
+	case wire.PriorityOf(j.Spec.Priority) >= wire.PriorityHigh && !j.deferrable(now):
+		return highPriority
 	}
 	if j.NeedsImmediateStart(now) {
 		return mustStartNow
 	}
 	slack := j.Slack(now)
-	if j.TargetTime(now) < clock.Forever && slack >= 0 && slack < pressedFor+j.Estimate/2 {
+	if j.TargetTime(now) < clock.Forever && slack >= 0 && slack < minSlack+j.Estimate/2 {
 		return mustStartNow
 	}
 	return canWait
@@ -181,25 +181,25 @@
 // all but production: an array with one task, a gang whole. Under overload the largest jobs
 // would otherwise be the last for ever, since what takes least goes first.
 func (j *Job) overdue(now Micros) bool {
-	return j.StarvationDeadline > 0 && now >= j.StarvationDeadline && !j.begun()
+	return j.StarvationDeadline > 0 && now >= j.StarvationDeadline && !j.hasBegun()
 }
 
 // Prompt reports whether the job's users want it started before a machine that is
 // rented for it could have come. Nothing but room at hand helps it, so it is pressed from
 // the first moment on; and also for a while after that, as long as it has not begun.
 func (j *Job) NeedsImmediateStart(now Micros) bool {
-	return len(j.StartTargets) > 0 && j.StartTargets[0]-j.ReadyAt < j.fastestBoot && !j.begun() && now-j.ReadyAt <= longest*(j.LastStartTarget-j.ReadyAt)
+	return len(j.StartTargets) > 0 && j.StartTargets[0]-j.ReadyAt < j.fastestBoot && !j.hasBegun() && now-j.ReadyAt <= maxWaitFactor*(j.LastStartTarget-j.ReadyAt)
 }
 
 // patient reports whether work of high priority has the time to let work go first that is
 // pressed: a machine rented for it later would still come before its users want it started.
-func (j *Job) patient(now Micros) bool {
-	return len(j.StartTargets) > 0 && now+j.fastestBoot+2*pressedFor < j.StartTargets[0]
+func (j *Job) deferrable(now Micros) bool {
+	return len(j.StartTargets) > 0 && now+j.fastestBoot+2*minSlack < j.StartTargets[0]
 }
 
 // pressedFor is the least slack that counts as ample: machines boot and fetch
 // images in that order of time.
-const pressedFor = 15 * clock.Second
+const minSlack = 15 * clock.Second
 
 // Slack is how long the job's tasks can wait and still meet its aim.
 func (j *Job) Slack(now Micros) Micros { return j.TargetTime(now) - now - j.Estimate }
@@ -207,16 +207,16 @@
 // Aim is when the job should be done: its deadline or the earliest objective
 // of its class that it can still meet.
 func (j *Job) TargetTime(now Micros) Micros {
-	aim := j.Deadline
+	target := j.Deadline
 	for _, t := range j.FinishTargets {
 		if now+j.Estimate <= t || t == j.FinishTargets[len(j.FinishTargets)-1] {
-			return min(aim, t)
+			return min(target, t)
 		}
 	}
-	return aim
+	return target
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -227,10 +227,10 @@
 // usable machine.
 type pass struct {
 	*Input
-	out            Output
+	output         Output
 	usableMachines []*Machine
 	available      []Resources
-	share          []float64 // of the CPUs that services hold
+	serviceShare   []float64 // of the CPUs that services hold
 
 	reservations             [][]reservation // by machine
 	expectedReleases         [][]expectedRelease
@@ -239,31 +239,31 @@
 
 	round int // of those under overload: see placeShares
 
-	open  []int // the machines that jobs of this level may find room on
-	yield []int // the machines with work that may be asked to leave; see makeRoom
-	known bool  // yield is worked out
+	openMachines     []int // the machines that jobs of this level may find room on
+	preemptible      []int // the machines with work that may be asked to leave; see makeRoom
+	preemptibleKnown bool  // yield is worked out
 
 	// Of the job being placed: what a task of it costs on each machine. All its
 	// tasks are alike, so a place changes the cost of its own machine only.
-	warm  bool // only machines that have its image, or are fetching it
-	frail bool // a task lost with a spot machine would hurt it: see frailty
-	cost  []float64
-	full  []bool               // the cost lacks that of making room
-	taken map[int][]*Placement // who would be stopped to make room
-	heap  []int                // machines by cost, the cheapest first
+	localImageOnly   bool // only machines that have its image, or are fetching it
+	preferOrdinary   bool // a task lost with a spot machine would hurt it: see frailty
+	cost             []float64
+	needsVictims     []bool               // the cost lacks that of making room
+	victimsByMachine map[int][]*Placement // who would be stopped to make room
+	costHeap         []int                // machines by cost, the cheapest first
 }
 
 // The heap's order is that of a scan for the least cost.
-func (p *pass) Len() int { return len(p.heap) }
+func (p *pass) Len() int { return len(p.costHeap) }
 func (p *pass) Less(a, b int) bool {
-	i, j := p.heap[a], p.heap[b]
+	i, j := p.costHeap[a], p.costHeap[b]
 	return p.cost[i] < p.cost[j] || p.cost[i] == p.cost[j] && i < j
 }
-func (p *pass) Swap(a, b int) { p.heap[a], p.heap[b] = p.heap[b], p.heap[a] }
-func (p *pass) Push(x any)    { p.heap = append(p.heap, x.(int)) }
+func (p *pass) Swap(a, b int) { p.costHeap[a], p.costHeap[b] = p.costHeap[b], p.costHeap[a] }
+func (p *pass) Push(x any)    { p.costHeap = append(p.costHeap, x.(int)) }
 func (p *pass) Pop() any {
-	last := p.heap[len(p.heap)-1]
-	p.heap = p.heap[:len(p.heap)-1]
+	last := p.costHeap[len(p.costHeap)-1]
+	p.costHeap = p.costHeap[:len(p.costHeap)-1]
 	return last
 }
 
@@ -282,31 +282,31 @@
 				share += pl.Need.DominantCPUs(m.Type) / m.Type.CPUs
 			}
 		}
-		p.usableMachines, p.available, p.share = append(p.usableMachines, m), append(p.available, m.Available()), append(p.share, share)
+		p.usableMachines, p.available, p.serviceShare = append(p.usableMachines, m), append(p.available, m.Available()), append(p.serviceShare, share)
 	}
-	p.cost, p.full = make([]float64, len(p.usableMachines)), make([]bool, len(p.usableMachines))
+	p.cost, p.needsVictims = make([]float64, len(p.usableMachines)), make([]bool, len(p.usableMachines))
 	SortJobs(in.Jobs, in.Teams, in.Now)
 	jobs := slices.DeleteFunc(slices.Clone(in.Jobs), func(j *Job) bool {
 		return !j.Active() || len(j.Queue) == 0 || in.Now < j.HoldUntil
 	})
 	if in.FairShare != nil {
-		rest := slices.IndexFunc(jobs, func(j *Job) bool { return j.Priority < wire.PriorityProduction })
-		if rest >= 0 {
-			p.placeLevels(jobs[:rest])
-			p.placeShares(jobs[rest:])
-			return p.out
+		firstOther := slices.IndexFunc(jobs, func(j *Job) bool { return j.Priority < wire.PriorityProduction })
+		if firstOther >= 0 {
+			p.placeLevels(jobs[:firstOther])
+			p.placeUnderOverload(jobs[firstOther:])
+			return p.output
 		}
 	}
 	p.restoreReservations(jobs)
 	p.placeLevels(jobs)
-	return p.out
+	return p.output
 }
 
 // placeLevels places jobs level by level, in their order.
 func (p *pass) placeLevels(jobs []*Job) {
 	for len(jobs) > 0 {
 		n := 1
-		for n < len(jobs) && jobs[0].equals(jobs[n], p.Now) && (p.round == 0 || jobs[0].hope(p.Now) == jobs[n].hope(p.Now)) {
+		for n < len(jobs) && jobs[0].sameLevel(jobs[n], p.Now) && (p.round == 0 || jobs[0].feasibilityLevel(p.Now) == jobs[n].feasibilityLevel(p.Now)) {
 			n++
 		}
 		p.placeLevel(jobs[:n])
@@ -317,9 +317,9 @@
 // Rounds of a pass under overload. Outside of it there is only the last, in which
 // whatever room there is goes to whoever can use it.
 const (
-	belowFloor = iota + 1 // only jobs that their account lacks for its floor take places
-	belowShare            // and then the jobs of teams below their share
-	anyRoom
+	minShareRound  = iota + 1 // only jobs that their account lacks for its floor take places
+	fairShareRound            // and then the jobs of teams below their share
+	finalRound
 )
 
 // placeShares places what is not production while there is more to do than the
@@ -328,42 +328,42 @@
 // work before all else; then hope, urgency and priority order the jobs as ever, and of
 // those alike the ones that take least go first: a job is done with its last task, so
 // many that are begun and not ended serve nobody. No room stays idle for a share's sake.
-func (p *pass) placeShares(jobs []*Job) {
-	rest := make(map[*Job]float64, len(jobs))
+func (p *pass) placeUnderOverload(jobs []*Job) {
+	work := make(map[*Job]float64, len(jobs))
 	for _, j := range jobs {
-		rest[j] = j.rest(p.Now)
+		work[j] = j.discountedWork(p.Now)
 	}
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		if x, y := a.overdue(p.Now), b.overdue(p.Now); x || y {
-			return cmp.Or(cmp.Compare(b2i(y), b2i(x)), cmp.Compare(a.ReadyAt, b.ReadyAt))
+			return cmp.Or(cmp.Compare(boolToInt(y), boolToInt(x)), cmp.Compare(a.ReadyAt, b.ReadyAt))
 		}
 		if a.MinShareStatus.Needed && b.MinShareStatus.Needed {
-			return cmp.Or(cmp.Compare(b2i(b.begun()), b2i(a.begun())), cmp.Compare(a.MinShareStatus.ServedShare, b.MinShareStatus.ServedShare))
+			return cmp.Or(cmp.Compare(boolToInt(b.hasBegun()), boolToInt(a.hasBegun())), cmp.Compare(a.MinShareStatus.ServedShare, b.MinShareStatus.ServedShare))
 		}
 		return cmp.Or(
-			cmp.Compare(b2i(b.MinShareStatus.Needed), b2i(a.MinShareStatus.Needed)),
-			cmp.Compare(a.hope(p.Now), b.hope(p.Now)),
+			cmp.Compare(boolToInt(b.MinShareStatus.Needed), boolToInt(a.MinShareStatus.Needed)),
+			cmp.Compare(a.feasibilityLevel(p.Now), b.feasibilityLevel(p.Now)),
 			cmp.Compare(a.urgency(p.Now), b.urgency(p.Now)),
 			cmp.Compare(b.Priority, a.Priority),
-			cmp.Compare(b2i(b.begun()), b2i(a.begun())),
-			cmp.Compare(rest[a], rest[b]),
+			cmp.Compare(boolToInt(b.hasBegun()), boolToInt(a.hasBegun())),
+			cmp.Compare(work[a], work[b]),
 		)
 	})
 	p.restoreReservations(jobs)
-	for _, p.round = range []int{belowFloor, belowShare, anyRoom} {
+	for _, p.round = range []int{minShareRound, fairShareRound, finalRound} {
 		p.placeLevels(slices.DeleteFunc(slices.Clone(jobs), func(j *Job) bool { return len(j.Queue) == 0 || !p.entitled(j) }))
 	}
 }
 
 // begun reports whether some of the job's tasks have places or are done.
-func (j *Job) begun() bool { return j.PlacedCount+j.DoneCount > 0 }
+func (j *Job) hasBegun() bool { return j.PlacedCount+j.DoneCount > 0 }
 
 // rest is what a job yet needs, in CPU-seconds, and less the longer it waits: none is
 // passed by for ever.
-func (j *Job) rest(now Micros) float64 {
+func (j *Job) discountedWork(now Micros) float64 {
 	work := j.RemainingWork()
-	if widest := j.widest(); widest > j.ReadyAt {
-		work *= 1 - min(float64(now-j.ReadyAt)/float64(longest*(widest-j.ReadyAt)), 1)
+	if latestTarget := j.latestTarget(); latestTarget > j.ReadyAt {
+		work *= 1 - min(float64(now-j.ReadyAt)/float64(maxWaitFactor*(latestTarget-j.ReadyAt)), 1)
 	}
 	return work
 }
@@ -377,23 +377,23 @@
 // entitled reports whether a job may have one more place in this round. The last place
 // may go beyond its team's share: one smaller than a task is one too.
 func (p *pass) entitled(j *Job) bool {
-	if p.last() || j.overdue(p.Now) {
+	if p.inFinalRound() || j.overdue(p.Now) {
 		return true
 	}
-	if p.round == belowFloor {
+	if p.round == minShareRound {
 		return j.MinShareStatus.Needed
 	}
-	d := p.FairShare(j)
-	return d.Allocated < d.Share-slack
+	share := p.FairShare(j)
+	return share.Allocated < share.Share-resourceTolerance
 }
 
 // last reports whether what finds no room now finds none in this pass.
-func (p *pass) last() bool { return p.round == 0 || p.round == anyRoom }
+func (p *pass) inFinalRound() bool { return p.round == 0 || p.round == finalRound }
 
 // equals reports whether two jobs stand on the same level of urgency and
 // priority, so that only their start and rank order them.
-func (j *Job) equals(o *Job, now Micros) bool {
-	return j.Priority == o.Priority && j.urgency(now) == o.urgency(now)
+func (j *Job) sameLevel(other *Job, now Micros) bool {
+	return j.Priority == other.Priority && j.urgency(now) == other.urgency(now)
 }
 
 // placeLevel places jobs of one level. All room is used in the end, but first
@@ -401,7 +401,7 @@
 // a little earlier and would have to fetch theirs there: those get the next
 // place that is warm for them, and the machines spend less time fetching.
 func (p *pass) placeLevel(jobs []*Job) {
-	p.findOpen(jobs)
+	p.findOpenMachines(jobs)
 	if jobs[0].Priority < wire.PriorityHigh {
 		oldest := clock.Forever // when the first job that is passed over became ready
 		for _, j := range jobs {
@@ -411,7 +411,7 @@
 			if j.Gang() {
 				p.placeGang(j, true)
 			} else {
-				p.placeEach(j, true)
+				p.placeTasks(j, true)
 			}
 			if len(j.Queue) > 0 {
 				oldest = min(oldest, j.ReadyAt)
@@ -424,7 +424,7 @@
 		case j.Gang():
 			p.placeGang(j, false)
 		default:
-			p.placeEach(j, false)
+			p.placeTasks(j, false)
 		}
 	}
 }
@@ -433,32 +433,32 @@
 // hardly any has, and weighing each waiting job against each machine would cost a
 // pass of thousands of machines most of a second. Production work may make room,
 // so it looks at all.
-func (p *pass) findOpen(jobs []*Job) {
-	least := jobs[0].Need()
+func (p *pass) findOpenMachines(jobs []*Job) {
+	smallest := jobs[0].Need()
 	for _, j := range jobs {
 		n := j.Need()
-		least = Resources{min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.Memory, n.Memory)}
+		smallest = Resources{min(smallest.CPUs, n.CPUs), min(smallest.GPUs, n.GPUs), min(smallest.Memory, n.Memory)}
 	}
-	p.open = p.open[:0]
+	p.openMachines = p.openMachines[:0]
 	for i := range p.usableMachines {
-		if jobs[0].Priority == wire.PriorityProduction || least.Fits(p.available[i]) {
-			p.open = append(p.open, i)
+		if jobs[0].Priority == wire.PriorityProduction || smallest.Fits(p.available[i]) {
+			p.openMachines = append(p.openMachines, i)
 		}
 	}
 }
 
 // placeEach places a job's tasks one by one as long as there is room, only
 // where its image is if warm is set.
-func (p *pass) placeEach(j *Job, warm bool) {
+func (p *pass) placeTasks(j *Job, localImageOnly bool) {
 	team := p.Teams[j.Spec.Team]
 	probing := j.Probing(p.Now)
 	if !team.Allows(j.Need()) || !p.entitled(j) || probing && j.PlacedCount > 0 {
 		return
 	}
-	held, taste := j.PlacementsByZone(nil), probing || !j.Service() && j.overdue(p.Now)
-	p.warm = warm
+	placedByZone, firstTaskOnly := j.PlacementsByZone(nil), probing || !j.Service() && j.overdue(p.Now)
+	p.localImageOnly = localImageOnly
 	p.scoreAll(j, "")
-	if held == nil {
+	if placedByZone == nil {
 		heap.Init(p)
 	}
 	for len(j.Queue) > 0 {
@@ -468,7 +468,7 @@
 		if !p.entitled(j) {
 			return
 		}
-		i, victims := p.choose(j, held)
+		i, victims := p.chooseMachine(j, placedByZone)
 		if i < 0 {
 			break
 		}
@@ -477,23 +477,23 @@
 		}
 		p.cancelReservations(j) // what is left books anew
 		p.place(j, i, p.NextAttempt())
-		if taste {
+		if firstTaskOnly {
 			return // it has begun; the rest waits as ever
 		}
-		if held != nil {
-			held[p.usableMachines[i].Zone]++
+		if placedByZone != nil {
+			placedByZone[p.usableMachines[i].Zone]++
 		}
 		p.score(j, i)
-		p.rank(held, i)
+		p.returnToHeap(placedByZone, i)
 	}
 	p.reserve(j)
-	if n := len(j.Queue); n > 0 && !warm && p.last() {
+	if n := len(j.Queue); n > 0 && !localImageOnly && p.inFinalRound() {
 		if probing {
 			n = 1
 		}
-		p.out.Unplaced = append(p.out.Unplaced, Unplaced{j, n})
+		p.output.Unplaced = append(p.output.Unplaced, Unplaced{j, n})
 		if j.Priority > wire.PriorityLow && j.Priority < wire.PriorityProduction {
-			p.makeRoom(j, n)
+			p.preemptCheckpointed(j, n)
 		}
 	}
 }
@@ -514,15 +514,15 @@
 }
 
 // ZoneAllows applies together and apart, given the places already held.
-func ZoneAllows(j *Job, held map[string]int, zone string) bool {
+func ZoneAllows(j *Job, placedByZone map[string]int, zone string) bool {
 	if j.Spec.OneZone {
-		for z, n := range held {
+		for z, n := range placedByZone {
 			if n > 0 && z != zone {
 				return false
 			}
 		}
 	}
-	if j.Spec.Spread && held[zone]+1 > (j.Spec.Tasks+1)/2 {
+	if j.Spec.Spread && placedByZone[zone]+1 > (j.Spec.Tasks+1)/2 {
 		return false
 	}
 	return true
@@ -540,38 +540,38 @@
 }
 
 // delay is the expected wait for the image on m, in seconds.
-func (p *pass) delay(j *Job, m *Machine) float64 {
+func (p *pass) fetchDelay(j *Job, m *Machine) float64 {
 	if _, ok := m.Images[j.Spec.Image]; ok {
 		return 0
 	}
-	alone := j.Spec.ImageGB / p.FetchRates[m.Type.Name]
-	var others []string
-	for _, q := range m.Placements {
-		if q.Exited {
+	ownFetch := j.Spec.ImageGB / p.FetchRates[m.Type.Name]
+	var otherImages []string
+	for _, other := range m.Placements {
+		if other.Exited {
 			continue
 		}
-		if q.Image == j.Spec.Image {
-			return alone / 2 // its fetch is under way
+		if other.Image == j.Spec.Image {
+			return ownFetch / 2 // its fetch is under way
 		}
-		if q.RunningSince == 0 && q.Image != "" && !slices.Contains(others, q.Image) {
-			if _, cached := m.Images[q.Image]; !cached {
-				others = append(others, q.Image)
+		if other.RunningSince == 0 && other.Image != "" && !slices.Contains(otherImages, other.Image) {
+			if _, cached := m.Images[other.Image]; !cached {
+				otherImages = append(otherImages, other.Image)
 			}
 		}
 	}
-	return alone * float64(1+len(others))
+	return ownFetch * float64(1+len(otherImages))
 }
 
 // scoreAll works out what a task of j costs on each machine, in the given zone
 // if one is named.
 func (p *pass) scoreAll(j *Job, zone string) {
-	p.taken, p.frail, p.heap = nil, p.frailty(j), p.heap[:0]
-	for _, i := range p.open {
+	p.victimsByMachine, p.preferOrdinary, p.costHeap = nil, p.prefersOrdinary(j), p.costHeap[:0]
+	for _, i := range p.openMachines {
 		if zone != "" && p.usableMachines[i].Zone != zone {
 			continue
 		}
 		if p.score(j, i); p.cost[i] < math.Inf(1) {
-			p.heap = append(p.heap, i)
+			p.costHeap = append(p.costHeap, i)
 		}
 	}
 }
@@ -581,34 +581,34 @@
 // priority may be stopped at once to make room; what that costs is only worked
 // out when the machine would otherwise be chosen.
 func (p *pass) score(j *Job, i int) {
-	p.out.Evaluations++
+	p.output.Evaluations++
 	m := p.usableMachines[i]
-	p.cost[i], p.full[i] = math.Inf(1), false
-	delete(p.taken, i)
+	p.cost[i], p.needsVictims[i] = math.Inf(1), false
+	delete(p.victimsByMachine, i)
 	if !j.Need().Fits(p.available[i]) {
 		if j.Priority != wire.PriorityProduction || m.Errors > 0 {
 			return
 		}
-		p.full[i] = true
+		p.needsVictims[i] = true
 	}
 	if p.allowed(j, m) {
-		delay := p.delay(j, m)
+		delay := p.fetchDelay(j, m)
 		if p.blockedByReservation(j, i, delay) {
 			return
 		}
-		if p.warm && delay >= j.Spec.ImageGB/p.FetchRates[m.Type.Name] {
+		if p.localImageOnly && delay >= j.Spec.ImageGB/p.FetchRates[m.Type.Name] {
 			return
 		}
-		p.cost[i] = delay + p.packing(j, i)
+		p.cost[i] = delay + p.packingCost(j, i)
 		if clock.FromSeconds(delay) > j.startSlack(p.Now) {
-			p.cost[i] += missedStart
+			p.cost[i] += missedStartPenalty
 		}
 	}
 }
 
 // missedStart is as bad, in seconds of delay, as a start that comes too late for the
 // earliest aim that could still be met.
-const missedStart = 30
+const missedStartPenalty = 30
 
 // startSlack is how long the job's tasks can wait and still meet the earliest of its
 // start aims that is ahead; for ever without one.
@@ -626,72 +626,72 @@
 //
 // What is chosen is not in the heap any more, unless zones count: they depend on
 // the job's other tasks, so the heap serves as a list then.
-func (p *pass) choose(j *Job, held map[string]int) (int, []*Placement) {
+func (p *pass) chooseMachine(j *Job, placedByZone map[string]int) (int, []*Placement) {
 	for {
-		best, least := -1, math.Inf(1)
-		if held == nil {
-			if len(p.heap) > 0 {
-				best = heap.Pop(p).(int)
+		cheapest, leastCost := -1, math.Inf(1)
+		if placedByZone == nil {
+			if len(p.costHeap) > 0 {
+				cheapest = heap.Pop(p).(int)
 			}
 		} else {
-			for _, i := range p.heap {
+			for _, i := range p.costHeap {
 				cost := p.cost[i]
-				if (cost < least || cost == least && i < best) && ZoneAllows(j, held, p.usableMachines[i].Zone) {
-					best, least = i, cost
+				if (cost < leastCost || cost == leastCost && i < cheapest) && ZoneAllows(j, placedByZone, p.usableMachines[i].Zone) {
+					cheapest, leastCost = i, cost
 				}
 			}
 		}
-		if best < 0 || !p.full[best] {
-			return best, p.taken[best]
+		if cheapest < 0 || !p.needsVictims[cheapest] {
+			return cheapest, p.victimsByMachine[cheapest]
 		}
-		p.out.Evaluations++
-		p.full[best] = false
-		victims, lost := p.enough(p.usableMachines[best], j.Priority, j.Need(), p.available[best])
+		p.output.Evaluations++
+		p.needsVictims[cheapest] = false
+		victims, lost := p.selectVictims(p.usableMachines[cheapest], j.Priority, j.Need(), p.available[cheapest])
 		if victims == nil {
-			p.cost[best] = math.Inf(1)
+			p.cost[cheapest] = math.Inf(1)
 			continue
 		}
-		p.cost[best] += lost / lossPerSecond
-		p.rank(held, best)
-		if p.taken == nil {
-			p.taken = map[int][]*Placement{}
+		p.cost[cheapest] += lost / lostWorkPerDelaySecond
+		p.returnToHeap(placedByZone, cheapest)
+		if p.victimsByMachine == nil {
+			p.victimsByMachine = map[int][]*Placement{}
 		}
-		p.taken[best] = victims
+		p.victimsByMachine[cheapest] = victims
 	}
 }
 
 // rank puts a machine that was chosen back into the heap.
-func (p *pass) rank(held map[string]int, i int) {
-	if held == nil && p.cost[i] < math.Inf(1) {
+func (p *pass) returnToHeap(placedByZone map[string]int, i int) {
+	if placedByZone == nil && p.cost[i] < math.Inf(1) {
 		heap.Push(p, i)
 	}
 }
 
 // lossPerSecond is how many CPU-seconds of lost work weigh as much as a second
 // of delay.
-const lossPerSecond = 8
+const lostWorkPerDelaySecond = 8
 
 // packing is what it costs the fleet, beyond the delay, to use m for j.
 // Services gather on few machines. Other work first fills the room beside
 // them, which is paid for anyway, then spot machines, then ordinary ones, the
 // fullest first: so machines empty and can be returned.
-func (p *pass) packing(j *Job, i int) float64 {
+func (p *pass) packingCost(j *Job, i int) float64 {
 	m := p.usableMachines[i]
-	room, cost := p.available[i].RemainingCPUs(m.Type), 0.0
-	switch share := p.share[i]; {
+	remaining, cost := p.available[i].RemainingCPUs(m.Type), 0.0
+	switch share := p.serviceShare[i]; {
 	case j.Service():
 		cost = 2 * (1 - share)
 	case share > 0 && !m.Spot && !j.Gang(): // a gang is not stopped for a service
-		cost = room / m.Type.CPUs
-	case p.frail && !m.Spot:
-		cost = room / m.Type.CPUs
+		cost = remaining / m.Type.CPUs
+	case p.preferOrdinary && !m.Spot:
+		cost = remaining / m.Type.CPUs
 	case m.Spot || !j.Spec.Spot:
-		cost = 1 + room/m.Type.CPUs
+		cost = 1 + remaining/m.Type.CPUs
 	default:
 		// A spot machine that must fetch first is cheaper than an ordinary one
 		// that need not, as long as the job can wait for the fetch.
 		slack := j.Slack(p.Now).Seconds()
-		cost = 3 + room/m.Type.CPUs + max(0, min(slack/2, 0.4*j.Estimate.Seconds()))
+		cost = 3 + remaining/m.Type.CPUs + max(0, min(slack/2, 0.4*j.Estimate.Seconds()))
 	}
 	if m.Errors > 0 {
 		cost += 60
@@ -701,7 +701,7 @@
 
 // chained reports whether the job is part of a pipeline: a task lost with its
 // spot machine would hold up all that comes after.
-func (j *Job) chained() bool { return len(j.Spec.DependsOn) > 0 || len(j.DirectDependents) > 0 }
+func (j *Job) inPipeline() bool { return len(j.Spec.DependsOn) > 0 || len(j.DirectDependents) > 0 }
 
 // frailty reports whether a job takes ordinary machines first, where both kinds
 // have room. Beside pipelines that is work that saves nothing and would more
@@ -709,8 +709,8 @@
 // at 80 tasks and half an hour between losses of a machine nearly every job on
 // spot machines came a whole run late, while work that saves had the ordinary
 // machines. Where the cloud takes them less often, spot machines come first.
-func (p *pass) frailty(j *Job) bool {
-	if j.chained() {
+func (p *pass) prefersOrdinary(j *Job) bool {
+	if j.inPipeline() {
 		return true
 	}
 	left := float64(len(j.Tasks) - j.DoneCount)
@@ -719,13 +719,13 @@
 
 // enough lists the least harmful tasks on m whose end makes room for need; nil
 // if there are none. The second result is the work lost, in CPU-seconds.
-func (p *pass) enough(m *Machine, priority int, need, room Resources) ([]*Placement, float64) {
+func (p *pass) selectVictims(m *Machine, priority int, need, room Resources) ([]*Placement, float64) {
 	var victims []*Placement
 	lost := 0.0
-	for _, v := range p.victims(m, priority) {
+	for _, v := range p.victimCandidates(m, priority) {
 		room = room.Add(v.Need)
 		victims = append(victims, v)
-		lost += p.loss(v)
+		lost += p.lostWork(v)
 		if need.Fits(room) {
 			return victims, lost
 		}
@@ -735,7 +735,7 @@
 
 // victims lists what may be stopped on m for the given priority: lowest
 // priority first, then the least loss.
-func (p *pass) victims(m *Machine, priority int) []*Placement {
+func (p *pass) victimCandidates(m *Machine, priority int) []*Placement {
 	var list []*Placement
 	for _, v := range m.Placements {
 		if v.Priority < priority && v.Job != nil && !v.Exited && !v.Stopping && !v.Job.Gang() {
@@ -743,30 +743,32 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *Placement) int {
-		return cmp.Or(cmp.Compare(b2i(p.kept(a)), b2i(p.kept(b))), cmp.Compare(a.Priority, b.Priority), cmp.Compare(p.loss(a), p.loss(b)), cmp.Compare(a.Task, b.Task))
+		return cmp.Or(cmp.Compare(boolToInt(p.neededForMinShare(a)), boolToInt(p.neededForMinShare(b))), cmp.Compare(a.Priority, b.Priority), cmp.Compare(p.lostWork(a), p.lostWork(b)), cmp.Compare(a.Task, b.Task))
 	})
 	return list
 }
 
 // kept reports whether a place's account needs its job for its floor under overload: such
 // places are taken last.
-func (p *pass) kept(v *Placement) bool { return p.FairShare != nil && !v.Job.MinShareStatus.Surplus }
+func (p *pass) neededForMinShare(v *Placement) bool {
+	return p.FairShare != nil && !v.Job.MinShareStatus.Surplus
+}
 
 // loss is the work, in CPU-seconds, that stopping v at once would waste.
-func (p *pass) loss(v *Placement) float64 {
+func (p *pass) lostWork(v *Placement) float64 {
 	if v.RunningSince == 0 {
 		return 0
 	}
-	ran := p.Now - v.RunningSince
-	if knot := clock.FromSeconds(v.Job.Spec.CheckpointInterval); knot > 0 {
-		ran %= knot
+	lostTime := p.Now - v.RunningSince
+	if interval := clock.FromSeconds(v.Job.Spec.CheckpointInterval); interval > 0 {
+		lostTime %= interval
 	}
-	return ran.Seconds() * v.Need.DominantCPUs(v.Machine.Type)
+	return lostTime.Seconds() * v.Need.DominantCPUs(v.Machine.Type)
 }
 
 // makeRoom stops checkpointed work of lower priority, with time to save, for
 // n waiting tasks of j. The freed room goes to the queue's head by itself.
-func (p *pass) makeRoom(j *Job, n int) {
+func (p *pass) preemptCheckpointed(j *Job, n int) {
 	urgency := j.urgency(p.Now)
 	if urgency == canWait {
 		return // nothing can wait longer
@@ -778,12 +780,12 @@
 		// done, and the rest comes late for it.
 		return
 	}
-	for _, i := range p.yielding() {
+	for _, i := range p.preemptibleMachines() {
 		m := p.usableMachines[i]
 		if m.Errors > 0 || !p.allowed(j, m) {
 			continue
 		}
-		p.out.Evaluations++
+		p.output.Evaluations++
 		room := p.available[i]
 		for _, v := range m.Placements {
 			if v.Stopping && !v.Exited {
@@ -794,7 +796,7 @@
 			room = room.Sub(need)
 			n--
 		}
-		for _, v := range p.victims(m, j.Priority) {
+		for _, v := range p.victimCandidates(m, j.Priority) {
 			if n == 0 {
 				return
 			}
@@ -816,26 +818,26 @@
 
 // yielding lists the machines with work that saves, or that is leaving already: no
 // other can have room for a job that found none.
-func (p *pass) yielding() []int {
-	if p.known {
-		return p.yield
+func (p *pass) preemptibleMachines() []int {
+	if p.preemptibleKnown {
+		return p.preemptible
 	}
-	p.known = true
+	p.preemptibleKnown = true
 	for i, m := range p.usableMachines {
 		for _, v := range m.Placements {
 			if !v.Exited && (v.Stopping || v.Job != nil && v.Job.Spec.CheckpointInterval > 0) {
-				p.yield = append(p.yield, i)
+				p.preemptible = append(p.preemptible, i)
 				break
 			}
 		}
 	}
-	return p.yield
+	return p.preemptible
 }
 
 func (p *pass) stop(v *Placement, grace float64) {
 	v.Stopping, v.Grace = true, grace
-	p.count(v, -1)
-	p.out.Stop = append(p.out.Stop, v)
+	p.updateFairShare(v, -1)
+	p.output.Stop = append(p.output.Stop, v)
 	if grace == 0 {
 		// The worker runs the stop before the launch that rides with it.
 		p.available[v.Machine.passIndex] = p.available[v.Machine.passIndex].Add(v.Need)
@@ -843,7 +845,7 @@
 }
 
 // count keeps what a place's account holds up to date.
-func (p *pass) count(pl *Placement, sign float64) {
+func (p *pass) updateFairShare(pl *Placement, sign float64) {
 	if p.FairShare != nil && pl.Job != nil && pl.Job.Priority < wire.PriorityProduction {
 		p.FairShare(pl.Job).Allocated += sign * pl.Need.DominantCPUs(pl.Machine.Type)
 	}
@@ -856,15 +858,15 @@
 	pl := &Placement{
 		Job: j, Index: index, Task: wire.TaskID(j.ID, index), Attempt: attempt,
 		Machine: m, Session: m.Session, Need: j.Need(), Team: j.Spec.Team,
-		Priority: j.Priority, Image: j.Spec.Image, FetchDelay: p.delay(j, m),
+		Priority: j.Priority, Image: j.Spec.Image, FetchDelay: p.fetchDelay(j, m),
 	}
 	Attach(pl, p.Teams)
-	p.count(pl, 1)
+	p.updateFairShare(pl, 1)
 	p.available[i] = p.available[i].Sub(pl.Need)
 	if j.Service() {
-		p.share[i] += pl.Need.DominantCPUs(m.Type) / m.Type.CPUs
+		p.serviceShare[i] += pl.Need.DominantCPUs(m.Type) / m.Type.CPUs
 	}
-	p.out.Launch = append(p.out.Launch, pl)
+	p.output.Launch = append(p.output.Launch, pl)
 }
 
 // Attach enters a placement into the model. A worker has a task once at most,
@@ -913,16 +915,16 @@
 
 // placeGang places all tasks of a gang within this pass or none of them, only where its
 // image is if warm is set: a gang begins with the last of its tasks.
-func (p *pass) placeGang(j *Job, warm bool) {
+func (p *pass) placeGang(j *Job, localImageOnly bool) {
 	if j.PlacedCount > 0 || len(j.Queue) < len(j.Tasks)-j.DoneCount || !p.entitled(j) {
 		return // old tasks have not left yet, or others of its account came before it
 	}
 	n := len(j.Queue)
 	team := p.Teams[j.Spec.Team]
-	all := j.Need()
-	all.CPUs *= float64(n)
-	all.GPUs *= float64(n)
-	if !team.Allows(all) {
+	totalNeed := j.Need()
+	totalNeed.CPUs *= float64(n)
+	totalNeed.GPUs *= float64(n)
+	if !team.Allows(totalNeed) {
 		return
 	}
 	zones := []string{""}
@@ -930,7 +932,7 @@
 		zones = p.allZones()
 	}
 	for _, zone := range zones {
-		if picks := p.gangPicks(j, n, zone, warm); picks != nil {
+		if picks := p.pickGangMachines(j, n, zone, localImageOnly); picks != nil {
 			p.cancelReservations(j)
 			attempt := p.NextAttempt()
 			j.GangAttempt = attempt
@@ -941,8 +943,8 @@
 		}
 	}
 	p.reserve(j)
-	if p.last() && !warm {
-		p.out.Unplaced = append(p.out.Unplaced, Unplaced{j, n})
+	if p.inFinalRound() && !localImageOnly {
+		p.output.Unplaced = append(p.output.Unplaced, Unplaced{j, n})
 	}
 }
 
@@ -959,9 +961,9 @@
 
 // gangPicks finds a machine for each of n tasks, in the given zone if one is
 // named, without changing the model.
-func (p *pass) gangPicks(j *Job, n int, zone string, warm bool) []int {
-	held := map[string]int{}
-	p.warm = warm
+func (p *pass) pickGangMachines(j *Job, n int, zone string, localImageOnly bool) []int {
+	placedByZone := map[string]int{}
+	p.localImageOnly = localImageOnly
 	p.scoreAll(j, zone)
 	var picks []int
 	defer func() {
@@ -970,11 +972,11 @@
 		}
 	}()
 	for range n {
-		i, victims := p.choose(j, held)
+		i, victims := p.chooseMachine(j, placedByZone)
 		if i < 0 || victims != nil { // a gang waits for room instead
 			return nil
 		}
-		held[p.usableMachines[i].Zone]++
+		placedByZone[p.usableMachines[i].Zone]++
 		p.available[i] = p.available[i].Sub(j.Need())
 		p.score(j, i)
 		picks = append(picks, i)
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -20,18 +20,18 @@
 
 // TestOrder covers each level: priority above, urgency from slack, team use,
 // start, rank.
-func TestOrder(t *testing.T) {
+func TestSortJobs(t *testing.T) {
 	prod := newJob("prod", wire.PriorityProduction, 9, 0, 0)
-	pressed := newJob("pressed", wire.PriorityLow, 8, 50, 70) // 20 s of slack
+	urgent := newJob("pressed", wire.PriorityLow, 8, 50, 70) // 20 s of slack
 	normal := newJob("normal", wire.PriorityNormal, 5, 50, 500)
 	older := newJob("older", wire.PriorityLow, 1, 10, 500)
 	longer := newJob("longer", wire.PriorityLow, 2, 90, 500)
 	shorter := newJob("shorter", wire.PriorityLow, 2, 10, 500)
 	frugal := newJob("frugal", wire.PriorityLow, 7, 10, 500)
 	frugal.Spec.Team = "u"
-	jobs := []*Job{shorter, longer, older, frugal, normal, pressed, prod}
+	jobs := []*Job{shorter, longer, older, frugal, normal, urgent, prod}
 	SortJobs(jobs, map[string]*Team{"t": {Usage: 5}, "u": {Usage: 1}}, 0)
-	want := []*Job{prod, pressed, normal, frugal, older, longer, shorter}
+	want := []*Job{prod, urgent, normal, frugal, older, longer, shorter}
 	for i := range want {
 		if jobs[i] != want[i] {
 			t.Fatalf("place %d: %s, want %s", i, jobs[i].ID, want[i].ID)
@@ -48,7 +48,7 @@
 // TestMakeRoomSparesPressedWork guards against work that starts and stops for
 // ever: found on incident inc-bfbf, where relaxed work of higher priority asked
 // pressed work to leave, whose place the queue gave straight back to it.
-func TestMakeRoomSparesPressedWork(t *testing.T) {
+func TestPreemptionSparesUrgentWork(t *testing.T) {
 	typ := &wire.MachineType{Name: "m", CPUs: 4, MemoryGB: 8}
 	for _, c := range []struct {
 		target Micros
--- a/internal/sched/size.go
+++ b/internal/sched/size.go
@@ -32,17 +32,17 @@
 // Measure works out what a task of the job takes of the type that suits it best. It
 // depends on the catalogue, without which it is the task's CPUs.
 func (j *Job) ComputeSize(types []wire.MachineType) {
-	j.taskCPUs, j.fastestBoot, j.large = 0, 0, false
+	j.taskCPUs, j.fastestBoot, j.largeTask = 0, 0, false
 	for i := range types {
 		t := &types[i]
 		if !j.Allows(t, j.Spec.Zone, false) {
 			continue
 		}
-		if s := j.Need().DominantCPUs(t); j.taskCPUs == 0 || s < j.taskCPUs {
-			j.taskCPUs, j.large = s, s > t.CPUs/2+slack
+		if cpus := j.Need().DominantCPUs(t); j.taskCPUs == 0 || cpus < j.taskCPUs {
+			j.taskCPUs, j.largeTask = cpus, cpus > t.CPUs/2+resourceTolerance
 		}
-		if b := clock.FromSeconds(t.BootTime); j.fastestBoot == 0 || b < j.fastestBoot {
-			j.fastestBoot = b
+		if boot := clock.FromSeconds(t.BootTime); j.fastestBoot == 0 || boot < j.fastestBoot {
+			j.fastestBoot = boot
 		}
 	}
 }
@@ -61,10 +61,10 @@
 // Decay brings a team's use up to now: what it holds adds up, and the past
 // fades over the window.
 func (t *Team) DecayUsage(now, window Micros) {
-	dt := now - t.UsageUpdatedAt
-	if dt <= 0 {
+	elapsed := now - t.UsageUpdatedAt
+	if elapsed <= 0 {
 		return
 	}
-	t.Usage = t.Usage*math.Exp(-float64(dt)/float64(window)) + t.AllocatedCPUs*dt.Seconds()
+	t.Usage = t.Usage*math.Exp(-float64(elapsed)/float64(window)) + t.AllocatedCPUs*elapsed.Seconds()
 	t.UsageUpdatedAt = now
 }
