--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -11,7 +11,7 @@
 
 // bigInput is a deployment of many machines, a third of them full, with
 // services and thousands of waiting tasks.
-func bigInput(machines, jobs, tasks int) *Input {
+func largeInput(machines, jobs, tasks int) *Input {
 	typ := &wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64, CacheGB: 40, Price: 1, SpotPrice: 0.2}
 	in := &Input{Now: 100 * clock.Second, MaxReportAge: 3 * clock.Second, Teams: map[string]*Team{"t": {}},
 		FetchRates: map[string]float64{"m": 0.3}, MaxTasksPerMachine: 100, ImageLocalityWindow: clock.Forever}
@@ -53,7 +53,7 @@
 // or machine that would have to be cleared; not once for each task.
 func TestPassCost(t *testing.T) {
 	const machines, jobs, tasks = 500, 100, 50
-	in := bigInput(machines, jobs, tasks)
+	in := largeInput(machines, jobs, tasks)
 	out := Plan(in)
 	if limit := 2*machines*jobs + 3*len(out.Launch); out.Evaluations > limit {
 		t.Errorf("weighed %d times, limit %d", out.Evaluations, limit)
@@ -72,10 +72,10 @@
 			b.Run(fmt.Sprintf("%d-%s", n, kind), func(b *testing.B) {
 				for b.Loop() {
 					b.StopTimer()
-					in := bigInput(n, n/5, 50)
+					in := largeInput(n, n/5, 50)
 					if kind == "over" {
-						due := &FairShare{Share: 1e9}
-						in.FairShare = func(*Job) *FairShare { return due }
+						fairShare := &FairShare{Share: 1e9}
+						in.FairShare = func(*Job) *FairShare { return fairShare }
 						for i, j := range in.Jobs {
 							j.MinShareStatus = admit.MinShareStatus{Needed: i%2 == 0, ServedShare: float64(i) / float64(len(in.Jobs))}
 						}
@@ -93,24 +93,24 @@
 
 // TestImagesFirst: a free place goes to the job whose image is there, unless
 // the job before it has waited much longer; no room stays empty.
-func TestImagesFirst(t *testing.T) {
+func TestImageLocality(t *testing.T) {
 	for _, c := range []struct {
-		patience Micros
-		rooms    int
-		want     []string
+		window Micros
+		slots  int
+		want   []string
 	}{
 		{30 * clock.Second, 1, []string{"younger/0"}},
 		{5 * clock.Second, 1, []string{"older/0"}},
 		{30 * clock.Second, 2, []string{"younger/0", "older/0"}},
 	} {
-		in := bigInput(1, 0, 0)
+		in := largeInput(1, 0, 0)
 		m := in.Machines[0]
 		for _, p := range m.Placements {
 			Detach(p, in.Teams)
 		}
 		m.Images["warm"] = 1
-		m.Type.CPUs = 4 * float64(c.rooms)
-		in.ImageLocalityWindow = c.patience
+		m.Type.CPUs = 4 * float64(c.slots)
+		in.ImageLocalityWindow = c.window
 		for i, id := range []string{"older", "younger"} {
 			j := newJob(id, wire.PriorityLow, Micros(10+20*i), 50, 0)
 			j.Spec.CPUs, j.Spec.Tasks, j.Spec.ImageGB, j.Spec.Spot = 4, 1, 2, true
@@ -124,14 +124,14 @@
 			got = append(got, p.Task)
 		}
 		if fmt.Sprint(got) != fmt.Sprint(c.want) {
-			t.Errorf("patience %v, %d rooms: placed %v, want %v", c.patience.Seconds(), c.rooms, got, c.want)
+			t.Errorf("patience %v, %d rooms: placed %v, want %v", c.window.Seconds(), c.slots, got, c.want)
 		}
 	}
 }
 
 // TestChoose covers what decides between two machines.
-func TestChoose(t *testing.T) {
-	warm := func(m *Machine) { m.Images["img"] = 1 }
+func TestChooseMachine(t *testing.T) {
+	localImage := func(m *Machine) { m.Images["img"] = 1 }
 	spot := func(m *Machine) { m.Spot = true }
 	fuller := func(m *Machine) {
 		task := fmt.Sprint("x/", len(m.Placements))
@@ -141,11 +141,11 @@
 	plain := func(*Machine) {}
 	for name, c := range map[string]struct {
 		first, second func(*Machine)
-		awaits        []string
-		lives         float64 // seconds until the cloud takes a spot machine; 0: never
+		dependsOn     []string
+		spotLifetime  float64 // seconds until the cloud takes a spot machine; 0: never
 		checkpoint    float64
 	}{
-		"warm before cold":                        {plain, warm, nil, 0, 0},
+		"warm before cold":                        {plain, localImage, nil, 0, 0},
 		"spot before ordinary":                    {plain, spot, nil, 0, 0},
 		"spot before ordinary, losses being rare": {plain, spot, nil, 80, 0},
 		"ordinary before spot, a loss being near": {spot, plain, nil, 70, 0},
@@ -153,9 +153,9 @@
 		"ordinary before spot in a pipeline":      {spot, plain, []string{"a"}, 0, 0},
 		"fuller before emptier":                   {plain, fuller, nil, 0, 0},
 		"sound before failing":                    {failing, plain, nil, 0, 0},
-		"room before none, though warm":           {func(m *Machine) { warm(m); fuller(m); fuller(m) }, plain, nil, 0, 0},
+		"room before none, though warm":           {func(m *Machine) { localImage(m); fuller(m); fuller(m) }, plain, nil, 0, 0},
 	} {
-		in := bigInput(0, 0, 0)
+		in := largeInput(0, 0, 0)
 		typ := &wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64}
 		for i, set := range []func(*Machine){c.first, c.second} {
 			m := &Machine{ID: fmt.Sprint("m-", i), Type: typ, Zone: "a", Up: true, Acked: true, LastReportAt: in.Now,
@@ -165,10 +165,10 @@
 		}
 		j := newJob("j", wire.PriorityNormal, 10, 50, 0)
 		j.Spec.CPUs, j.Spec.Tasks, j.Spec.Image, j.Spec.ImageGB, j.Spec.Spot = 4, 1, "img", 2, true
-		j.Tasks, j.Queue, j.Spec.DependsOn = make([]Task, 1), []int32{0}, c.awaits
+		j.Tasks, j.Queue, j.Spec.DependsOn = make([]Task, 1), []int32{0}, c.dependsOn
 		j.Spec.CheckpointInterval = c.checkpoint
-		if c.lives > 0 {
-			in.SpotLossRate = 1 / c.lives
+		if c.spotLifetime > 0 {
+			in.SpotLossRate = 1 / c.spotLifetime
 		}
 		in.Jobs = []*Job{j}
 		out := Plan(in)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -19,49 +19,51 @@
 )
 
 // cutOff is the world of a node that reaches nobody.
-type cutOff struct{}
+type unreachableEnv struct{}
 
-func (cutOff) Now() clock.Micros                                                { return 0 }
-func (cutOff) Wall() clock.Micros                                               { return 0 }
-func (cutOff) After(clock.Micros, func())                                       {}
-func (cutOff) Call(_ string, _ *peer.Msg, _ clock.Micros, done func(*peer.Msg)) { done(nil) }
-func (cutOff) SendOrders(_ string, _ *wire.Orders, done func(store.Outcome, *wire.Report)) {
+func (unreachableEnv) Now() clock.Micros                                                { return 0 }
+func (unreachableEnv) Wall() clock.Micros                                               { return 0 }
+func (unreachableEnv) After(clock.Micros, func())                                       {}
+func (unreachableEnv) Call(_ string, _ *peer.Msg, _ clock.Micros, done func(*peer.Msg)) { done(nil) }
+func (unreachableEnv) SendOrders(_ string, _ *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	done(store.Refused, nil)
 }
-func (cutOff) ConnectionUsage() float64 { return 0 }
-func (cutOff) State() store.Service     { return noState{} }
-func (cutOff) Cloud() controller.Cloud  { return noCloud{} }
+func (unreachableEnv) ConnectionUsage() float64 { return 0 }
+func (unreachableEnv) State() store.Service     { return unreachableState{} }
+func (unreachableEnv) Cloud() controller.Cloud  { return unreachableCloud{} }
 
-type noState struct{}
+type unreachableState struct{}
 
-func (noState) List(_, _ string, _ int, done func(store.Outcome, *wire.ItemList)) {
+func (unreachableState) List(_, _ string, _ int, done func(store.Outcome, *wire.ItemList)) {
 	done(store.Refused, &wire.ItemList{})
 }
-func (noState) Get(_ string, done func(store.Outcome, *wire.Item)) { done(store.Refused, &wire.Item{}) }
-func (noState) Txn(_ *wire.Txn, done func(store.Outcome, *wire.TxnAnswer)) {
+func (unreachableState) Get(_ string, done func(store.Outcome, *wire.Item)) {
+	done(store.Refused, &wire.Item{})
+}
+func (unreachableState) Txn(_ *wire.Txn, done func(store.Outcome, *wire.TxnAnswer)) {
 	done(store.Refused, &wire.TxnAnswer{})
 }
-func (noState) Grant(_ int64, done func(store.Outcome, uint64)) { done(store.Refused, 0) }
-func (noState) Renew(_ uint64, done func(store.Outcome))        { done(store.Refused) }
-func (noState) Revoke(_ uint64, done func(store.Outcome))       { done(store.Refused) }
-func (noState) Watch(string, uint64, int64, func(store.Outcome, *wire.WatchAnswer)) {
+func (unreachableState) Grant(_ int64, done func(store.Outcome, uint64)) { done(store.Refused, 0) }
+func (unreachableState) Renew(_ uint64, done func(store.Outcome))        { done(store.Refused) }
+func (unreachableState) Revoke(_ uint64, done func(store.Outcome))       { done(store.Refused) }
+func (unreachableState) Watch(string, uint64, int64, func(store.Outcome, *wire.WatchAnswer)) {
 }
 
-type noCloud struct{}
+type unreachableCloud struct{}
 
-func (noCloud) Catalog(done func(store.Outcome, *wire.Catalog)) { done(store.Refused, nil) }
-func (noCloud) Rent(_ *wire.RentRequest, done func(store.Outcome, []string)) {
+func (unreachableCloud) Catalog(done func(store.Outcome, *wire.Catalog)) { done(store.Refused, nil) }
+func (unreachableCloud) Rent(_ *wire.RentRequest, done func(store.Outcome, []string)) {
 	done(store.Refused, nil)
 }
-func (noCloud) Release(_ []string, done func(store.Outcome)) { done(store.Refused) }
-func (noCloud) List(_ string, _ int, done func(store.Outcome, *wire.MachineList)) {
+func (unreachableCloud) Release(_ []string, done func(store.Outcome)) { done(store.Refused) }
+func (unreachableCloud) List(_ string, _ int, done func(store.Outcome, *wire.MachineList)) {
 	done(store.Refused, nil)
 }
 
 // TestWorkersMakeRoom: beyond their part of the sockets, workers are answered and their
 // connections closed, so that a fleet larger than the node's sockets leaves room for users.
-func TestWorkersMakeRoom(t *testing.T) {
-	s := New(&owner{}, 10)
+func TestWorkerConnectionsClosed(t *testing.T) {
+	s := New(&testOwner{}, 10)
 	for open, want := range map[int64]string{5: "", 7: "close"} {
 		s.openConns.Store(open)
 		w := httptest.NewRecorder()
@@ -72,31 +74,31 @@
 	}
 }
 
-type owner struct {
+type testOwner struct {
 	mu   sync.Mutex
 	core *controller.Core
 }
 
-func (o *owner) Post(f func()) {
+func (o *testOwner) Post(f func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	f()
 }
 
-func (o *owner) Core() *controller.Core { return o.core }
+func (o *testOwner) Core() *controller.Core { return o.core }
 
-func newOwner() *owner {
+func newTestOwner() *testOwner {
 	cfg := &config.Config{Name: "n0"}
 	cfg.Params.State.RPS, cfg.Params.State.WriteRPS, cfg.Params.Cloud.RPS = 100, 100, 1
-	o := &owner{core: controller.New(cutOff{}, cfg, policy.Default(), 1)}
+	o := &testOwner{core: controller.New(unreachableEnv{}, cfg, policy.Default(), 1)}
 	o.Post(o.core.Start)
 	return o
 }
 
 // TestShedsUsersFirst shows that with few sockets left users are turned away
 // at once while workers still reach the owner.
-func TestShedsUsersFirst(t *testing.T) {
-	s := New(newOwner(), 10)
+func TestUsersRefusedFirst(t *testing.T) {
+	s := New(newTestOwner(), 10)
 	s.openConns.Store(9)
 	for path, want := range map[string]string{"/v2/runs/nobody": "1", "/checkin": ""} {
 		w := httptest.NewRecorder()
@@ -118,8 +120,8 @@
 	}
 }
 
-func TestEdge(t *testing.T) {
-	srv := httptest.NewServer(New(newOwner(), 100))
+func TestResponses(t *testing.T) {
+	srv := httptest.NewServer(New(newTestOwner(), 100))
 	defer srv.Close()
 	job := string(wire.Encode(&wire.Job{ID: "req-000001", Class: "c", Team: "t", Kind: wire.KindArray, Priority: "normal",
 		Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"}))
--- a/internal/sim/bench_test.go
+++ b/internal/sim/bench_test.go
@@ -14,7 +14,7 @@
 func newLoadedWorld(b testing.TB, nodes, n int) *World {
 	w := NewWorld(nodes, []string{"a"}, 7)
 	s := &script{w: w}
-	s.team("core", 0, 0)
+	s.addTeam("core", 0, 0)
 	w.Cloud.Types = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchRate: 1, Price: 1,
 		SpotPrice: 0.3, BootTime: 10, Zones: []string{"a"}}}
 	w.Config.Params.Workers.Report, w.Config.Params.Workers.Lease = 5, 25
--- a/internal/sim/bounds_test.go
+++ b/internal/sim/bounds_test.go
@@ -101,7 +101,7 @@
 func TestNoticesGoToTheLeader(t *testing.T) {
 	w := NewWorld(5, []string{"a"}, 7)
 	s := &script{w: w}
-	s.team("core", 0, 0)
+	s.addTeam("core", 0, 0)
 	s.compile("admission", args{})()
 	for _, n := range w.Nodes {
 		n.Start()
--- a/internal/sim/script_expect.go
+++ b/internal/sim/script_expect.go
@@ -37,11 +37,11 @@
 // expectation is judged at the end, or at the time given by "at".
 func (s *script) expectation(a args) func() {
 	w := s.w
-	judge := expectations[a.word(0)]
-	if judge == nil {
-		judge = (*script).expectJob
+	evaluate := expectations[a.word(0)]
+	if evaluate == nil {
+		evaluate = (*script).expectJob
 	}
-	check := func() error { return judge(s, a) }
+	check := func() error { return evaluate(s, a) }
 	return func() {
 		if w.now > 0 {
 			if err := check(); err != nil {
@@ -56,8 +56,8 @@
 // expectMachines: how many machines there are.
 func (s *script) expectMachines(a args) error {
 	w := s.w
-	if n := len(w.Cloud.Machines); n > int(a.number("max", 1e9)) || n < int(a.number("min", 0)) {
-		return fmt.Errorf("t=%v: %d machines", w.now.Seconds(), n)
+	if count := len(w.Cloud.Machines); count > int(a.number("max", 1e9)) || count < int(a.number("min", 0)) {
+		return fmt.Errorf("t=%v: %d machines", w.now.Seconds(), count)
 	}
 	return nil
 }
@@ -79,17 +79,17 @@
 // expectAccepted: of all users, in time.
 func (s *script) expectAccepted(a args) error {
 	w := s.w
-	most, n := Micros(0), 0
+	longestWait, refusals := Micros(0), 0
 	for _, id := range sortedKeys(w.Users) {
-		if u := w.Users[id]; !u.accepted {
-			return fmt.Errorf("t=%v: %s is not accepted (answer %d)", w.now.Seconds(), id, u.lastCode)
-		} else if since := w.Rules.jobs[id].acceptedAt - u.firstAttempt; since > most {
-			most = since
+		if user := w.Users[id]; !user.accepted {
+			return fmt.Errorf("t=%v: %s is not accepted (answer %d)", w.now.Seconds(), id, user.lastCode)
+		} else if wait := w.Rules.jobs[id].acceptedAt - user.firstAttempt; wait > longestWait {
+			longestWait = wait
 		}
-		n += w.Users[id].refusals
+		refusals += w.Users[id].refusals
 	}
-	if most.Seconds() > a.number("within", 60) || n > int(a.number("refused", 1e9)) || n < int(a.number("min-refused", 0)) {
-		return fmt.Errorf("t=%v: accepted after up to %v s, %d refusals", w.now.Seconds(), most.Seconds(), n)
+	if longestWait.Seconds() > a.number("within", 60) || refusals > int(a.number("refused", 1e9)) || refusals < int(a.number("min-refused", 0)) {
+		return fmt.Errorf("t=%v: accepted after up to %v s, %d refusals", w.now.Seconds(), longestWait.Seconds(), refusals)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 // expectOverload: as the leader has it.
 func (s *script) expectOverload(a args) error {
 	w := s.w
-	if l := w.Leader(); l == nil || !l.Up() || !l.core.Admission().Overloaded {
+	if leader := w.Leader(); leader == nil || !leader.Up() || !leader.core.Admission().Overloaded {
 		return fmt.Errorf("t=%v: no overload", w.now.Seconds())
 	}
 	return nil
@@ -115,9 +115,9 @@
 // expectAnswers: to submissions, of any kind.
 func (s *script) expectAnswers(a args) error {
 	w := s.w
-	list := slices.Sorted(slices.Values(w.SubmitLatencies))
-	if at := list[len(list)*99/100]; at.Seconds() > a.number("p99", 0.2) {
-		return fmt.Errorf("t=%v: p99 of %d answers %v s", w.now.Seconds(), len(list), at.Seconds())
+	latencies := slices.Sorted(slices.Values(w.SubmitLatencies))
+	if p99 := latencies[len(latencies)*99/100]; p99.Seconds() > a.number("p99", 0.2) {
+		return fmt.Errorf("t=%v: p99 of %d answers %v s", w.now.Seconds(), len(latencies), p99.Seconds())
 	}
 	return nil
 }
@@ -143,8 +143,8 @@
 // expectTerm: the term of the latest election.
 func (s *script) expectTerm(a args) error {
 	w := s.w
-	if n := w.State.term(); n < int(a.number("min", 0)) || n > int(a.number("max", 1e9)) {
-		return fmt.Errorf("t=%v: term %d", w.now.Seconds(), n)
+	if term := w.State.term(); term < int(a.number("min", 0)) || term > int(a.number("max", 1e9)) {
+		return fmt.Errorf("t=%v: term %d", w.now.Seconds(), term)
 	}
 	return nil
 }
@@ -152,12 +152,12 @@
 // expectRelayed: reports, or with the word orders these.
 func (s *script) expectRelayed(a args) error {
 	w := s.w
-	n := w.RelayedReports
+	relayed := w.RelayedReports
 	if a.hasFlag("orders") {
-		n = w.RelayedOrders
+		relayed = w.RelayedOrders
 	}
-	if n < int(a.number("min", 0)) || n > int(a.number("max", 1e9)) {
-		return fmt.Errorf("t=%v: %d relayed", w.now.Seconds(), n)
+	if relayed < int(a.number("min", 0)) || relayed > int(a.number("max", 1e9)) {
+		return fmt.Errorf("t=%v: %d relayed", w.now.Seconds(), relayed)
 	}
 	return nil
 }
@@ -165,9 +165,9 @@
 // expectCarried: workers by a controller, as the leader has it.
 func (s *script) expectCarried(a args) error {
 	w := s.w
-	n := w.Leader().core.Relays().WorkersPerRelay[a.word(1)]
-	if n < int(a.number("min", 0)) || n > int(a.number("max", 1e9)) {
-		return fmt.Errorf("t=%v: %s carries %d", w.now.Seconds(), a.word(1), n)
+	workers := w.Leader().core.Relays().WorkersPerRelay[a.word(1)]
+	if workers < int(a.number("min", 0)) || workers > int(a.number("max", 1e9)) {
+		return fmt.Errorf("t=%v: %s carries %d", w.now.Seconds(), a.word(1), workers)
 	}
 	return nil
 }
@@ -211,7 +211,7 @@
 // expectStarts: of tasks, on the whole day.
 func (s *script) expectStarts(a args) error {
 	w := s.w
-	if n := w.Rules.taskStarts; n > int(a.number("max", 1e9)) || n < int(a.number("min", 0)) {
+	if starts := w.Rules.taskStarts; starts > int(a.number("max", 1e9)) || starts < int(a.number("min", 0)) {
 		return fmt.Errorf("t=%v: %d starts", w.now.Seconds(), w.Rules.taskStarts)
 	}
 	return nil
@@ -220,8 +220,8 @@
 // expectStaleLost: tasks that a return took along whose caller leads no more.
 func (s *script) expectStaleLost(a args) error {
 	w := s.w
-	if n := w.Cloud.StaleReleaseLosses; n > int(a.number("max", 0)) {
-		return fmt.Errorf("t=%v: %d tasks went with stale returns", w.now.Seconds(), n)
+	if lost := w.Cloud.StaleReleaseLosses; lost > int(a.number("max", 0)) {
+		return fmt.Errorf("t=%v: %d tasks went with stale returns", w.now.Seconds(), lost)
 	}
 	return nil
 }
@@ -238,8 +238,8 @@
 // expectRented: machines, on the whole day.
 func (s *script) expectRented(a args) error {
 	w := s.w
-	if n := w.Cloud.rentedCount; n > int(a.number("max", 1e9)) || n < int(a.number("min", 0)) {
-		return fmt.Errorf("t=%v: %d machines were rented", w.now.Seconds(), n)
+	if rented := w.Cloud.rentedCount; rented > int(a.number("max", 1e9)) || rented < int(a.number("min", 0)) {
+		return fmt.Errorf("t=%v: %d machines were rented", w.now.Seconds(), rented)
 	}
 	return nil
 }
@@ -247,14 +247,14 @@
 // expectIntents: that stand.
 func (s *script) expectIntents(a args) error {
 	w := s.w
-	n := 0
+	intents := 0
 	for key := range w.State.items {
 		if strings.HasPrefix(key, "i/") {
-			n++
+			intents++
 		}
 	}
-	if n > int(a.number("max", 0)) {
-		return fmt.Errorf("t=%v: %d intents stand", w.now.Seconds(), n)
+	if intents > int(a.number("max", 0)) {
+		return fmt.Errorf("t=%v: %d intents stand", w.now.Seconds(), intents)
 	}
 	return nil
 }
@@ -271,14 +271,14 @@
 // expectRunning: how many of a job's tasks are on machines.
 func (s *script) expectRunning(a args) error {
 	w := s.w
-	n := 0
-	for task, on := range w.Rules.machinesByTask {
+	placed := 0
+	for task, machines := range w.Rules.machinesByTask {
 		if strings.HasPrefix(task, a.word(1)+"/") {
-			n += len(on)
+			placed += len(machines)
 		}
 	}
-	if least := int(a.number("min", 0)); n < least || least == 0 && n != int(a.number("tasks", 0)) {
-		return fmt.Errorf("t=%v: %s has %d tasks on machines, not %v", w.now.Seconds(), a.word(1), n, max(a.number("tasks", 0), float64(least)))
+	if minimum := int(a.number("min", 0)); placed < minimum || minimum == 0 && placed != int(a.number("tasks", 0)) {
+		return fmt.Errorf("t=%v: %s has %d tasks on machines, not %v", w.now.Seconds(), a.word(1), placed, max(a.number("tasks", 0), float64(minimum)))
 	}
 	return nil
 }
@@ -286,16 +286,16 @@
 // expectJob: what the user of a job was told last.
 func (s *script) expectJob(a args) error {
 	w := s.w
-	u := w.Users[a.word(0)]
-	if u == nil {
+	user := w.Users[a.word(0)]
+	if user == nil {
 		return fmt.Errorf("nobody submitted %s", a.word(0))
 	}
 	want := map[string]string{"done": wire.PhaseDone, "cancelled": wire.PhaseCancelled, "running": wire.PhaseRunning, "queued": wire.PhaseQueued}[a.word(1)]
-	if a.word(1) == "refused" && u.lastCode == 422 || a.word(1) == "malformed" && u.lastCode == 400 {
+	if a.word(1) == "refused" && user.lastCode == 422 || a.word(1) == "malformed" && user.lastCode == 400 {
 		return nil
 	}
-	if u.LastPhase != want {
-		return fmt.Errorf("t=%v: %s is %q, not %q (answer %d)", w.now.Seconds(), a.word(0), u.LastPhase, a.word(1), u.lastCode)
+	if user.LastPhase != want {
+		return fmt.Errorf("t=%v: %s is %q, not %q (answer %d)", w.now.Seconds(), a.word(0), user.LastPhase, a.word(1), user.lastCode)
 	}
 	return nil
 }
--- a/internal/sim/script_machines.go
+++ b/internal/sim/script_machines.go
@@ -14,9 +14,9 @@
 func (s *script) doHang(a args) func() {
 	w := s.w
 	return func() {
-		x := s.worker(a)
-		x.Hang(true)
-		w.After(a.duration("for", 5), func() { x.Hang(false) })
+		machine := s.worker(a)
+		machine.Hang(true)
+		w.After(a.duration("for", 5), func() { machine.Hang(false) })
 	}
 }
 
@@ -55,10 +55,10 @@
 			if rng.Float64() >= a.number("share", 0.3) {
 				continue
 			}
-			switch x := w.Cloud.Machines[id]; a.word(0) {
+			switch machine := w.Cloud.Machines[id]; a.word(0) {
 			case "hang":
-				x.Hang(true)
-				w.After(a.duration("for", 10), func() { x.Hang(false) })
+				machine.Hang(true)
+				w.After(a.duration("for", 10), func() { machine.Hang(false) })
 			case "cut":
 				s.compile("isolate", args{words: []string{"", "hold"}, pairs: map[string]string{"machine": id, "for": a.pairs["for"]}})()
 			case "deaf":
@@ -66,10 +66,10 @@
 			case "mute":
 				w.addHostFor(w.outboundLost, id, a.duration("for", 10))
 			case "reborn":
-				x.Restart()
+				machine.Restart()
 			case "sick":
-				x.Unhealthy = true
-				w.After(a.duration("for", 10), func() { x.Unhealthy = false })
+				machine.Unhealthy = true
+				w.After(a.duration("for", 10), func() { machine.Unhealthy = false })
 			case "taken":
 				w.Cloud.remove(id)
 			default:
--- a/internal/sim/script_network.go
+++ b/internal/sim/script_network.go
@@ -16,9 +16,9 @@
 			}
 		}
 		for _, from := range s.hosts(a.word(0)) {
-			for _, t := range to {
-				if t != from {
-					w.cutFor(from, t, mode, a.duration("for", 20))
+			for _, target := range to {
+				if target != from {
+					w.cutFor(from, target, mode, a.duration("for", 20))
 				}
 			}
 		}
@@ -38,9 +38,9 @@
 				outside = append(outside, id)
 			}
 		}
-		for _, n := range w.Nodes {
-			if n.name != inside[0] {
-				outside = append(outside, n.name)
+		for _, node := range w.Nodes {
+			if node.name != inside[0] {
+				outside = append(outside, node.name)
 			}
 		}
 		for _, from := range inside {
@@ -65,9 +65,9 @@
 	w := s.w
 	return func() {
 		mode := a.cutMode()
-		x := s.worker(a)
-		for _, n := range w.Nodes {
-			w.cutFor(x.id, n.name, mode, a.duration("for", 20))
+		machine := s.worker(a)
+		for _, node := range w.Nodes {
+			w.cutFor(machine.id, node.name, mode, a.duration("for", 20))
 		}
 	}
 }
@@ -76,10 +76,10 @@
 func (s *script) doApart(a args) func() {
 	w := s.w
 	return func() {
-		n := s.node(a.word(0)).name
+		name := s.node(a.word(0)).name
 		ids := sortedKeys(w.Cloud.Machines)
 		for _, id := range ids[:int(a.number("share", 0.5)*float64(len(ids)))] {
-			w.cutFor(n, id, Hold, a.duration("for", 20))
+			w.cutFor(name, id, Hold, a.duration("for", 20))
 		}
 	}
 }
@@ -113,10 +113,10 @@
 func (s *script) doCopies(a args) func() {
 	w := s.w
 	return func() {
-		c := &reportCopier{share: a.number("share", 0.5), delay: a.duration("by", 20), rng: rand.New(rand.NewPCG(uint64(w.now), 4)), untilElection: a.hasFlag("for-next")}
-		w.reportCopier = c
+		copier := &reportCopier{share: a.number("share", 0.5), delay: a.duration("by", 20), rng: rand.New(rand.NewPCG(uint64(w.now), 4)), untilElection: a.hasFlag("for-next")}
+		w.reportCopier = copier
 		w.After(a.duration("for", 60), func() {
-			if w.reportCopier == c {
+			if w.reportCopier == copier {
 				w.reportCopier = nil
 			}
 		})
--- a/internal/sim/script_nodes.go
+++ b/internal/sim/script_nodes.go
@@ -28,9 +28,9 @@
 		} else {
 			nodes = []*Node{s.node(a.word(0))}
 		}
-		for _, n := range nodes {
-			n.Kill()
-			w.After(a.duration("for", 5), n.Start)
+		for _, node := range nodes {
+			node.Kill()
+			w.After(a.duration("for", 5), node.Start)
 		}
 	}
 }
@@ -63,11 +63,11 @@
 func (s *script) doUpgrade(a args) func() {
 	w := s.w
 	return func() {
-		for _, n := range w.Nodes {
-			if n.oldVersion && (a.word(0) == n.name || a.word(0) == "next") {
-				n.oldVersion = false
-				n.Kill()
-				w.After(a.duration("for", 3), n.Start)
+		for _, node := range w.Nodes {
+			if node.oldVersion && (a.word(0) == node.name || a.word(0) == "next") {
+				node.oldVersion = false
+				node.Kill()
+				w.After(a.duration("for", 3), node.Start)
 				return
 			}
 		}
@@ -78,9 +78,9 @@
 func (s *script) doRefuse(a args) func() {
 	w := s.w
 	return func() {
-		n := s.node(a.word(0)).name
-		w.State.RefusedNodes[n] = true
-		w.After(a.duration("for", 20), func() { w.State.RefusedNodes[n] = false; w.State.notify() })
+		name := s.node(a.word(0)).name
+		w.State.RefusedNodes[name] = true
+		w.After(a.duration("for", 20), func() { w.State.RefusedNodes[name] = false; w.State.notify() })
 	}
 }
 
--- a/internal/sim/script_setup.go
+++ b/internal/sim/script_setup.go
@@ -16,16 +16,16 @@
 
 // doRun: how long the scenario is played.
 func (s *script) doRun(a args) func() {
-	t, err := strconv.ParseFloat(a.word(0), 64)
+	seconds, err := strconv.ParseFloat(a.word(0), 64)
 	if err != nil {
 		panic("run: " + a.word(0))
 	}
-	return func() { s.until = Micros(t * 1e6) }
+	return func() { s.endTime = Micros(seconds * 1e6) }
 }
 
 // doTeam: a team and its limits.
 func (s *script) doTeam(a args) func() {
-	return func() { s.team(a.word(0), a.number("cpus", 0), a.number("max", 0)) }
+	return func() { s.addTeam(a.word(0), a.number("cpus", 0), a.number("max", 0)) }
 }
 
 // doType: a machine type.
@@ -33,8 +33,8 @@
 	w := s.w
 	return func() {
 		zones := []string{"a"}
-		if z := a.pairs["zones"]; z != "" {
-			zones = strings.Split(z, ",")
+		if list := a.pairs["zones"]; list != "" {
+			zones = strings.Split(list, ",")
 		}
 		w.Cloud.Types = append(w.Cloud.Types, wire.MachineType{Name: a.word(0), CPUs: a.number("cpus", 8), GPUs: a.number("gpus", 0),
 			MemoryGB: a.number("mem", 32), CacheGB: 50, FetchRate: a.number("fetch", 1), Price: a.number("price", 1),
@@ -53,14 +53,14 @@
 	w := s.w
 	return func() {
 		program := "admission = True\n"
-		for _, k := range sortedKeys(a.pairs) {
-			program += k + " = " + a.pairs[k] + "\n"
+		for _, key := range sortedKeys(a.pairs) {
+			program += key + " = " + a.pairs[key] + "\n"
 		}
-		pol, err := policy.Parse(policy.Program{Name: "admission", Text: program})
+		parsed, err := policy.Parse(policy.Program{Name: "admission", Text: program})
 		if err != nil {
 			panic(err.Error())
 		}
-		w.policy = pol
+		w.policy = parsed
 	}
 }
 
@@ -68,9 +68,9 @@
 func (s *script) doRelay(a args) func() {
 	w := s.w
 	return func() {
-		pol := *w.policy
-		pol.Relay = policy.Relay{Enabled: true, MinWorkers: int(a.number("workers", 1))}
-		w.policy = &pol
+		withRelay := *w.policy
+		withRelay.Relay = policy.Relay{Enabled: true, MinWorkers: int(a.number("workers", 1))}
+		w.policy = &withRelay
 	}
 }
 
@@ -105,10 +105,10 @@
 func (s *script) doRepeat(a args) func() {
 	w := s.w
 	return func() {
-		at, each := w.now, args{words: a.words, pairs: maps.Clone(a.pairs)}
-		delete(each.pairs, "count")
+		at, repeated := w.now, args{words: a.words, pairs: maps.Clone(a.pairs)}
+		delete(repeated.pairs, "count")
 		for range int(a.number("count", 1)) {
-			s.tryAt(at, each)
+			s.tryAt(at, repeated)
 			at += a.duration("every", 1)
 		}
 	}
@@ -135,8 +135,8 @@
 func (s *script) doWorkers(a args) func() {
 	w := s.w
 	return func() {
-		p := &w.Config.Params.Workers
-		p.Report, p.Lease, p.Cancel = a.number("report", 1), a.number("lease", 10), a.number("cancel", p.Cancel)
+		params := &w.Config.Params.Workers
+		params.Report, params.Lease, params.Cancel = a.number("report", 1), a.number("lease", 10), a.number("cancel", params.Cancel)
 	}
 }
 
@@ -152,8 +152,8 @@
 	return func() {
 		for _, word := range a.words {
 			if word == "all" {
-				for _, n := range w.Nodes {
-					n.oldVersion = true
+				for _, node := range w.Nodes {
+					node.oldVersion = true
 				}
 			} else {
 				s.node(word).oldVersion = true
@@ -165,9 +165,9 @@
 // doChaos: see chaos.
 func (s *script) doChaos(a args) func() {
 	return func() {
-		day := chaos{s: s, from: a.duration("from", 20), to: a.duration("to", 200), every: a.duration("every", 8), dependenciesFrom: a.duration("pipelines", 1e9),
+		plan := chaosPlan{s: s, from: a.duration("from", 20), to: a.duration("to", 200), every: a.duration("every", 8), dependenciesFrom: a.duration("pipelines", 1e9),
 			jobScale: int(a.number("size", 1)), extraFaults: int(a.number("more", 0)), pairedFaults: a.hasFlag("pairs")}
-		day.schedule(uint64(a.number("seed", 1)))
+		plan.schedule(uint64(a.number("seed", 1)))
 	}
 }
 
--- a/internal/sim/script_users.go
+++ b/internal/sim/script_users.go
@@ -15,12 +15,12 @@
 // doSubmit: a user submits a job.
 func (s *script) doSubmit(a args) func() {
 	w := s.w
-	job := s.job(a)
+	job := s.parseJob(a)
 	w.failingJobs[job.ID] = a.hasFlag("broken") // submitted with a mistake: it fails on every machine
 	return func() {
 		if a.hasFlag("malformed") { // a field is missing
-			u := w.UserFor(job)
-			u.submitWith(u.malformedSubmission)
+			user := w.UserFor(job)
+			user.submitWith(user.malformedSubmission)
 			return
 		}
 		w.Submit(job)
@@ -46,14 +46,14 @@
 		if err != nil {
 			panic("burst: " + id)
 		}
-		every := int(a.number("cancel", 0)) // so many are cancelled: each at some instant of its first seconds
+		cancelInterval := int(a.number("cancel", 0)) // so many are cancelled: each at some instant of its first seconds
 		rng := rand.New(rand.NewPCG(uint64(first), 7))
 		for i := range count {
-			job := s.job(a)
+			job := s.parseJob(a)
 			job.ID = fmt.Sprintf("req-%06d", first+i)
 			at := w.now + a.duration("over", 0)*Micros(i)/Micros(count)
 			w.At(at, func() { w.Submit(job) })
-			if every > 0 && i%every == 0 {
+			if cancelInterval > 0 && i%cancelInterval == 0 {
 				s.tryAt(at+Micros(rng.Int64N(int64(a.duration("within", 20)))), args{words: []string{"cancel", job.ID}})
 			}
 		}
@@ -66,21 +66,21 @@
 	return func() {
 		first, _ := strconv.Atoi(strings.TrimPrefix(a.word(0), "req-")) // checked when it was submitted
 		for i := range int(a.number("count", 1)) {
-			u := w.Users[fmt.Sprintf("req-%06d", first+i)]
-			if u == nil {
+			user := w.Users[fmt.Sprintf("req-%06d", first+i)]
+			if user == nil {
 				panic("resubmit: nobody submitted " + a.word(0))
 			}
-			other := *u.job
+			changed := *user.job
 			switch {
 			case a.hasFlag("malformed"):
-				u.submitWith(u.malformedSubmission)
+				user.submitWith(user.malformedSubmission)
 				continue
 			case a.hasFlag("other"):
-				other.CPUs = 1e6
+				changed.CPUs = 1e6
 			case a.hasFlag("less"):
-				other.Tasks = 1
+				changed.Tasks = 1
 			}
-			u.submitWith(func(c *controller.Core, reply func(controller.Answer)) { c.Submit(&other, reply) })
+			user.submitWith(func(c *controller.Core, reply func(controller.Answer)) { c.Submit(&changed, reply) })
 		}
 	}
 }
@@ -89,13 +89,13 @@
 func (s *script) doPoll(a args) func() {
 	w := s.w
 	return func() {
-		u := w.Users[a.word(0)]
-		if u == nil {
-			u = &User{w: w, job: &wire.Job{ID: a.word(0)}}
+		user := w.Users[a.word(0)]
+		if user == nil {
+			user = &User{w: w, job: &wire.Job{ID: a.word(0)}}
 		}
-		u.connectedNode = a.pairs["at"]
-		u.Poll(nil)
-		u.connectedNode = ""
+		user.connectedNode = a.pairs["at"]
+		user.Poll(nil)
+		user.connectedNode = ""
 	}
 }
 
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -289,7 +289,7 @@
 // runCommands executes commands in order.
 func (x *Worker) runCommands(cmds []wire.Command) {
 	for _, c := range cmds {
-		key := c.Task + "#" + itoa(c.Attempt)
+		key := c.Task + "#" + formatUint(c.Attempt)
 		t := x.tasks[key]
 		switch c.Op {
 		case wire.OpStart:
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -25,91 +25,91 @@
 	return &HTTPClient{client: rpc.New(addr), post: post}
 }
 
-const timeout = 1500 * time.Millisecond
+const requestTimeout = 1500 * time.Millisecond
 
 // call runs one request in the background and classifies its outcome.
-func call[T any](h *HTTPClient, method, path string, in any, limit time.Duration, done func(Outcome, *T)) {
+func call[T any](h *HTTPClient, method, path string, request any, timeout time.Duration, done func(Outcome, *T)) {
 	go func() {
-		out := new(T)
-		status, raw, _, err := h.client.Call(method, path, in, out, limit)
-		o := Unknown
+		answer := new(T)
+		status, body, _, err := h.client.Call(method, path, request, answer, timeout)
+		outcome := Unknown
 		switch {
 		case errors.Is(err, rpc.ErrNotSent):
-			o = Refused
+			outcome = Refused
 		case err != nil:
 		case status == http.StatusOK:
-			o = OK
+			outcome = OK
 		case status == http.StatusNotFound, status == http.StatusConflict:
-			o = Failed
-			if wire.Decode(raw, out) != nil {
-				out = new(T)
+			outcome = Failed
+			if wire.Decode(body, answer) != nil {
+				answer = new(T)
 			}
 		case status == http.StatusGone:
-			o = Gone
+			outcome = Gone
 		case status == http.StatusTooManyRequests:
-			o = RateLimited
+			outcome = RateLimited
 		case status == http.StatusBadRequest:
-			var p wire.Problem
-			if wire.Decode(raw, &p) == nil && p.Error == noSuchLease {
-				o = Refused
+			var problem wire.Problem
+			if wire.Decode(body, &problem) == nil && problem.Error == noSuchLease {
+				outcome = Refused
 				break
 			}
-			o = Invalid
-			slog.Info("state service refused a request", "method", method, "path", path, "why", p.Error)
+			outcome = Invalid
+			slog.Info("state service refused a request", "method", method, "path", path, "why", problem.Error)
 		case status == http.StatusServiceUnavailable, status >= 400 && status < 500:
-			o = Refused
+			outcome = Refused
 		}
-		if o == Unknown {
+		if outcome == Unknown {
 			slog.Debug("state service", "path", path, "status", status, "err", err)
 		}
-		h.post(func() { done(o, out) })
+		h.post(func() { done(outcome, answer) })
 	}()
 }
 
 // noSuchLease is the protocol's error for a change that hangs on an ended lease.
 const noSuchLease = "no such lease"
 
-type none struct{}
+type emptyAnswer struct{}
 
 // List reads a page of keys.
 func (h *HTTPClient) List(prefix, after string, limit int, done func(Outcome, *wire.ItemList)) {
-	q := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(limit)}}
+	query := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(limit)}}
 	if after != "" {
-		q.Set("since", after)
+		query.Set("since", after)
 	}
-	call(h, http.MethodGet, "/store?"+q.Encode(), nil, 2*timeout, done)
+	call(h, http.MethodGet, "/store?"+query.Encode(), nil, 2*requestTimeout, done)
 }
 
 // Get reads one key.
 func (h *HTTPClient) Get(key string, done func(Outcome, *wire.Item)) {
-	call(h, http.MethodGet, "/store/"+key, nil, timeout, done)
+	call(h, http.MethodGet, "/store/"+key, nil, requestTimeout, done)
 }
 
 // Txn runs a transaction.
 func (h *HTTPClient) Txn(txn *wire.Txn, done func(Outcome, *wire.TxnAnswer)) {
-	call(h, http.MethodPost, "/txn", txn, timeout, done)
+	call(h, http.MethodPost, "/txn", txn, requestTimeout, done)
 }
 
 // Grant asks for a lease.
-func (h *HTTPClient) Grant(ttl int64, done func(Outcome, uint64)) {
-	call(h, http.MethodPost, "/grants", &wire.LeaseRequest{TTL: ttl}, timeout,
-		func(o Outcome, a *wire.LeaseAnswer) { done(o, a.Lease) })
+func (h *HTTPClient) Grant(ttlMillis int64, done func(Outcome, uint64)) {
+	call(h, http.MethodPost, "/grants", &wire.LeaseRequest{TTL: ttlMillis}, requestTimeout,
+		func(outcome Outcome, answer *wire.LeaseAnswer) { done(outcome, answer.Lease) })
 }
 
 // Renew renews a lease.
 func (h *HTTPClient) Renew(lease uint64, done func(Outcome)) {
-	call(h, http.MethodPost, fmt.Sprintf("/grants/%d/renew", lease), nil, timeout/2,
-		func(o Outcome, _ *none) { done(o) })
+	call(h, http.MethodPost, fmt.Sprintf("/grants/%d/renew", lease), nil, requestTimeout/2,
+		func(outcome Outcome, _ *emptyAnswer) { done(outcome) })
 }
 
 // Revoke ends a lease.
 func (h *HTTPClient) Revoke(lease uint64, done func(Outcome)) {
-	call(h, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, timeout,
-		func(o Outcome, _ *none) { done(o) })
+	call(h, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, requestTimeout,
+		func(outcome Outcome, _ *emptyAnswer) { done(outcome) })
 }
 
 // Watch waits for changes.
-func (h *HTTPClient) Watch(prefix string, since uint64, wait int64, done func(Outcome, *wire.WatchAnswer)) {
-	q := url.Values{"starts": {prefix}, "since": {strconv.FormatUint(since, 10)}, "hold_ms": {strconv.FormatInt(wait, 10)}}
-	call(h, http.MethodGet, "/watch?"+q.Encode(), nil, time.Duration(wait)*time.Millisecond+3*time.Second, done)
+func (h *HTTPClient) Watch(prefix string, since uint64, waitMillis int64, done func(Outcome, *wire.WatchAnswer)) {
+	query := url.Values{"starts": {prefix}, "since": {strconv.FormatUint(since, 10)}, "hold_ms": {strconv.FormatInt(waitMillis, 10)}}
+	call(h, http.MethodGet, "/watch?"+query.Encode(), nil, time.Duration(waitMillis)*time.Millisecond+3*time.Second, done)
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -19,31 +19,31 @@
 // NewHTTP makes a client of all workers.
 func NewHTTPClient(post func(func())) *HTTPClient { return &HTTPClient{post: post} }
 
-const timeout = 2 * time.Second
+const ordersTimeout = 2 * time.Second
 
 // Order sends commands to the worker at addr.
 func (h *HTTPClient) SendOrders(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	go func() {
 		client := rpc.NewSingleUse(addr)
-		status, raw, _, err := client.Call(http.MethodPost, "/orders", orders, nil, timeout)
-		o := store.Unknown
+		status, body, _, err := client.Call(http.MethodPost, "/orders", orders, nil, ordersTimeout)
+		outcome := store.Unknown
 		var report *wire.Report
 		switch {
 		case errors.Is(err, rpc.ErrNotSent):
-			o = store.Refused
+			outcome = store.Refused
 		case err != nil:
 		case status == http.StatusOK:
-			o = store.OK
+			outcome = store.OK
 		case status == http.StatusConflict:
-			o = store.Failed
+			outcome = store.Failed
 		case status == http.StatusBadRequest:
-			o = store.Refused
+			outcome = store.Refused
 		}
-		if o == store.OK || o == store.Failed {
-			if report, err = wire.DecodeReport(raw); err != nil {
+		if outcome == store.OK || outcome == store.Failed {
+			if report, err = wire.DecodeReport(body); err != nil {
 				report = nil
 			}
 		}
-		h.post(func() { done(o, report) })
+		h.post(func() { done(outcome, report) })
 	}()
 }
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -28,91 +28,91 @@
 // needs. It guards the library's decoders, which trust declared lengths when
 // they size maps and recurse into nested values.
 func Check(body []byte) error {
-	var left [maxDepth + 1]uint64
-	depth, at := 0, 0
-	left[0] = 1
-	need := func(n uint64) bool { return n <= uint64(len(body)-at) }
-	size := func(width int) (uint64, bool) {
-		if !need(uint64(width)) {
+	var remaining [maxDepth + 1]uint64
+	depth, pos := 0, 0
+	remaining[0] = 1
+	available := func(n uint64) bool { return n <= uint64(len(body)-pos) }
+	readLength := func(width int) (uint64, bool) {
+		if !available(uint64(width)) {
 			return 0, false
 		}
 		var v uint64
 		switch width {
 		case 1:
-			v = uint64(body[at])
+			v = uint64(body[pos])
 		case 2:
-			v = uint64(binary.BigEndian.Uint16(body[at:]))
+			v = uint64(binary.BigEndian.Uint16(body[pos:]))
 		case 4:
-			v = uint64(binary.BigEndian.Uint32(body[at:]))
+			v = uint64(binary.BigEndian.Uint32(body[pos:]))
 		}
-		at += width
+		pos += width
 		return v, true
 	}
 	for {
-		for left[depth] == 0 {
+		for remaining[depth] == 0 {
 			if depth == 0 {
-				if at != len(body) {
+				if pos != len(body) {
 					return ErrMalformed
 				}
 				return nil
 			}
 			depth--
 		}
-		left[depth]--
-		if !need(1) {
+		remaining[depth]--
+		if !available(1) {
 			return ErrMalformed
 		}
-		c := body[at]
-		at++
+		code := body[pos]
+		pos++
 		var skip, nested uint64
-		ok, opens := true, false
+		ok, isContainer := true, false
 		switch {
-		case msgpcode.IsFixedNum(c), c == msgpcode.Nil, c == msgpcode.False, c == msgpcode.True:
-		case msgpcode.IsFixedMap(c):
-			nested, opens = 2*uint64(c&msgpcode.FixedMapMask), true
-		case msgpcode.IsFixedArray(c):
-			nested, opens = uint64(c&msgpcode.FixedArrayMask), true
-		case msgpcode.IsFixedString(c):
-			skip = uint64(c & msgpcode.FixedStrMask)
-		case c == msgpcode.Uint8, c == msgpcode.Int8:
+		case msgpcode.IsFixedNum(code), code == msgpcode.Nil, code == msgpcode.False, code == msgpcode.True:
+		case msgpcode.IsFixedMap(code):
+			nested, isContainer = 2*uint64(code&msgpcode.FixedMapMask), true
+		case msgpcode.IsFixedArray(code):
+			nested, isContainer = uint64(code&msgpcode.FixedArrayMask), true
+		case msgpcode.IsFixedString(code):
+			skip = uint64(code & msgpcode.FixedStrMask)
+		case code == msgpcode.Uint8, code == msgpcode.Int8:
 			skip = 1
-		case c == msgpcode.Uint16, c == msgpcode.Int16:
+		case code == msgpcode.Uint16, code == msgpcode.Int16:
 			skip = 2
-		case c == msgpcode.Uint32, c == msgpcode.Int32, c == msgpcode.Float:
+		case code == msgpcode.Uint32, code == msgpcode.Int32, code == msgpcode.Float:
 			skip = 4
-		case c == msgpcode.Uint64, c == msgpcode.Int64, c == msgpcode.Double:
+		case code == msgpcode.Uint64, code == msgpcode.Int64, code == msgpcode.Double:
 			skip = 8
-		case c == msgpcode.Str8:
-			skip, ok = size(1)
-		case c == msgpcode.Str16:
-			skip, ok = size(2)
-		case c == msgpcode.Str32:
-			skip, ok = size(4)
-		case c == msgpcode.Array16:
-			nested, ok = size(2)
-			opens = true
-		case c == msgpcode.Array32:
-			nested, ok = size(4)
-			opens = true
-		case c == msgpcode.Map16:
-			nested, ok = size(2)
-			nested, opens = nested*2, true
-		case c == msgpcode.Map32:
-			nested, ok = size(4)
-			nested, opens = nested*2, true
+		case code == msgpcode.Str8:
+			skip, ok = readLength(1)
+		case code == msgpcode.Str16:
+			skip, ok = readLength(2)
+		case code == msgpcode.Str32:
+			skip, ok = readLength(4)
+		case code == msgpcode.Array16:
+			nested, ok = readLength(2)
+			isContainer = true
+		case code == msgpcode.Array32:
+			nested, ok = readLength(4)
+			isContainer = true
+		case code == msgpcode.Map16:
+			nested, ok = readLength(2)
+			nested, isContainer = nested*2, true
+		case code == msgpcode.Map32:
+			nested, ok = readLength(4)
+			nested, isContainer = nested*2, true
 		default: // binary and extension types are not part of the protocol
 			ok = false
 		}
-		if !ok || !need(skip) || !need(nested) {
+		if !ok || !available(skip) || !available(nested) {
 			return ErrMalformed
 		}
-		at += int(skip)
-		if opens {
+		pos += int(skip)
+		if isContainer {
 			if depth == maxDepth {
 				return ErrMalformed
 			}
 			depth++
-			left[depth] = nested
+			remaining[depth] = nested
 		}
 	}
 }
@@ -121,48 +121,48 @@
 
 // Encode renders a message. It panics on values that MessagePack can't hold,
 // which no type of this package contains.
-func Encode(v any) []byte {
-	var buf bytes.Buffer
-	enc := encoders.Get().(*msgpack.Encoder)
-	defer encoders.Put(enc)
-	enc.Reset(&buf)
-	enc.UseCompactInts(true)
-	if err := enc.Encode(v); err != nil {
-		panic(fmt.Sprintf("wire: encode %T: %v", v, err))
+func Encode(message any) []byte {
+	var buffer bytes.Buffer
+	encoder := encoders.Get().(*msgpack.Encoder)
+	defer encoders.Put(encoder)
+	encoder.Reset(&buffer)
+	encoder.UseCompactInts(true)
+	if err := encoder.Encode(message); err != nil {
+		panic(fmt.Sprintf("wire: encode %T: %v", message, err))
 	}
-	return buf.Bytes()
+	return buffer.Bytes()
 }
 
 // Decode reads a message that must be a map into v.
-func Decode(body []byte, v any) error {
+func Decode(body []byte, message any) error {
 	if err := Check(body); err != nil {
 		return err
 	}
 	if !isMap(body[0]) {
 		return ErrNotMap
 	}
-	return msgpack.Unmarshal(body, v)
+	return msgpack.Unmarshal(body, message)
 }
 
-func isMap(c byte) bool {
-	return msgpcode.IsFixedMap(c) || c == msgpcode.Map16 || c == msgpcode.Map32
+func isMap(code byte) bool {
+	return msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
 }
 
 // DecodeReport reads a worker's report and checks the fields it must have.
 func DecodeReport(body []byte) (*Report, error) {
-	r := new(Report)
-	if err := Decode(body, r); err != nil {
+	report := new(Report)
+	if err := Decode(body, report); err != nil {
 		return nil, err
 	}
-	if r.Machine == "" || len(r.Machine) > 100 || r.Type == "" || r.Session == 0 {
+	if report.Machine == "" || len(report.Machine) > 100 || report.Type == "" || report.Session == 0 {
 		return nil, errors.New("report: spindle, loom or spin is missing")
 	}
-	for i := range r.Tasks {
-		if _, _, ok := SplitTask(r.Tasks[i].Task); !ok {
-			return nil, fmt.Errorf("report: task id %q", r.Tasks[i].Task)
+	for i := range report.Tasks {
+		if _, _, ok := SplitTask(report.Tasks[i].Task); !ok {
+			return nil, fmt.Errorf("report: task id %q", report.Tasks[i].Task)
 		}
 	}
-	return r, nil
+	return report, nil
 }
 
 // ValidID reports whether id has the documented form of a job id: "req-" and
@@ -185,11 +185,11 @@
 
 // SplitTask takes a task's name apart.
 func SplitTask(id string) (job string, task int, ok bool) {
-	job, num, found := strings.Cut(id, "/")
+	job, index, found := strings.Cut(id, "/")
 	if !found || !ValidID(job) {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(num)
+	n, err := strconv.Atoi(index)
 	if err != nil || n < 0 || n >= MaxTasks {
 		return "", 0, false
 	}
@@ -199,48 +199,48 @@
 // DecodeJob reads and checks a submission. Every error it returns means that
 // the submission is malformed.
 func DecodeJob(body []byte) (*Job, error) {
-	var m map[string]any
-	if err := Decode(body, &m); err != nil {
+	var values map[string]any
+	if err := Decode(body, &values); err != nil {
 		return nil, err
 	}
-	f := fields{m: m}
-	j := &Job{
-		ID: f.text("uid"), Class: f.text("skein"), Team: f.text("crew"),
-		Kind: f.text("weave"), Priority: f.text("rank"), Tasks: f.count("stitches"),
-		CPUs: f.number("cores"), GPUs: f.number("accelerators"), MemoryGB: f.number("mem_gb"),
-		Image: f.text("pattern"), ImageGB: f.number("pull_gb"),
-		Types: f.texts("looms"), Zone: f.optionalText("bolt"),
-		OneZone: f.flag("together"), Spread: f.flag("apart"), Spot: f.flag("remnant"),
-		Estimate: f.number("expect_s"), CheckpointInterval: f.number("knot_s"), SaveDuration: f.number("tie_s"),
-		DependsOn: distinct(f.texts("awaits")),
+	reader := fieldReader{values: values}
+	job := &Job{
+		ID: reader.text("uid"), Class: reader.text("skein"), Team: reader.text("crew"),
+		Kind: reader.text("weave"), Priority: reader.text("rank"), Tasks: reader.count("stitches"),
+		CPUs: reader.number("cores"), GPUs: reader.number("accelerators"), MemoryGB: reader.number("mem_gb"),
+		Image: reader.text("pattern"), ImageGB: reader.number("pull_gb"),
+		Types: reader.texts("looms"), Zone: reader.optionalText("bolt"),
+		OneZone: reader.flag("together"), Spread: reader.flag("apart"), Spot: reader.flag("remnant"),
+		Estimate: reader.number("expect_s"), CheckpointInterval: reader.number("knot_s"), SaveDuration: reader.number("tie_s"),
+		DependsOn: distinct(reader.texts("awaits")),
 	}
-	if v, ok := m["due_s"]; ok && v != nil {
-		d := f.number("due_s")
-		j.Deadline = &d
+	if v, ok := values["due_s"]; ok && v != nil {
+		deadline := reader.number("due_s")
+		job.Deadline = &deadline
 	}
 	switch {
-	case f.err != nil:
-		return nil, f.err
-	case !ValidID(j.ID):
-		return nil, fmt.Errorf("uid: %q is not a job id", j.ID)
-	case j.Kind != KindArray && j.Kind != KindGang && j.Kind != KindService:
-		return nil, fmt.Errorf("weave: unknown kind %q", j.Kind)
-	case PriorityOf(j.Priority) < 0:
-		return nil, fmt.Errorf("rank: unknown priority %q", j.Priority)
-	case j.Tasks < 1 || j.Tasks > MaxTasks:
-		return nil, fmt.Errorf("stitches: %d is not between 1 and %d", j.Tasks, MaxTasks)
+	case reader.err != nil:
+		return nil, reader.err
+	case !ValidID(job.ID):
+		return nil, fmt.Errorf("uid: %q is not a job id", job.ID)
+	case job.Kind != KindArray && job.Kind != KindGang && job.Kind != KindService:
+		return nil, fmt.Errorf("weave: unknown kind %q", job.Kind)
+	case PriorityOf(job.Priority) < 0:
+		return nil, fmt.Errorf("rank: unknown priority %q", job.Priority)
+	case job.Tasks < 1 || job.Tasks > MaxTasks:
+		return nil, fmt.Errorf("stitches: %d is not between 1 and %d", job.Tasks, MaxTasks)
 	}
-	return j, nil
+	return job, nil
 }
 
 // SubmittedID is the job's id in the body of a submission that may be malformed otherwise;
 // empty if there is none that is valid.
 func SubmittedID(body []byte) string {
-	var m map[string]any
-	if Decode(body, &m) != nil {
+	var values map[string]any
+	if Decode(body, &values) != nil {
 		return ""
 	}
-	if id, _ := m["uid"].(string); ValidID(id) {
+	if id, _ := values["uid"].(string); ValidID(id) {
 		return id
 	}
 	return ""
@@ -270,45 +270,45 @@
 }
 
 // fields reads typed fields of a generic map and keeps the first error.
-type fields struct {
-	m   map[string]any
-	err error
+type fieldReader struct {
+	values map[string]any
+	err    error
 }
 
-func (f *fields) fail(name, what string) {
+func (f *fieldReader) fail(name, problem string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s", name, what)
+		f.err = fmt.Errorf("%s: %s", name, problem)
 	}
 }
 
-func (f *fields) text(name string) string {
-	s, ok := f.m[name].(string)
+func (f *fieldReader) text(name string) string {
+	s, ok := f.values[name].(string)
 	if !ok || s == "" || len(s) > 150 {
 		f.fail(name, "a text is needed")
 	}
 	return s
 }
 
-func (f *fields) optionalText(name string) string {
-	if v, ok := f.m[name]; !ok || v == nil {
+func (f *fieldReader) optionalText(name string) string {
+	if v, ok := f.values[name]; !ok || v == nil {
 		return ""
 	}
 	return f.text(name)
 }
 
-func (f *fields) texts(name string) []string {
-	v, ok := f.m[name]
-	if !ok || v == nil {
+func (f *fieldReader) texts(name string) []string {
+	value, ok := f.values[name]
+	if !ok || value == nil {
 		return nil
 	}
-	list, ok := v.([]any)
+	list, ok := value.([]any)
 	if !ok {
 		f.fail(name, "a list of texts is needed")
 		return nil
 	}
 	out := make([]string, 0, len(list))
-	for _, e := range list {
-		s, ok := e.(string)
+	for _, element := range list {
+		s, ok := element.(string)
 		if !ok {
 			f.fail(name, "a list of texts is needed")
 			return nil
@@ -331,34 +331,34 @@
 	return out
 }
 
-func (f *fields) flag(name string) bool {
-	b, ok := f.m[name].(bool)
+func (f *fieldReader) flag(name string) bool {
+	b, ok := f.values[name].(bool)
 	if !ok {
 		f.fail(name, "true or false is needed")
 	}
 	return b
 }
 
-func (f *fields) number(name string) float64 {
-	x, ok := asFloat(f.m[name])
-	if !ok || x < 0 || math.IsNaN(x) || math.IsInf(x, 0) {
+func (f *fieldReader) number(name string) float64 {
+	value, ok := asFloat(f.values[name])
+	if !ok || value < 0 || math.IsNaN(value) || math.IsInf(value, 0) {
 		f.fail(name, "a number that is not negative is needed")
 		return 0
 	}
-	return x
+	return value
 }
 
-func (f *fields) count(name string) int {
-	x, ok := asFloat(f.m[name])
-	if _, isFloat := f.m[name].(float64); !ok || isFloat || x < 0 || x > 1<<53 {
+func (f *fieldReader) count(name string) int {
+	value, ok := asFloat(f.values[name])
+	if _, isFloat := f.values[name].(float64); !ok || isFloat || value < 0 || value > 1<<53 {
 		f.fail(name, "a count is needed")
 		return 0
 	}
-	return int(x)
+	return int(value)
 }
 
-func asFloat(v any) (float64, bool) {
-	switch n := v.(type) {
+func asFloat(value any) (float64, bool) {
+	switch n := value.(type) {
 	case int8:
 		return float64(n), true
 	case int16:
--- a/wire/size.go
+++ b/wire/size.go
@@ -21,55 +21,55 @@
 
 // jsonSize measures the value at the beginning of b and tells how many bytes
 // of b it takes.
-func jsonSize(b []byte) (size, used int) {
-	if len(b) == 0 {
+func jsonSize(data []byte) (size, used int) {
+	if len(data) == 0 {
 		return 0, 0
 	}
-	c := b[0]
-	be := func(width int) uint64 {
-		if len(b) < 1+width {
+	code := data[0]
+	bigEndian := func(width int) uint64 {
+		if len(data) < 1+width {
 			return 0
 		}
 		switch width {
 		case 1:
-			return uint64(b[1])
+			return uint64(data[1])
 		case 2:
-			return uint64(binary.BigEndian.Uint16(b[1:]))
+			return uint64(binary.BigEndian.Uint16(data[1:]))
 		case 4:
-			return uint64(binary.BigEndian.Uint32(b[1:]))
+			return uint64(binary.BigEndian.Uint32(data[1:]))
 		}
-		return binary.BigEndian.Uint64(b[1:])
+		return binary.BigEndian.Uint64(data[1:])
 	}
 	text := func(head, n int) (int, int) {
-		end := min(head+n, len(b))
-		return textSize(b[head:end]), end
+		end := min(head+n, len(data))
+		return textSize(data[head:end]), end
 	}
 	// items measures n values: the brackets, a comma between two of them, or a
 	// colon, which is as long.
 	items := func(head, n int) (int, int) {
-		size, at := 2+max(n-1, 0), head
+		size, pos := 2+max(n-1, 0), head
 		for range n {
-			if at >= len(b) {
+			if pos >= len(data) {
 				break
 			}
-			s, u := jsonSize(b[at:])
-			size, at = size+s, at+u
+			itemSize, itemUsed := jsonSize(data[pos:])
+			size, pos = size+itemSize, pos+itemUsed
 		}
-		return size, at
+		return size, pos
 	}
-	unsigned := func(width int) (int, int) { return len(strconv.FormatUint(be(width), 10)), 1 + width }
+	unsigned := func(width int) (int, int) { return len(strconv.FormatUint(bigEndian(width), 10)), 1 + width }
 	signed := func(v int64, used int) (int, int) { return len(strconv.FormatInt(v, 10)), used }
 	switch {
-	case msgpcode.IsFixedNum(c):
-		return signed(int64(int8(c)), 1)
-	case msgpcode.IsFixedMap(c):
-		return items(1, 2*int(c&msgpcode.FixedMapMask))
-	case msgpcode.IsFixedArray(c):
-		return items(1, int(c&msgpcode.FixedArrayMask))
-	case msgpcode.IsFixedString(c):
-		return text(1, int(c&msgpcode.FixedStrMask))
+	case msgpcode.IsFixedNum(code):
+		return signed(int64(int8(code)), 1)
+	case msgpcode.IsFixedMap(code):
+		return items(1, 2*int(code&msgpcode.FixedMapMask))
+	case msgpcode.IsFixedArray(code):
+		return items(1, int(code&msgpcode.FixedArrayMask))
+	case msgpcode.IsFixedString(code):
+		return text(1, int(code&msgpcode.FixedStrMask))
 	}
-	switch c {
+	switch code {
 	case msgpcode.Nil, msgpcode.True:
 		return 4, 1
 	case msgpcode.False:
@@ -83,38 +83,38 @@
 	case msgpcode.Uint64:
 		return unsigned(8)
 	case msgpcode.Int8:
-		return signed(int64(int8(be(1))), 2)
+		return signed(int64(int8(bigEndian(1))), 2)
 	case msgpcode.Int16:
-		return signed(int64(int16(be(2))), 3)
+		return signed(int64(int16(bigEndian(2))), 3)
 	case msgpcode.Int32:
-		return signed(int64(int32(be(4))), 5)
+		return signed(int64(int32(bigEndian(4))), 5)
 	case msgpcode.Int64:
-		return signed(int64(be(8)), 9)
+		return signed(int64(bigEndian(8)), 9)
 	case msgpcode.Float:
-		return decimalSize(float64(math.Float32frombits(uint32(be(4))))), 5
+		return decimalSize(float64(math.Float32frombits(uint32(bigEndian(4))))), 5
 	case msgpcode.Double:
-		return decimalSize(math.Float64frombits(be(8))), 9
+		return decimalSize(math.Float64frombits(bigEndian(8))), 9
 	case msgpcode.Str8:
-		return text(2, int(be(1)))
+		return text(2, int(bigEndian(1)))
 	case msgpcode.Str16:
-		return text(3, int(be(2)))
+		return text(3, int(bigEndian(2)))
 	case msgpcode.Str32:
-		return text(5, int(be(4)))
+		return text(5, int(bigEndian(4)))
 	case msgpcode.Array16:
-		return items(3, int(be(2)))
+		return items(3, int(bigEndian(2)))
 	case msgpcode.Array32:
-		return items(5, int(be(4)))
+		return items(5, int(bigEndian(4)))
 	case msgpcode.Map16:
-		return items(3, 2*int(be(2)))
+		return items(3, 2*int(bigEndian(2)))
 	case msgpcode.Map32:
-		return items(5, 2*int(be(4)))
+		return items(5, 2*int(bigEndian(4)))
 	}
-	return 0, len(b) // not part of the protocol
+	return 0, len(data) // not part of the protocol
 }
 
-func textSize(s []byte) int {
+func textSize(text []byte) int {
 	n := 2
-	for _, c := range s {
+	for _, c := range text {
 		switch {
 		case c == '"', c == '\\', c == '\n', c == '\r', c == '\t', c == '\b', c == '\f':
 			n += 2
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func submission() map[string]any {
+func validSubmission() map[string]any {
 	return map[string]any{"uid": "req-000412", "skein": "train", "crew": "vision", "weave": "array", "rank": "normal",
 		"stitches": 16, "cores": 8.0, "accelerators": 1.0, "mem_gb": 64.0, "pattern": "img-07", "pull_gb": 6.2,
 		"looms": []string{"g8"}, "bolt": nil, "together": true, "apart": false, "remnant": true,
@@ -27,40 +27,40 @@
 }
 
 func TestDecodeJob(t *testing.T) {
-	j, err := DecodeJob(encode(t, submission()))
-	if err != nil || j.Tasks != 16 || *j.Deadline != 900 || j.Types[0] != "g8" {
-		t.Fatalf("%+v, %v", j, err)
+	job, err := DecodeJob(encode(t, validSubmission()))
+	if err != nil || job.Tasks != 16 || *job.Deadline != 900 || job.Types[0] != "g8" {
+		t.Fatalf("%+v, %v", job, err)
 	}
-	bad := map[string]any{"uid": "job-1", "stitches": 0, "cores": -1.0, "mem_gb": math.NaN(), "expect_s": math.Inf(1),
+	invalidFields := map[string]any{"uid": "job-1", "stitches": 0, "cores": -1.0, "mem_gb": math.NaN(), "expect_s": math.Inf(1),
 		"weave": "heap", "rank": "top", "together": 1, "looms": "g8", "skein": nil, "knot_s": "x", "due_s": -5.0, "bolt": 4}
-	for field, v := range bad {
-		m := submission()
-		m[field] = v
-		if _, err := DecodeJob(encode(t, m)); err == nil || !strings.HasPrefix(err.Error(), field+":") {
+	for field, v := range invalidFields {
+		values := validSubmission()
+		values[field] = v
+		if _, err := DecodeJob(encode(t, values)); err == nil || !strings.HasPrefix(err.Error(), field+":") {
 			t.Errorf("%s=%v: %v", field, v, err)
 		}
 	}
 	for _, field := range []string{"uid", "skein", "crew", "weave", "rank", "stitches", "cores", "accelerators", "mem_gb",
 		"pattern", "pull_gb", "together", "apart", "remnant", "expect_s", "knot_s", "tie_s"} {
-		m := submission()
-		delete(m, field)
-		if _, err := DecodeJob(encode(t, m)); err == nil {
+		values := validSubmission()
+		delete(values, field)
+		if _, err := DecodeJob(encode(t, values)); err == nil {
 			t.Errorf("%s missing: accepted", field)
 		}
 	}
-	m := submission()
-	m["stitches"] = MaxTasks + 1
-	if _, err := DecodeJob(encode(t, m)); err == nil {
+	values := validSubmission()
+	values["stitches"] = MaxTasks + 1
+	if _, err := DecodeJob(encode(t, values)); err == nil {
 		t.Error("too many tasks accepted")
 	}
 }
 
 func TestCheckRefuses(t *testing.T) {
-	good := encode(t, submission())
+	valid := encode(t, validSubmission())
 	for name, body := range map[string][]byte{
 		"empty":           {},
-		"cut off":         good[:len(good)-1],
-		"trailing":        append(bytes.Clone(good), 0),
+		"cut off":         valid[:len(valid)-1],
+		"trailing":        append(bytes.Clone(valid), 0),
 		"huge map":        {0xdf, 0xff, 0xff, 0xff, 0xff},
 		"huge array":      {0xdd, 0xff, 0xff, 0xff, 0xff},
 		"huge text":       {0xdb, 0xff, 0xff, 0xff, 0xff, 'a'},
@@ -79,14 +79,14 @@
 }
 
 func FuzzDecodeJob(f *testing.F) {
-	f.Add(encode(f, submission()))
-	awaits := submission()
+	f.Add(encode(f, validSubmission()))
+	awaits := validSubmission()
 	awaits["awaits"] = []string{"req-000001", "req-000002"}
 	f.Add(encode(f, awaits))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		j, err := DecodeJob(body)
-		if id := SubmittedID(body); err == nil && id != j.ID || id != "" && !ValidID(id) {
-			t.Fatalf("submitted as %q, decoded as %+v", id, j)
+		job, err := DecodeJob(body)
+		if id := SubmittedID(body); err == nil && id != job.ID || id != "" && !ValidID(id) {
+			t.Fatalf("submitted as %q, decoded as %+v", id, job)
 		}
 		if err != nil {
 			return
@@ -94,9 +94,9 @@
 		if n := JSONSize(body); n < len(body)/2 {
 			t.Fatalf("%d bytes counted as %d", len(body), n)
 		}
-		again, err := DecodeJob(Encode(j))
-		if err != nil || again.ID != j.ID || again.Tasks != j.Tasks || !slices.Equal(again.DependsOn, j.DependsOn) {
-			t.Fatalf("%+v does not survive: %v", j, err)
+		decoded, err := DecodeJob(Encode(job))
+		if err != nil || decoded.ID != job.ID || decoded.Tasks != job.Tasks || !slices.Equal(decoded.DependsOn, job.DependsOn) {
+			t.Fatalf("%+v does not survive: %v", job, err)
 		}
 	})
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestAwaits(t *testing.T) {
+func TestDependencies(t *testing.T) {
 	for _, c := range []struct {
 		awaits any
 		want   []string
@@ -142,21 +142,21 @@
 		{[]string{"req-000002", "x", "req-000002"}, []string{"req-000002", "x"}, false},
 		{"req-000002", nil, true}, {[]any{"req-000002", 3}, nil, true}, {map[string]any{}, nil, true},
 	} {
-		m := submission()
-		m["awaits"] = c.awaits
-		j, err := DecodeJob(encode(t, m))
+		values := validSubmission()
+		values["awaits"] = c.awaits
+		job, err := DecodeJob(encode(t, values))
 		if c.bad {
 			if err == nil || !strings.HasPrefix(err.Error(), "awaits:") {
 				t.Errorf("%v: %v", c.awaits, err)
 			}
 			continue
 		}
-		if err != nil || !slices.Equal(j.DependsOn, c.want) {
-			t.Errorf("%v: %v, %v", c.awaits, j, err)
+		if err != nil || !slices.Equal(job.DependsOn, c.want) {
+			t.Errorf("%v: %v, %v", c.awaits, job, err)
 		}
 	}
-	plain, _ := DecodeJob(encode(t, submission()))
-	if bytes.Contains(Encode(plain), []byte("awaits")) {
+	independent, _ := DecodeJob(encode(t, validSubmission()))
+	if bytes.Contains(Encode(independent), []byte("awaits")) {
 		t.Error("a job that awaits nothing is not written as before")
 	}
 }
