--- a/internal/sim/script_expect.go
+++ b/internal/sim/script_expect.go
@@ -89,7 +89,7 @@
 		} else if wait := w.Rules.jobs[id].acceptedAt - user.firstAttempt; wait > longestWait {
 			longestWait = wait
 		}
-		refusals += w.Users[id].refused
+		refusals += w.Users[id].refusals
 	}
 	if longestWait.Seconds() > a.number("within", 60) || refusals > int(a.number("refused", 1e9)) || refusals < int(a.number("min-refused", 0)) {
 		return fmt.Errorf("at %v s: jobs were accepted after up to %v s and %d refusals, outside the expected range", w.now.Seconds(), longestWait.Seconds(), refusals)
--- a/internal/sim/script_network.go
+++ b/internal/sim/script_network.go
@@ -117,10 +117,10 @@
 	w := s.w
 	return func() {
 		copier := &reportCopier{share: a.number("share", 0.5), delay: a.duration("by", 20), rng: rand.New(rand.NewPCG(uint64(w.now), 4)), untilElection: a.hasFlag("for-next")}
-		w.reportCopies = copier
+		w.reportCopier = copier
 		w.After(a.duration("for", 60), func() {
-			if w.reportCopies == copier {
-				w.reportCopies = nil
+			if w.reportCopier == copier {
+				w.reportCopier = nil
 			}
 		})
 	}
