--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -57,7 +57,7 @@
 	m.ID = id
 	select {
 	case peerLink.outgoing <- m.Encode():
-	default: // the queue is full: the request times out
+	default: // the queue is full: the message is dropped and the request times out
 	}
 	time.AfterFunc(timeout, func() {
 		peerLink.mu.Lock()
@@ -65,7 +65,7 @@
 		delete(peerLink.pending, id)
 		if callback != nil {
 			if peerLink.timeouts++; peerLink.timeouts >= 2 && peerLink.conn != nil {
-				peerLink.conn.Close() // a network partition may hold back its packets
+				peerLink.conn.Close() // a network partition may hold back its packets, so a new connection is made
 			}
 		}
 		peerLink.mu.Unlock()
--- a/internal/peer/msg.go
+++ b/internal/peer/msg.go
@@ -21,20 +21,20 @@
 	Node             string // name of the sender
 	Term             uint64 // the term in which the sender leads, or 0
 	StateOK          bool   // the sender reaches the state service
-	ReportingWorkers uint32 // workers that recently tried to report to the sender
-	Job              string // with a question about a job: its ID
+	ReportingWorkers uint32 // workers that recently reported to the sender and whose reports it does not forward
+	Job              string // with a query for a job: its ID
 	Body             []byte // a submission, a worker's report or its answer, in MessagePack
 	Code             int    // with an answer: an HTTP status
-	Phase            string // with an answer about a job, as Done and Running: its phase
-	Done             int    // tasks done
-	Running          int    // tasks running
+	Phase            string // with an answer about a job: its phase
+	Done             int    // with an answer about a job: number of tasks that are done
+	Running          int    // with an answer about a job: number of tasks that are running
 	MaxFormatLevel   int    // the highest format level that the sender reads and writes; 0 from version 0.1
 	FormatLevel      int    // the format level in force, as far as the sender knows
 
 	AdmissionNotice *admit.Notice // with a Hello message; nil from versions without admission control
 	AdmissionTable  *admit.Table  // with a leader's answer to a Hello message
 	RetryAfter      int           // with a refusal, in seconds
-	InMemoryOnly    bool          // with a question about a job: answer from memory or not at all
+	InMemoryOnly    bool          // with a query for a job: answer from memory only, without reading the state service
 
 	Incarnation uint64 // of the sender's process; 0 from versions without it
 
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -19,24 +19,24 @@
 	BaseSeq uint64
 }
 
-// Size returns an upper estimate of the bytes that the report takes in a frame.
+// Size returns an upper bound of the bytes that the report takes in a frame.
 func (r *RelayedReport) Size() int { return itemOverhead + len(r.Machine) + len(r.Body) }
 
 // RelayedAnswer is the leader's answer to a RelayedReport.
 type RelayedAnswer struct {
-	Code  int // as for the worker, or 409 if the full report is needed, 421 if the node does not lead
+	Code  int // 200, 400 (malformed report), 503 (busy), 409 if the full report is needed, 421 if the node does not lead
 	Token uint64
 	Body  []byte // the answer with its commands, in MessagePack; nil if there are no commands
 }
 
 // Order is a command batch that another controller is to send to a worker.
 type Order struct {
-	ID   uint64 // matches the result to it
+	ID   uint64 // matches the result to the batch
 	Addr string // of the worker
-	Body []byte // the commands, in MessagePack
+	Body []byte // a wire.Orders, in MessagePack
 }
 
-// Size returns an upper estimate of the bytes that the command batch takes in a frame.
+// Size returns an upper bound of the bytes that the command batch takes in a frame.
 func (o *Order) Size() int { return itemOverhead + len(o.Addr) + len(o.Body) }
 
 // OrderResult is the result of an Order.
@@ -46,7 +46,7 @@
 	Body    []byte // the worker's report in MessagePack, if there is one
 }
 
-// Size returns an upper estimate of the bytes that the result takes in a frame.
+// Size returns an upper bound of the bytes that the result takes in a frame.
 func (r *OrderResult) Size() int { return itemOverhead + len(r.Body) }
 
 // itemOverhead is an upper bound of the bytes that an item takes besides its strings and
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -26,7 +26,7 @@
 	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
-			MaxIdleConnsPerHost: 16,
+			MaxIdleConnsPerHost: 16, // config.ReservedConns allows for as many
 			IdleConnTimeout:     90 * time.Second,
 			DisableCompression:  true,
 		},
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -69,6 +69,7 @@
 // noSuchLease is the state service's error for a change that is attached to an ended lease.
 const noSuchLease = "no such lease"
 
+// emptyAnswer is the type of answers whose body is not used.
 type emptyAnswer struct{}
 
 // List implements Service.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,7 +16,7 @@
 	Failed                     // 404 or 409: a guard did not hold, or a key or lease does not exist
 	Gone                       // 410: the revision of a watch is too old
 	Refused                    // not executed: no connection, 503, another 4xx, or the lease of a change has ended
-	RateLimited                // 429: not executed because of too many requests or changes
+	RateLimited                // 429: not executed because of too many requests or writes
 	Invalid                    // 400: not executed, and a retry would fail too; usually a size limit
 	Unknown                    // no valid answer: executed, not executed, or still to be executed
 )
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -23,8 +23,9 @@
 const ordersTimeout = 2 * time.Second
 
 // SendOrders sends a command batch to the worker at addr (host:port). The outcome is Failed
-// if the worker executed nothing because its session or token differs. With OK and Failed,
-// done also gets the worker's report, or nil if the report can't be decoded.
+// if the worker executed nothing because its session does not match or because it has
+// received a higher token. With OK and Failed, done also gets the worker's report, or nil if
+// the report can't be decoded.
 func (h *HTTPClient) SendOrders(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	go func() {
 		client := rpc.NewSingleUse(addr)
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -145,6 +145,7 @@
 	return msgpack.Unmarshal(body, message)
 }
 
+// isMap reports whether a value that begins with code is a map.
 func isMap(code byte) bool {
 	return msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
 }
@@ -210,7 +211,7 @@
 		CPUs: reader.number("cores"), GPUs: reader.number("accelerators"), MemoryGB: reader.number("mem_gb"),
 		Image: reader.text("pattern"), ImageGB: reader.number("pull_gb"),
 		Types: reader.texts("looms"), Zone: reader.optionalText("bolt"),
-		OneZone: reader.flag("together"), Spread: reader.flag("apart"), Spot: reader.flag("remnant"),
+		OneZone: reader.boolean("together"), Spread: reader.boolean("apart"), Spot: reader.boolean("remnant"),
 		Estimate: reader.number("expect_s"), CheckpointInterval: reader.number("knot_s"), SaveDuration: reader.number("tie_s"),
 		DependsOn: distinct(reader.texts("awaits")),
 	}
@@ -275,12 +276,14 @@
 	err    error
 }
 
+// fail keeps the first error, with the name of the field.
 func (f *fieldReader) fail(name, problem string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s", name, problem)
 	}
 }
 
+// text reads a required string of at most 150 bytes that is not empty.
 func (f *fieldReader) text(name string) string {
 	s, ok := f.values[name].(string)
 	if !ok || s == "" || len(s) > 150 {
@@ -289,6 +292,7 @@
 	return s
 }
 
+// optionalText reads a string like text, or returns "" if the field is missing or nil.
 func (f *fieldReader) optionalText(name string) string {
 	if v, ok := f.values[name]; !ok || v == nil {
 		return ""
@@ -296,6 +300,7 @@
 	return f.text(name)
 }
 
+// texts reads a list of strings, or returns nil if the field is missing or nil.
 func (f *fieldReader) texts(name string) []string {
 	value, ok := f.values[name]
 	if !ok || value == nil {
@@ -331,7 +336,8 @@
 	return out
 }
 
-func (f *fieldReader) flag(name string) bool {
+// boolean reads a required boolean.
+func (f *fieldReader) boolean(name string) bool {
 	b, ok := f.values[name].(bool)
 	if !ok {
 		f.fail(name, "must be true or false")
@@ -339,6 +345,7 @@
 	return b
 }
 
+// number reads a required number that is finite and not negative.
 func (f *fieldReader) number(name string) float64 {
 	value, ok := asFloat(f.values[name])
 	if !ok || value < 0 || math.IsNaN(value) || math.IsInf(value, 0) {
@@ -348,6 +355,8 @@
 	return value
 }
 
+// count reads a required integer that is not negative. A float64 is refused even if it is
+// integral.
 func (f *fieldReader) count(name string) int {
 	value, ok := asFloat(f.values[name])
 	if _, isFloat := f.values[name].(float64); !ok || isFloat || value < 0 || value > 1<<53 {
@@ -357,6 +366,7 @@
 	return int(value)
 }
 
+// asFloat converts a decoded MessagePack number of any width to a float64.
 func asFloat(value any) (float64, bool) {
 	switch n := value.(type) {
 	case int8:
--- a/wire/relay.go
+++ b/wire/relay.go
@@ -16,13 +16,13 @@
 	Workers            int    `msgpack:"workers" json:"workers"`               // workers that report to this node
 	QueuedReports      int    `msgpack:"waiting" json:"waiting"`               // reports that wait to be sent in a batch
 	Relayed            uint64 `msgpack:"relayed" json:"relayed"`               // reports sent to the leader
-	Repeated           uint64 `msgpack:"repeated" json:"repeated"`             // of Relayed, those sent without their unchanged tasks
+	Repeated           uint64 `msgpack:"repeated" json:"repeated"`             // of Relayed, those sent without their body because nothing changed
 	Batches            uint64 `msgpack:"batches" json:"batches"`               // batches of reports sent to the leader
-	Unanswered         uint64 `msgpack:"unanswered" json:"unanswered"`         // batches that the leader did not answer
+	Unanswered         uint64 `msgpack:"unanswered" json:"unanswered"`         // batches of reports without a valid answer
 	Redirected         uint64 `msgpack:"redirected" json:"redirected"`         // times a worker was redirected to its relaying controller
 	Shed               uint64 `msgpack:"shed" json:"shed"`                     // reports refused because the queue was full
 	Orders             uint64 `msgpack:"orders" json:"orders"`                 // command batches sent to workers for the leader
-	RefusedOrders      uint64 `msgpack:"refused_orders" json:"refused_orders"` // command batches refused because no connection was available
+	RefusedOrders      uint64 `msgpack:"refused_orders" json:"refused_orders"` // command batches refused because too many were in flight
 	Malformed          uint64 `msgpack:"malformed" json:"malformed"`           // batch items that could not be decoded
-	BatchLatencyMicros int64  `msgpack:"delay_us" json:"delay_us"`             // time until the latest answered batch was answered
+	BatchLatencyMicros int64  `msgpack:"delay_us" json:"delay_us"`             // time until the latest batch of reports was answered or timed out
 }
--- a/wire/size.go
+++ b/wire/size.go
@@ -112,6 +112,7 @@
 	return 0, len(data) // Check accepts no other types
 }
 
+// textSize returns the length of a string in JSON, with its quotes and escape sequences.
 func textSize(text []byte) int {
 	n := 2
 	for _, c := range text {
@@ -127,6 +128,8 @@
 	return n
 }
 
+// decimalSize returns the length of a floating-point number in JSON. An integral value takes
+// two more bytes for ".0".
 func decimalSize(f float64) int {
 	if math.IsNaN(f) || math.IsInf(f, 0) {
 		return 4 // null
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,8 +1,8 @@
 // Package wire defines the messages exchanged with users, workers, the cloud and the
 // state service, with their MessagePack encoding and validation. The names of the protocol
-// appear only as struct tags; identifiers use the usual terms of cluster scheduling. The
-// package makes no calls: the clients are in other packages. Messages between controllers
-// are defined in peer.fbs; package peer encodes them.
+// appear only as struct tags and string values; identifiers use the usual terms of cluster
+// scheduling. The package makes no calls: the clients are in other packages. Messages between
+// controllers are defined in peer.fbs; package peer encodes them.
 package wire
 
 // Limits of the protocol.
@@ -132,8 +132,9 @@
 	Commands []Command `msgpack:"orders"`
 }
 
-// Orders is a command batch sent directly to a worker. The worker executes it only if its
-// session and its highest token match those of the batch.
+// Orders is a command batch sent directly to a worker. The worker executes none of it if
+// Session is not the worker's session or if Token is lower than the highest fencing token
+// that the worker has received.
 type Orders struct {
 	Token    uint64    `msgpack:"baton"`
 	Session  uint64    `msgpack:"spin"`
