--- a/client/client.go
+++ b/client/client.go
@@ -43,13 +43,14 @@
 	return do[wire.JobStatus](c, http.MethodPost, "/v2/runs/"+id+"/cancel", nil)
 }
 
-// Admission returns how the node shares submissions, and the leader machines, among
-// accounts.
+// Admission returns the node's view of admission control: how submissions and machines are
+// shared among accounts.
 func (c *Client) Admission() (*wire.AdmissionStatus, error) {
 	return do[wire.AdmissionStatus](c, http.MethodGet, "/admission", nil)
 }
 
-// Relays returns which controllers hold workers' connections for the leader.
+// Relays returns the node's view of relaying: which controllers hold workers' connections for
+// the leader.
 func (c *Client) Relays() (*wire.RelayStatus, error) {
 	return do[wire.RelayStatus](c, http.MethodGet, "/relays", nil)
 }
--- a/cmd/lilacthread/main.go
+++ b/cmd/lilacthread/main.go
@@ -28,6 +28,7 @@
 
 const version = "0.2.0-dev"
 
+// cli declares the commands; each field is one command.
 var cli struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run a controller (the default)."`
 	Check   checkCmd   `cmd:"" help:"Check a settings file, and a policy, without starting."`
@@ -51,6 +52,7 @@
 	Policy string   `type:"path" help:"The operators' policy (Starlark)."`
 }
 
+// serveCmd holds the flags of the command that runs a controller.
 type serveCmd struct {
 	Config string `required:"" type:"path" help:"The platform's settings file (JSON)."`
 	policyFlags
@@ -88,6 +90,7 @@
 	return cfg, pol, nil
 }
 
+// Run loads the settings and runs the controller until it fails.
 func (s *serveCmd) Run() error {
 	cfg, pol, err := s.load(s.Config)
 	if err != nil {
@@ -103,11 +106,13 @@
 	return node.Run(cfg, pol)
 }
 
+// checkCmd holds the arguments of the command that checks settings and policy.
 type checkCmd struct {
 	File string `arg:"" type:"path" help:"The platform's settings file (JSON)."`
 	policyFlags
 }
 
+// Run prints ok if the settings and the policy are valid.
 func (c *checkCmd) Run() error {
 	if _, _, err := c.load(c.File); err != nil {
 		return err
@@ -147,6 +152,8 @@
 	Awaits     []string `help:"Jobs that must be done before this one starts; may be repeated."`
 }
 
+// Run submits the job and prints its status. The flags use the usual names of kinds and
+// priorities, which it translates to those of the protocol.
 func (s *submitCmd) Run() error {
 	job := &wire.Job{ID: s.ID, Class: s.Class, Team: s.Team,
 		Kind:     map[string]string{"array": wire.KindArray, "gang": wire.KindGang, "service": wire.KindService}[s.Kind],
@@ -157,18 +164,22 @@
 	return printStatus(client.New(s.Addr).Submit(job))
 }
 
+// statusCmd holds the arguments of the command that shows a job's status.
 type statusCmd struct {
 	serviceFlags
 	ID string `arg:"" help:"Job id."`
 }
 
+// Run queries and prints the job's status.
 func (s *statusCmd) Run() error { return printStatus(client.New(s.Addr).Status(s.ID)) }
 
+// cancelCmd holds the arguments of the command that cancels a job.
 type cancelCmd struct {
 	serviceFlags
 	ID string `arg:"" help:"Job id."`
 }
 
+// Run cancels the job and prints its status.
 func (s *cancelCmd) Run() error { return printStatus(client.New(s.Addr).Cancel(s.ID)) }
 
 // printStatus prints a job's status as JSON.
@@ -176,19 +187,21 @@
 	if err != nil {
 		return err
 	}
-	names := map[string]string{wire.PhaseCancelled: "cancelled"}
+	displayNames := map[string]string{wire.PhaseCancelled: "cancelled"}
 	phase := status.Phase
-	if n := names[phase]; n != "" {
-		phase = n
+	if displayName := displayNames[phase]; displayName != "" {
+		phase = displayName
 	}
 	return json.NewEncoder(os.Stdout).Encode(map[string]any{"id": status.ID, "state": phase, "done": status.Done, "running": status.Running})
 }
 
+// admissionCmd holds the flags of the command that shows a node's view of admission control.
 type admissionCmd struct {
 	serviceFlags
 	JSON bool `name:"json" help:"Print as JSON."`
 }
 
+// Run queries a node and prints its admission status.
 func (s *admissionCmd) Run() error {
 	return printAnswer(s.JSON, client.New(s.Addr).Admission, printAdmission)
 }
@@ -241,11 +254,13 @@
 	return table.Flush()
 }
 
+// relaysCmd holds the flags of the command that shows a node's view of relaying.
 type relaysCmd struct {
 	serviceFlags
 	JSON bool `name:"json" help:"Print as JSON."`
 }
 
+// Run queries a node and prints its relay status.
 func (c *relaysCmd) Run() error {
 	return printAnswer(c.JSON, client.New(c.Addr).Relays, printRelays)
 }
@@ -264,8 +279,10 @@
 	return err
 }
 
+// versionCmd is the command that prints the version.
 type versionCmd struct{}
 
+// Run prints the version.
 func (versionCmd) Run() error {
 	fmt.Println("lilacthread", version)
 	return nil
@@ -287,6 +304,8 @@
 	return nil
 }
 
+// main parses the command line and runs the command. The exit code is 2 after a usage error
+// and 1 after any other error.
 func main() {
 	parser := kong.Must(&cli, kong.Name("lilacthread"),
 		kong.Description("A cluster scheduler: takes jobs, rents machines, commands workers."),
--- a/deploy/admission.star
+++ b/deploy/admission.star
@@ -1,3 +1,3 @@
-# Enables admission control under overload; see docs/admission.md. Other names of the policy
-# may be set here too.
+# Enables admission control under overload; see docs/admission.md. Other policy
+# settings may be added here.
 admission = True
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -22,11 +22,14 @@
 	orderCallbacks []func(store.Outcome, *wire.Report)
 }
 
+// timer is a function that testHost runs once its clock has reached at.
 type timer struct {
 	at Micros
 	f  func()
 }
 
+// call is a message that the code under test sent to another controller. done delivers the
+// answer; calls after the first have no effect.
 type call struct {
 	to      string
 	message *peer.Msg
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -101,7 +101,7 @@
 			Report   float64 `json:"report_s"`    // time between two reports of a worker
 			Lease    float64 `json:"lease_s"`     // duration of a worker's lease
 			GangWait float64 `json:"gang_wait_s"` // how long a task of a gang waits for the others to start
-			GangPeer float64 `json:"gang_peer_s"` // how soon the other tasks of a gang stop after one was lost
+			GangPeer float64 `json:"gang_peer_s"` // how soon the other tasks of a gang stop after one task was lost
 			Cancel   float64 `json:"cancel_s"`    // how soon after a user was notified of a cancellation no task of the job may run
 		} `json:"workers"`
 		State StateLimits `json:"state"`
@@ -114,7 +114,7 @@
 			MemoryMB float64 `json:"memory_mb"`
 			FDLimit  int     `json:"fd_limit"` // file descriptors
 		} `json:"resources"`
-		ClockError float64 `json:"clock_error_ms"`
+		ClockError float64 `json:"clock_error_ms"` // validated, but not used
 	} `json:"params"`
 }
 
@@ -259,9 +259,10 @@
 	return c.Listen
 }
 
-// ReservedConns returns how many file descriptors are reserved for the clients of the state
-// service and the cloud, which keep up to 16 connections each, for up to two connections in
-// each direction per peer, and for the other files of the process.
+// ReservedConns returns how many file descriptors are reserved for other uses than users,
+// workers and command batches. The constant 44 covers the clients of the state service and
+// the cloud, which keep up to 16 connections each, and 12 other files of the process. Each
+// peer adds four, for up to two connections in each direction.
 func (c *Config) ReservedConns() int { return 44 + 4*len(c.Peers) }
 
 // MaxClientConns returns how many connections of users and workers a node accepts.
@@ -270,9 +271,11 @@
 }
 
 // MaxQueuedSubmissions returns how many submissions may wait at a node for the state
-// service: as many as it can write in four seconds, after which users retry.
+// service: as many as the service can write in four seconds, after which users retry, but at
+// least 200.
 func (c *Config) MaxQueuedSubmissions() int { return max(int(4*c.Params.State.WriteRPS), 200) }
 
 // MaxFinalStates returns how many final job states a node caches; all of them are stored in
-// the state service. The cache takes about a fiftieth of the node's memory.
+// the state service. The cache takes about a fiftieth of the node's memory; it holds at least
+// 1000 states.
 func (c *Config) MaxFinalStates() int { return max(int(64*c.Params.Resources.MemoryMB), 1000) }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -48,7 +48,7 @@
 // connections for the leader.
 type Relay struct {
 	Enabled    bool
-	MinWorkers int // number of workers from which relaying is active
+	MinWorkers int // number of workers at which relaying is switched on
 }
 
 // Default returns the embedded policy.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -65,6 +65,7 @@
 	return err
 }
 
+// jobsPath is the path of submissions; the paths of a job begin with it.
 const jobsPath = "/v2/runs"
 
 // userConnPercent is the percentage of the connection limit above which requests of users are
@@ -261,7 +262,8 @@
 	}
 }
 
-// handleReport handles a worker's report.
+// handleReport handles a worker's report. Status 421 redirects the worker to another
+// controller.
 func (s *Server) handleReport(w http.ResponseWriter, r *http.Request) {
 	if s.usageExceeds(workerConnPercent) {
 		w.Header().Set("Connection", "close")
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -33,6 +33,7 @@
 func (unreachableEnv) State() store.Service     { return unreachableState{} }
 func (unreachableEnv) Cloud() controller.Cloud  { return unreachableCloud{} }
 
+// unreachableState is a state service that refuses every request and answers no watch.
 type unreachableState struct{}
 
 func (unreachableState) List(_, _ string, _ int, done func(store.Outcome, *wire.ItemList)) {
@@ -50,6 +51,7 @@
 func (unreachableState) Watch(string, uint64, int64, func(store.Outcome, *wire.WatchAnswer)) {
 }
 
+// unreachableCloud is a cloud that refuses every request.
 type unreachableCloud struct{}
 
 func (unreachableCloud) Catalog(done func(store.Outcome, *wire.Catalog)) { done(store.Refused, nil) }
@@ -61,9 +63,9 @@
 	done(store.Refused, nil)
 }
 
-// TestWorkerConnectionsClosed checks that above the workers' share of the connection limit, worker
-// connections are closed after the answer. Otherwise a fleet with more machines than the node
-// has connections would leave none for users.
+// TestWorkerConnectionsClosed checks that a worker's connection is closed after the answer
+// when more than workerConnPercent of the connection limit is in use. Otherwise a fleet with
+// more machines than the node has connections would leave none for users.
 func TestWorkerConnectionsClosed(t *testing.T) {
 	s := New(&testOwner{}, 10)
 	for open, want := range map[int64]string{5: "", 7: "close"} {
@@ -76,6 +78,7 @@
 	}
 }
 
+// testOwner is an Owner that runs posted functions at once, one at a time.
 type testOwner struct {
 	mu   sync.Mutex
 	core *controller.Core
