--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -351,8 +351,8 @@
 		work[j] = j.discountedWork(p.Now)
 	}
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
-		if x, y := a.overdue(p.Now), b.overdue(p.Now); x || y {
-			return cmp.Or(cmp.Compare(boolToInt(y), boolToInt(x)), cmp.Compare(a.ReadyAt, b.ReadyAt))
+		if aOverdue, bOverdue := a.overdue(p.Now), b.overdue(p.Now); aOverdue || bOverdue {
+			return cmp.Or(cmp.Compare(boolToInt(bOverdue), boolToInt(aOverdue)), cmp.Compare(a.ReadyAt, b.ReadyAt))
 		}
 		if a.MinShareStatus.Needed && b.MinShareStatus.Needed {
 			return cmp.Or(cmp.Compare(boolToInt(b.hasBegun()), boolToInt(a.hasBegun())), cmp.Compare(a.MinShareStatus.ServedShare, b.MinShareStatus.ServedShare))
