--- a/internal/admit/account.go
+++ b/internal/admit/account.go
@@ -14,7 +14,7 @@
 	"lilacthread/internal/clock"
 )
 
-// Micros is a time or a duration in microseconds.
+// Micros is an instant or a duration in microseconds.
 type Micros = clock.Micros
 
 // Account is the unit of accounting: one class of jobs of one team. All classes of a team
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -13,6 +13,8 @@
 	"lilacthread/internal/clock"
 )
 
+// testAccounts returns the accounts of two teams, with the given number of classes each and
+// one for all other classes.
 func testAccounts(classes int) *AccountIndex {
 	var objectives []Objective
 	for i := range classes {
@@ -21,15 +23,15 @@
 	return NewAccountIndex([]string{"t", "u"}, objectives)
 }
 
-// TestAccountIndex: unknown classes share one account, and other settings give another
-// digest.
+// TestAccountIndex checks that unknown classes share one account, and that other settings
+// give another digest.
 func TestAccountIndex(t *testing.T) {
 	b := testAccounts(3)
 	if b.Len() != 8 || b.IndexOf("t", "made up") != b.IndexOf("t", "made up too") || b.IndexOf("nobody", "c00") != -1 || b.IndexOf("u", "c01") < 0 {
 		t.Errorf("wrong accounts: %+v", b.Accounts)
 	}
 	if b.Digest == testAccounts(4).Digest || b.Digest != testAccounts(3).Digest {
-		t.Error("the digest does not tell apart the settings, or differs for equal ones")
+		t.Error("the digest is equal for different settings, or differs for equal ones")
 	}
 }
 
@@ -59,6 +61,8 @@
 // localTime is a controller's monotonic clock, up to 0.05% fast or slow.
 func (c *testCluster) localTime(node int) Micros { return c.now + c.now*Micros(c.skew[node])/10_000 }
 
+// newTestCluster returns a cluster with all replies delivered, led by controller 0 in the
+// first term.
 func newTestCluster(nodes, classes int, skew []int64) *testCluster {
 	c := &testCluster{accounts: testAccounts(classes), limits: LimitsOf(100, nodes), skew: skew, now: clock.Second, latest: make([]*Table, nodes)}
 	for range nodes {
@@ -69,6 +73,7 @@
 	return c
 }
 
+// elect makes a controller the leader of the next term.
 func (c *testCluster) elect(node int) {
 	c.term++
 	c.leader = node
@@ -82,6 +87,8 @@
 	c.inFlight = append(c.inFlight, tableReply{node, c.allowances[node], c.allocator.TableFor(fmt.Sprint(node), now), c.localTime(node)})
 }
 
+// deliver delivers reply i, which is lost if its recipient has restarted since the request.
+// It returns an error if an older table replaces a newer one.
 func (c *testCluster) deliver(i int) error {
 	r := c.inFlight[i]
 	c.inFlight = slices.Delete(c.inFlight, i, i+1)
@@ -150,8 +157,8 @@
 	return nil
 }
 
-// TestGrantsWithinPool runs random sequences of lost, delayed and reordered replies,
-// controller restarts, leader changes and clock drift.
+// TestGrantsWithinPool checks the rules of check over random sequences of lost, delayed and
+// reordered replies, controller restarts and leader changes, with clock drift.
 func TestGrantsWithinPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 6).Draw(t, "nodes")
@@ -188,9 +195,9 @@
 	})
 }
 
-// TestGrantsAcrossLeaderChanges explores every order of events, up to a fixed depth, with
-// three controllers: tables built, requested, delivered late or lost, time passing, a
-// controller restart and leader changes.
+// TestGrantsAcrossLeaderChanges checks the rules of check for every order of events, up to a
+// fixed depth, with three controllers. The events are tables that are built, requested,
+// delivered late or lost, time that passes, a controller restart and leader changes.
 func TestGrantsAcrossLeaderChanges(t *testing.T) {
 	const depth = 7
 	states, seen := 0, map[string]bool{}
@@ -232,7 +239,7 @@
 	}
 }
 
-const numEvents = 9
+const numEvents = 9 // events of apply
 
 // apply performs one event and reports whether the event was possible.
 func (c *testCluster) apply(event int) bool {
@@ -285,8 +292,8 @@
 	return s
 }
 
-// TestGrantsExpire: when the leader counts a grant as expired, its holder has already stopped
-// using it, whatever the clock drift and the delay of the reply.
+// TestGrantsExpire checks that when the leader counts a grant as expired, its holder has
+// already stopped using it, whatever the clock drift and the delay of the reply.
 func TestGrantsExpire(t *testing.T) {
 	for _, skew := range [][]int64{{5, -5, 0}, {-5, 5, 0}, {5, -5, 5}} {
 		for delay := Micros(0); delay < 4*clock.Second; delay += 100 * clock.Millisecond {
@@ -326,8 +333,8 @@
 	}
 }
 
-// TestGrantsFollowDemand: a controller with demand gets the pool; one without demand returns
-// its grant within the lifetime of a table.
+// TestGrantsFollowDemand checks that a controller with demand gets the pool, and that one
+// without demand returns its grant within the lifetime of a table.
 func TestGrantsFollowDemand(t *testing.T) {
 	c := newTestCluster(3, 1, []int64{0, 0, 0})
 	round := func(busy ...int) {
@@ -369,9 +376,9 @@
 	}
 }
 
-// TestSlotsUntil: a user who retries when told is accepted within MaxSlots tables of the
-// first attempt, even if the number of slots changes, and users who are refused together
-// are spread over the slots.
+// TestSlotsUntil checks that a user who retries after the given time is accepted within
+// MaxSlots tables of the first attempt, even if the number of slots changes, and that users
+// who are refused together are spread over the slots.
 func TestSlotsUntil(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := fmt.Sprintf("req-%06d", rapid.IntRange(0, 999999).Draw(t, "job"))
@@ -401,8 +408,8 @@
 	}
 }
 
-// TestQueue pushes and pops in random order: the bounds hold, nothing is lost, and an account
-// with submissions is served in each round whatever the others send.
+// TestQueue pushes and pops in random order. It checks that the bounds hold, that nothing is
+// lost, and that an account with submissions is served in each round whatever the others send.
 func TestQueue(t *testing.T) {
 	type item struct{ account, cost int }
 	rapid.Check(t, func(t *rapid.T) {
@@ -455,8 +462,8 @@
 	})
 }
 
-// TestQueueBurst: a long burst of one account leaves room for the others even if it comes
-// first, and a retry goes before new submissions of its account.
+// TestQueueBurst checks that a long burst of one account leaves room for the others even if
+// it comes first, and that a retry goes before new submissions of its account.
 func TestQueueBurst(t *testing.T) {
 	q := NewQueue[string](3, Bounds{Count: 100, Bytes: 1 << 20})
 	refused := 0
@@ -486,8 +493,8 @@
 	}
 }
 
-// TestBudget: under a burst of one class the others keep their minimum shares, and unused
-// shares are lent.
+// TestBudget checks that under a burst of one class the others keep their minimum shares,
+// and that unused shares are lent.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(30, 500).Draw(t, "rate")
@@ -525,8 +532,9 @@
 	})
 }
 
-// TestTeamShares: a team gets its share by its guarantee and no more than it can use, what it
-// leaves goes to the others, and the shares add up to the capacity or the demand.
+// TestTeamShares checks that a team gets its share by its guarantee and no more than it can
+// use, that what it leaves goes to the others, and that the shares add up to the capacity or
+// the demand.
 func TestTeamShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		accounts := testAccounts(rapid.IntRange(1, 4).Draw(t, "classes"))
@@ -561,8 +569,9 @@
 	})
 }
 
-// TestMinServedShare: in each account exactly as many jobs are needed as it lacks for its
-// minimum share, those with the least work, and all its other jobs are surplus.
+// TestMinServedShare checks that in each account exactly as many jobs are needed as it lacks
+// for its minimum served share, those with the least work, and that all its other feasible
+// jobs are surplus.
 func TestMinServedShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const accounts = 3
@@ -627,8 +636,9 @@
 	})
 }
 
-// TestServedSharesAreEven: classes whose bursts differ ten- and a hundredfold are served evenly,
-// wherever the order by served share is cut off, as measured by Jain's fairness index.
+// TestServedSharesAreEven checks that classes whose bursts differ ten- and a hundredfold are
+// served evenly, wherever the order by served share is cut off, as measured by Jain's
+// fairness index.
 func TestServedSharesAreEven(t *testing.T) {
 	s := NewObjectiveTracker([]float64{0.55, 0.55, 0.55})
 	var jobs []UnfinishedJob
@@ -657,8 +667,8 @@
 	}
 }
 
-// TestOverloadMode: overload begins and ends with a delay, so that the order does not change
-// back and forth, and does not begin while machines can be rented.
+// TestOverloadMode checks that overload begins and ends with a delay, so that the order does
+// not change back and forth, and does not begin while machines can be rented.
 func TestOverloadMode(t *testing.T) {
 	accounts := testAccounts(1)
 	s := NewTeamShares(accounts, []Team{{"t", 0, 0}}, Settings{Enabled: true, OverloadBacklog: 30 * clock.Second})
@@ -680,8 +690,8 @@
 	}
 }
 
-// TestRefusalNotices: a refusal reaches all controllers, in notices of bounded size, and is
-// forgotten after a while.
+// TestRefusalNotices checks that a refusal reaches another controller in a notice of bounded
+// size, and is forgotten after refusalLifetime.
 func TestRefusalNotices(t *testing.T) {
 	accounts := testAccounts(1)
 	a, b := NewAllowance(accounts, LimitsOf(100, 2)), NewAllowance(accounts, LimitsOf(100, 2))
--- a/internal/admit/allowance.go
+++ b/internal/admit/allowance.go
@@ -92,6 +92,7 @@
 // arrivalTimeConstant is the time constant of the exponential decay of arrivalStats.
 const arrivalTimeConstant = 2 * clock.Second
 
+// decay brings the sums up to date.
 func (s *arrivalStats) decay(now Micros) {
 	if dt := now - s.updatedAt; dt > 0 {
 		factor := math.Exp(-float64(dt) / float64(arrivalTimeConstant))
--- a/internal/admit/objective_tracker.go
+++ b/internal/admit/objective_tracker.go
@@ -30,7 +30,7 @@
 
 // ObjectiveTracker keeps the share of each account's recently finished jobs that met their
 // objectives. It selects the waiting jobs that must be served next so that every account
-// reaches its minimum served share. Machines beyond that need follow the users' own
+// reaches its minimum served share. The remaining capacity follows the users' own
 // priorities.
 type ObjectiveTracker struct {
 	minShares []float64        // by account: the share of its jobs that must meet their objectives
@@ -51,6 +51,7 @@
 	return &ObjectiveTracker{minShares: minShares, finished: make([]finishedCounts, len(minShares))}
 }
 
+// decay brings the counts up to date.
 func (c *finishedCounts) decay(now Micros) {
 	if dt := now - c.updatedAt; dt > 0 {
 		factor := math.Exp(-float64(dt) / float64(finishedTimeConstant))
@@ -104,7 +105,7 @@
 }
 
 // Evaluate returns the status of each job. In each account as many jobs are needed as the
-// account lacks for its minimum share of all its jobs: those that can still meet their
+// account lacks for its minimum served share of all its jobs: those that can still meet their
 // objectives, by feasibility and then by least remaining work. Jobs with the least work go
 // first because every job counts as one whatever its size: half of the jobs of a class are
 // about a fifth of its work, and the rest of the machines stays available for the jobs that
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -59,6 +59,7 @@
 	return &Queue[T]{bounds: bounds, lanes: make([]lane[T], accounts+1)}
 }
 
+// laneIndex returns the lane of an account. Submissions without an account use the last lane.
 func (q *Queue[T]) laneIndex(account int) int {
 	if account < 0 || account >= len(q.lanes)-1 {
 		return len(q.lanes) - 1
--- a/internal/admit/table.go
+++ b/internal/admit/table.go
@@ -223,6 +223,7 @@
 	return min(uint32(1)<<min(bits.Len64(seconds-1), 31), MaxSlots)
 }
 
+// clampUint32 limits x to the range of uint32.
 func clampUint32(x int64) uint32 { return uint32(min(max(x, 0), math.MaxUint32)) }
 
 // TableFor returns the table for a controller that requests it, or nil before the first
--- a/internal/bound/bound.go
+++ b/internal/bound/bound.go
@@ -1,13 +1,15 @@
 // Package bound evaluates a recorded run under overload offline: it computes an upper
 // bound on the share of jobs that any scheduler could have served, even one that knows the
 // whole recording in advance, and the share that a greedy plan with that knowledge serves.
-// The difference to what was observed says how far the scheduler was from the optimum.
+// The difference between the bound and what was observed limits how far the scheduler can
+// have been from the optimum.
 // The package takes no part in scheduling.
 //
 // A job counts as served if its work is done within its window. The bound relaxes the
 // constraints of a real scheduler: work may be split freely over time and machines, and no
-// time is spent on fetching images or on repeating lost work. It is the dual of that linear
-// program. For any non-negative prices of machine time it holds that
+// time is spent on fetching images or on repeating lost work. Serving the largest share
+// under these relaxed constraints is a linear program, and the bound comes from its dual:
+// for any non-negative prices of machine time it holds that
 //
 //	served <= sum over slots of price[t] * capacity[t]
 //	        + sum over jobs of max(0, value - work * lowest price in its window)
@@ -23,7 +25,7 @@
 	"lilacthread/internal/clock"
 )
 
-// Micros is the project's unit of time.
+// Micros is an instant or a duration in microseconds.
 type Micros = clock.Micros
 
 // Job is one job of a recording.
@@ -280,6 +282,7 @@
 	return leastBound
 }
 
+// sum returns the sum of the numbers.
 func sum(list []float64) float64 {
 	total := 0.0
 	for _, x := range list {
@@ -288,6 +291,7 @@
 	return total
 }
 
+// dot returns the dot product of two vectors of equal length.
 func dot(a, b []float64) float64 {
 	total := 0.0
 	for i := range a {
@@ -299,7 +303,7 @@
 // greedyShares returns the share of each account's jobs that a greedy plan serves. It
 // repeatedly takes the account with the smallest share so far, and of it the job with the
 // least work, and serves that job if it fits into the remaining capacity of its window. The
-// plan is feasible if work may be split freely.
+// plan is feasible because work may be split freely.
 func (g *grid) greedyShares() []float64 {
 	remaining := slices.Clone(g.slotCapacity)
 	pending := make([][]int, len(g.accounts))
--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -26,11 +26,11 @@
 		recording           *Recording
 		minShare, meanShare float64
 	}{
-		"all":      {newRecording(10, 100, 100, 100, 100), 1, 1},
-		"half":     {newRecording(10, 500, 500, 500, 500), 0.5, 0.5},
-		"the rest": {newRecording(10, 1000, 1, 1000, 1), 0.5, 0.75},
-		"none":     {newRecording(10, 5000, 5000), 0, 0},
-		"one":      {newRecording(10, 5000, 500), 0, 0.5},
+		"all jobs served":                     {newRecording(10, 100, 100, 100, 100), 1, 1},
+		"half of each account":                {newRecording(10, 500, 500, 500, 500), 0.5, 0.5},
+		"half of one account, all of another": {newRecording(10, 1000, 1, 1000, 1), 0.5, 0.75},
+		"no job served":                       {newRecording(10, 5000, 5000), 0, 0},
+		"one account served":                  {newRecording(10, 5000, 500), 0, 0.5},
 	} {
 		r := ComputeBounds(c.recording)
 		if math.Abs(r.MinShareBound-c.minShare) > 0.03 || math.Abs(r.MeanShareBound-c.meanShare) > 0.03 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,20 +14,22 @@
 	"lilacthread/wire"
 )
 
-// MachineKind identifies one kind of machine that the cloud offers, and may run out
-// of: a machine type in a zone, either spot or ordinary.
+// MachineKind identifies one kind of machine that the cloud offers and may run out of: a
+// machine type in a zone, either spot or on-demand.
 type MachineKind struct {
 	Type, Zone string
 	Spot       bool
 }
 
+// kindOf returns the kind of a machine.
 func kindOf(m *sched.Machine) MachineKind { return MachineKind{m.Type.Name, m.Zone, m.Spot} }
 
+// compare orders kinds by type, zone and then spot, with on-demand machines first.
 func (k MachineKind) compare(o MachineKind) int {
 	return cmp.Or(cmp.Compare(k.Type, o.Type), cmp.Compare(k.Zone, o.Zone), cmp.Compare(boolToInt(k.Spot), boolToInt(o.Spot)))
 }
 
-// Rental is a rental request that the cloud has not answered yet.
+// PendingRental is a rental request that the cloud has not answered yet.
 type PendingRental struct {
 	Kind  MachineKind
 	Count int
@@ -74,7 +76,7 @@
 	reclaimableCPUs float64
 }
 
-// rentalPlanner is the working state of one call of Plan.
+// rentalPlanner is the working state of one Plan call.
 type rentalPlanner struct {
 	*Input
 	incoming         []*incomingMachine
@@ -93,6 +95,7 @@
 // new machines. One request asks for at most 50 machines.
 func Plan(in *Input) []RentalRequest { return newRentalPlanner(in).plan() }
 
+// newRentalPlanner collects the incoming machines and the supply of batch capacity.
 func newRentalPlanner(in *Input) *rentalPlanner {
 	p := &rentalPlanner{Input: in, requested: map[MachineKind]int{}, minUsefulWait: clock.Forever}
 	for i := range in.Catalog {
@@ -121,6 +124,7 @@
 	return p
 }
 
+// plan plans all unplaced jobs that can affect what is rented.
 func (p *rentalPlanner) plan() []RentalRequest {
 	return p.planFor(p.Unplaced[:p.relevantCount()], p.planJob)
 }
@@ -144,6 +148,7 @@
 	return out
 }
 
+// boolToInt returns 1 for true and 0 for false, for use in comparisons.
 func boolToInt(b bool) int {
 	if b {
 		return 1
@@ -151,13 +156,15 @@
 	return 0
 }
 
-// minRemainingBoot is the least time that a booting machine is expected to still take.
+// minRemainingBoot is the least time after which a booting machine is expected to be up.
 const minRemainingBoot = 2 * clock.Second
 
+// newIncomingMachine returns an empty machine that is requested now.
 func (p *rentalPlanner) newIncomingMachine(k MachineKind, t *wire.MachineType) *incomingMachine {
 	return &incomingMachine{k, t, sched.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}, p.Now + clock.FromSeconds(t.BootTime), t.CPUs}
 }
 
+// machineType returns the catalog entry of a machine type, or nil if there is none.
 func (p *rentalPlanner) machineType(name string) *wire.MachineType {
 	for i := range p.Catalog {
 		if p.Catalog[i].Name == name {
@@ -291,9 +298,10 @@
 	return len(p.lookahead().queues) > known
 }
 
-// pickKind chooses the kind of machine to rent for j's next task, among those worth
-// renting for a task that would otherwise wait for the given time. It takes the kind
-// with the lowest price per CPU that this task and the waiting work after it would use.
+// pickKind chooses the machine kind to rent for j's next task, among those worth renting
+// for a task that would otherwise wait for the given time. It takes the kind with the
+// lowest price per CPU that this task and the waiting work after it would use, and
+// reports whether there is any.
 func (p *rentalPlanner) pickKind(j *sched.Job, need sched.Resources, placedByZone map[string]int, wait sched.Micros) (MachineKind, bool) {
 	best, bestCost := MachineKind{}, math.Inf(1)
 	for i := range p.Catalog {
@@ -324,7 +332,7 @@
 
 // worthRenting reports whether a new machine is better for a task of j than waiting
 // for running tasks to end: a spot machine when the wait exceeds half its boot time plus
-// SpotWaitThreshold, an ordinary one when waiting would miss the job's target time.
+// SpotWaitThreshold, an on-demand one when waiting would miss the job's target time.
 // Gangs and services don't wait.
 func (p *rentalPlanner) worthRenting(j *sched.Job, t *wire.MachineType, spot bool, wait sched.Micros) bool {
 	if !j.Array() {
@@ -344,7 +352,7 @@
 	}
 	jobSlack := j.Slack(p.Now)
 	if jobSlack < boot+p.fetchTime(j, t) {
-		// Not even a new machine would finish the job in time, so an ordinary one is
+		// Not even a new machine would finish the job in time, so an on-demand one is
 		// not worth its price unless the task would wait very long.
 		return wait > 6*boot
 	}
@@ -359,7 +367,7 @@
 	return 0
 }
 
-// rentHeadroom rents ordinary machines until the CPUs available to new services cover
+// rentHeadroom rents on-demand machines until the CPUs available to new services cover
 // Headroom. Free CPUs count, those of incoming machines, and those held by work that
 // services may preempt.
 func (p *rentalPlanner) rentHeadroom() {
@@ -428,9 +436,9 @@
 	if n <= 0 {
 		return nil
 	}
-	// CPUs free on all machines and on ordinary ones, less those that the tasks of
+	// CPUs free on all machines and on the on-demand ones, less those that the tasks of
 	// retiring machines need elsewhere.
-	var freeCPUs, freeOrdinaryCPUs float64
+	var freeCPUs, freeOnDemandCPUs float64
 	type candidate struct {
 		m               *sched.Machine
 		pricePerUsedCPU float64
@@ -441,12 +449,12 @@
 		switch {
 		case m.Retiring && !m.Releasing:
 			freeCPUs -= m.Type.CPUs - available
-			freeOrdinaryCPUs -= m.ProductionCPUs()
+			freeOnDemandCPUs -= m.ProductionCPUs()
 		case m.Usable(in.Now, in.MaxReportAge):
 			freeCPUs += available
 			price := m.Type.SpotPrice
 			if !m.Spot {
-				freeOrdinaryCPUs += available
+				freeOnDemandCPUs += available
 				price = m.Type.Price
 			}
 			if m.Busy() {
@@ -466,7 +474,7 @@
 		if c.pricePerUsedCPU <= 0 || freeCPUs-available < usedCPUs+in.Headroom {
 			continue
 		}
-		if !m.Spot && (freeOrdinaryCPUs-available < m.ProductionCPUs() || spareCPUs-in.SpareCPUsOn(m) < m.ProductionCPUs()+in.Headroom) {
+		if !m.Spot && (freeOnDemandCPUs-available < m.ProductionCPUs() || spareCPUs-in.SpareCPUsOn(m) < m.ProductionCPUs()+in.Headroom) {
 			continue
 		}
 		out = append(out, m)
@@ -474,9 +482,9 @@
 			break
 		}
 		freeCPUs -= available + usedCPUs
-		freeOrdinaryCPUs -= m.ProductionCPUs()
+		freeOnDemandCPUs -= m.ProductionCPUs()
 		if !m.Spot {
-			freeOrdinaryCPUs -= available
+			freeOnDemandCPUs -= available
 			spareCPUs -= in.SpareCPUsOn(m)
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -25,7 +25,7 @@
 	}
 	in.PendingRentals = nil
 	if requests := Plan(in); len(requests) != 1 || requests[0].Kind.Spot {
-		t.Errorf("got requests %v, want one for an ordinary machine", requests)
+		t.Errorf("got requests %v, want one for an on-demand machine", requests)
 	}
 }
 
--- a/internal/fleet/lookahead.go
+++ b/internal/fleet/lookahead.go
@@ -24,6 +24,7 @@
 	releases []expectedRelease
 }
 
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (q *releaseQueue) Len() int           { return len(q.releases) }
 func (q *releaseQueue) Less(i, j int) bool { return q.releases[i].at < q.releases[j].at }
 func (q *releaseQueue) Swap(i, j int)      { q.releases[i], q.releases[j] = q.releases[j], q.releases[i] }
@@ -67,7 +68,7 @@
 	byKind           map[MachineKind]*releaseQueue
 	queues           []*releaseQueue // the values of byKind, ordered by kind
 	partsBuffer      []claimPart     // backing array that consecutive claims share
-	releasesExamined int             // as a measure of the cost
+	releasesExamined int             // releases that claims removed, as a measure of the cost
 }
 
 // newLookahead collects the expected releases of array and gang tasks, on machines that
--- a/internal/fleet/lookahead_test.go
+++ b/internal/fleet/lookahead_test.go
@@ -30,6 +30,7 @@
 	typ  *wire.MachineType
 }
 
+// compareFreed orders freed capacity by time and kind.
 func compareFreed(x, y freedCapacity) int {
 	return cmp.Or(cmp.Compare(x.at, y.at), x.kind.compare(y.kind))
 }
@@ -180,7 +181,7 @@
 	{Name: "small", CPUs: 8, MemoryGB: 16, Price: 0.4, SpotPrice: 0.1, BootTime: 35, Zones: []string{"a", "c"}},
 }
 
-// drawJob draws a job of random kind and size.
+// drawJob draws a job of random kind, size, run time and constraints.
 func drawJob(t *rapid.T, id string) *sched.Job {
 	kind := rapid.SampledFrom([]string{wire.KindArray, wire.KindArray, wire.KindArray, wire.KindService, wire.KindGang}).Draw(t, "kind")
 	tasks := rapid.IntRange(1, 40).Draw(t, "tasks")
@@ -260,7 +261,7 @@
 }
 
 // newPeakInput makes a fleet that is full of short tasks, with waiting arrays of 1000
-// tasks each.
+// tasks each. If refused is set, the cloud refuses every machine kind.
 func newPeakInput(machines int, refused bool) *Input {
 	in := &Input{Now: 100 * clock.Second, Catalog: machineTypes, RefusedUntil: map[MachineKind]sched.Micros{}, SpotWaitThreshold: 5 * clock.Second}
 	for i := range machines {
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -66,7 +66,7 @@
 		counts[request.Kind.Spot] = request.Count
 	}
 	if counts[true] == 0 || counts[false] == 0 {
-		t.Errorf("rented by spot: %v, want spot machines for batch jobs and ordinary ones for services", counts)
+		t.Errorf("rented by spot: %v, want spot machines for batch jobs and on-demand ones for services", counts)
 	}
 	in = newLargeInput(500)
 	p = newRentalPlanner(in)
@@ -84,12 +84,12 @@
 		headroom float64
 		want     int // index in machines; -1 for none
 	}{
-		"the emptiest machine that fits":             {[]*sched.Machine{newRunningMachine(0, false, 3, 4, batch), newRunningMachine(1, false, 1, 4, batch)}, 0, 1},
-		"none without capacity elsewhere":            {[]*sched.Machine{newRunningMachine(0, false, 4, 4, batch), newRunningMachine(1, false, 1, 4, batch)}, 0, -1},
-		"none when the headroom needs the capacity":  {[]*sched.Machine{newRunningMachine(0, false, 3, 4, batch), newRunningMachine(1, false, 1, 4, batch)}, 16, -1},
-		"replicas do not move to spot machines":      {[]*sched.Machine{newRunningMachine(0, true, 1, 4, batch), newRunningMachine(1, false, 1, 4, service)}, 0, 0},
-		"spot machines are retired too":              {[]*sched.Machine{newRunningMachine(0, true, 1, 4, batch), newRunningMachine(1, true, 2, 4, batch)}, 0, 0},
-		"ordinary machines before cheaper spot ones": {[]*sched.Machine{newRunningMachine(0, true, 1, 4, batch), newRunningMachine(1, false, 1, 4, batch)}, 0, 1},
+		"the emptiest machine that fits":              {[]*sched.Machine{newRunningMachine(0, false, 3, 4, batch), newRunningMachine(1, false, 1, 4, batch)}, 0, 1},
+		"none without capacity elsewhere":             {[]*sched.Machine{newRunningMachine(0, false, 4, 4, batch), newRunningMachine(1, false, 1, 4, batch)}, 0, -1},
+		"none when the headroom needs the capacity":   {[]*sched.Machine{newRunningMachine(0, false, 3, 4, batch), newRunningMachine(1, false, 1, 4, batch)}, 16, -1},
+		"replicas do not move to spot machines":       {[]*sched.Machine{newRunningMachine(0, true, 1, 4, batch), newRunningMachine(1, false, 1, 4, service)}, 0, 0},
+		"spot machines are retired too":               {[]*sched.Machine{newRunningMachine(0, true, 1, 4, batch), newRunningMachine(1, true, 2, 4, batch)}, 0, 0},
+		"on-demand machines before cheaper spot ones": {[]*sched.Machine{newRunningMachine(0, true, 1, 4, batch), newRunningMachine(1, false, 1, 4, batch)}, 0, 1},
 	} {
 		in := &Input{Catalog: catalog, Machines: c.machines, Headroom: c.headroom, MaxReportAge: clock.Second}
 		got := -1
--- a/internal/oneway/oneway.go
+++ b/internal/oneway/oneway.go
@@ -9,7 +9,7 @@
 
 import "lilacthread/internal/clock"
 
-// Micros is the project's unit of time.
+// Micros is an instant or a duration in microseconds.
 type Micros = clock.Micros
 
 // Symptom is evidence that something sent to a worker did not arrive. Its value is its
--- a/internal/quota/lend.go
+++ b/internal/quota/lend.go
@@ -145,12 +145,12 @@
 
 // reclaimPlan collects reclaims and how much of each node's holdings they cover.
 type reclaimPlan struct {
-	planned  map[*Node]Resources
+	planned  map[*Node]Resources // by node: what the reclaims take from its subtree
 	reclaims []Reclaim
 }
 
-// collect reclaims up to amount below n, except from the child exclude, and returns what it
-// found.
+// collect plans reclaims of up to amount from the leaves below n, except from the child exclude.
+// It returns the amount that it planned.
 func (p *reclaimPlan) collect(n *Node, amount Resources, exclude *Node, reclaim Reclaim) Resources {
 	if len(n.children) == 0 {
 		available := p.aboveEntitlement(n)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain runs 3000 cases instead of rapid's default of 100, since 100 miss some of the
-// guards. The seed is fixed so that the result is reproducible; -rapid.seed overrides it.
+// TestMain runs 3000 cases instead of rapid's default of 100, since 100 cases do not exercise
+// all the guards in the code. The seed is fixed so that the result is reproducible; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.checks", "3000")
 	flag.Set("rapid.seed", "1")
@@ -20,6 +20,7 @@
 	os.Exit(m.Run())
 }
 
+// cpus returns n thousandths of a CPU.
 func cpus(n int64) Resources { return Resources{CPUs: n} }
 
 // model checks a tree against a simple model of it: the tasks of each leaf as a list, and the
@@ -32,6 +33,7 @@
 	changes   int                    // changes made, to number their ids
 }
 
+// newModel returns a model of a random tree whose leaves each belong to a team of their own.
 func newModel(t *rapid.T) *model {
 	m := &model{t: t, tasks: map[string][]Resources{}, inForce: map[string]Resources{}}
 	var specs []Spec
@@ -65,6 +67,7 @@
 	return m
 }
 
+// leaf draws a leaf, and skips the step if there is none.
 func (m *model) leaf() *Node {
 	var leaves []*Node
 	for _, n := range m.versioned.Tree.Nodes() {
@@ -78,6 +81,7 @@
 	return rapid.SampledFrom(leaves).Draw(m.t, "leaf")
 }
 
+// start starts a task on a leaf if the tree allows it, and reports whether it did.
 func (m *model) start(n *Node, need Resources) bool {
 	if !m.versioned.Tree.Allows(n, need) {
 		return false
@@ -87,6 +91,7 @@
 	return true
 }
 
+// end ends task i of a leaf.
 func (m *model) end(n *Node, i int) {
 	need := m.tasks[n.Name][i]
 	m.tasks[n.Name] = append(m.tasks[n.Name][:i:i], m.tasks[n.Name][i+1:]...)
@@ -156,6 +161,8 @@
 	}
 }
 
+// change applies a random change. It checks the version, that a repeated change has no further
+// effect, and that a change for an older version is refused as stale.
 func (m *model) change() {
 	t, tree := m.t, m.versioned.Tree
 	n := rapid.SampledFrom(tree.Nodes()).Draw(t, "node")
@@ -262,10 +269,10 @@
 	}
 }
 
-// TestReclaimMeetsClaim: a leaf that claims gets everything that it is entitled to and waits
-// for, whoever borrowed it and whatever the borrowers start meanwhile. Only other leaves that
-// are entitled too may take what was given back, which costs another round. No leaf gives back
-// what it is entitled to.
+// TestReclaimMeetsClaim checks that a leaf with a claim gets everything that it claims, whoever
+// borrowed it and whatever the borrowers start meanwhile. Only other leaves that are entitled
+// too may take what was given back, which costs another round. No leaf gives back what it is
+// entitled to.
 func TestReclaimMeetsClaim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -325,8 +332,8 @@
 	return "", false
 }
 
-// TestStartsUntilLimit: a leaf that starts tasks alone can do so until it reaches a limit on its
-// path to the root.
+// TestStartsUntilLimit checks that a leaf that alone starts tasks can do so until it reaches a
+// limit on its path to the root.
 func TestStartsUntilLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -341,8 +348,8 @@
 	})
 }
 
-// sampleSpecs returns a small tree: of 100 units, north is guaranteed 60, divided between
-// ingest and transcode of one team, and south 40.
+// sampleSpecs returns a small tree: of 100 thousandths of a CPU, north is guaranteed 60, divided
+// between ingest and transcode of one team, and south 40.
 func sampleSpecs() []Spec {
 	return []Spec{
 		{Name: "office", Guarantee: cpus(100), Limit: cpus(100), Weight: 1},
@@ -408,6 +415,7 @@
 	}
 }
 
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
@@ -415,8 +423,9 @@
 	return 0
 }
 
-// TestShrinkInUse: what a shrink takes away is available to no leaf until tasks have ended, and
-// a parent that holds less than it guaranteed scales down its children's entitlements.
+// TestShrinkInUse checks that what a shrink takes away is available to no leaf until tasks have
+// ended, and that the entitlements of a node's children are scaled down if the node's own
+// guarantee no longer covers theirs.
 func TestShrinkInUse(t *testing.T) {
 	tree, err := Build(sampleSpecs())
 	if err != nil {
@@ -467,7 +476,8 @@
 	}
 }
 
-// TestBorrowByWeight: lent resources go to the side that has borrowed less for its weight.
+// TestBorrowByWeight checks that lent resources go to the side that has borrowed less relative
+// to its weight.
 func TestBorrowByWeight(t *testing.T) {
 	tree, err := Build([]Spec{
 		{Name: "top", Guarantee: cpus(100), Limit: cpus(100), Weight: 1},
--- a/internal/sched/dominant_test.go
+++ b/internal/sched/dominant_test.go
@@ -18,7 +18,7 @@
 		plain := wire.MachineType{Name: "g", CPUs: 16, MemoryGB: 1000, CacheGB: 100, Zones: []string{"a"}}
 		n := Resources{CPUs: rapid.Float64Range(0.5, 16).Draw(t, "cpus"), Memory: 4}
 		if n.DominantCPUs(&plain) != n.CPUs || n.RemainingCPUs(&plain) != n.CPUs {
-			t.Fatalf("%v counts as %v, room as %v", n, n.DominantCPUs(&plain), n.RemainingCPUs(&plain))
+			t.Fatalf("%v counts as %v CPUs, as free room %v", n, n.DominantCPUs(&plain), n.RemainingCPUs(&plain))
 		}
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 8), 1, 12).Draw(t, "sizes")
 		placements := func(gpus float64) []string {
@@ -39,7 +39,7 @@
 				j.Init()
 				j.ComputeSize([]wire.MachineType{typ})
 				if j.TaskCPUs() != float64(size) {
-					t.Fatalf("%v of 16 CPUs counts as %v", size, j.TaskCPUs())
+					t.Fatalf("a task of %v of 16 CPUs counts as %v CPUs", size, j.TaskCPUs())
 				}
 				in.Jobs = append(in.Jobs, j)
 			}
@@ -50,7 +50,7 @@
 			return out
 		}
 		if without, with := placements(0), placements(4); !slices.Equal(without, with) {
-			t.Fatalf("without accelerators %v, with %v", without, with)
+			t.Fatalf("placements without accelerators %v, with %v", without, with)
 		}
 	})
 }
--- a/internal/sched/graph.go
+++ b/internal/sched/graph.go
@@ -10,7 +10,7 @@
 // This file computes what a pipeline's dependency graph means for each of its jobs (the
 // first tier, section V.A of the paper): rank, deadline, priority and pipeline start. The
 // dependents of a waiting job wait as well, so these values change only when an edge is
-// added or a job is cancelled, and only the jobs before that change are computed again.
+// added or a job is cancelled, and only the jobs upstream of that change are computed again.
 
 // Init sets the priority, pipeline start and deadline of a new job to its own values.
 // AddDependency then adjusts them for its pipeline.
@@ -56,8 +56,8 @@
 	}
 }
 
-// recomputeInherited computes again the rank, deadline and priority that j inherits from
-// its dependents. If one of them changed, it does the same for the dependencies of j.
+// recomputeInherited recomputes the rank, deadline and priority that j inherits from its
+// dependents. If one of them changed, it does the same for the dependencies of j.
 func (j *Job) recomputeInherited() {
 	dependentsRank, deadline, priority := Micros(0), j.ownDeadline(), wire.PriorityOf(j.Spec.Priority)
 	for _, d := range j.DirectDependents {
--- a/internal/sched/graph_test.go
+++ b/internal/sched/graph_test.go
@@ -48,7 +48,7 @@
 	AddDependency(d, c)
 	check("whole", want{a, 45, 1, 65, high}, want{b, 25, 1, 95, high}, want{c, 35, 1, 95, high}, want{d, 5, 1, 100, high})
 	if p := a.Tasks[0].Placement; p.Priority != high || m.allocated.CPUs != 2 {
-		t.Errorf("a running task did not inherit: %+v", p)
+		t.Errorf("a placed task did not inherit the priority: %+v", p)
 	}
 	if got := a.Dependents(); len(got) != 3 || got[2] != d {
 		t.Errorf("dependents of a: %d, the last is not d", len(got))
--- a/internal/sched/model.go
+++ b/internal/sched/model.go
@@ -12,7 +12,7 @@
 	"lilacthread/wire"
 )
 
-// Micros is an instant or a span of time in microseconds.
+// Micros is an instant or a duration in microseconds.
 type Micros = clock.Micros
 
 // TaskState is the scheduling state of a task.
@@ -69,7 +69,7 @@
 
 	GangAttempt uint64 // attempt number shared by all tasks of a gang
 
-	MinShareStatus admit.MinShareStatus // state of the account's minimum share, used under overload
+	MinShareStatus admit.MinShareStatus // how the job relates to its account's minimum served share, used under overload
 
 	taskCPUs    float64 // CPUs of one task by its dominant resource, see ComputeSize; 0 if unknown
 	fastestBoot Micros  // shortest boot time among the machine types that the job may use
@@ -168,8 +168,8 @@
 	Committed        bool    // stored in the state service, so that a launch may be sent
 	InJobRecord      bool    // stored in the job's records, so that the machine's record need not hold it
 	Sent             bool    // a launch may have been sent
-	DirectUnanswered bool    // sent in a direct command that is not answered; only the end of the session proves absence
-	OutcomeUnknown   bool    // the direct command failed without an answer; whether it was executed is unknown
+	DirectUnanswered bool    // sent in a direct command batch that is not answered; only the end of the session proves absence
+	OutcomeUnknown   bool    // the direct command batch failed without an answer; whether it was executed is unknown
 	Resent           bool    // the launch was sent again since, so two launches may be in flight
 	SentAt           Micros  // when the launch was last sent, or 0
 	Reported         bool    // the worker reported the task under this leader's token
@@ -203,13 +203,13 @@
 
 	Session              uint64 // session number of the worker process
 	Seq                  uint64 // sequence number of the last report in this session
-	LastCommandSeq       uint64 // highest sequence number in answers to direct commands in this session
+	LastCommandSeq       uint64 // highest sequence number in answers to direct command batches in this session
 	CommandInFlight      bool   // a direct command batch was sent and is not answered
 	Up                   bool   // the worker has reported
 	Acked                bool   // the worker has acknowledged this leader's token
 	LastReportAt         Micros // receipt of the last report
 	LastAnsweredReportAt Micros // receipt of the last report that this leader answered
-	LastCommandAt        Micros // when a direct command was last answered, or sent if it may start a task
+	LastCommandAt        Micros // when a direct command batch was last answered, or sent if it may start a task
 	ReclaimAt            Micros // when the cloud reclaims the machine; 0 without a notice
 
 	Placements     map[string]*Placement // by task ID
@@ -222,7 +222,7 @@
 	Downlink              oneway.Detector // detects a one-way partition towards the worker
 	LastRedirectAt        Micros          // when the worker was last redirected, to search for a new leader
 	StaleTokenAnswered    bool            // a report under an older token was answered in this term
-	LastCommandUnanswered bool            // the latest direct command was not answered
+	LastCommandUnanswered bool            // the latest direct command batch was not answered
 	UnansweredProbes      int             // probes without an answer since the last report
 	LastProbeAt           Micros          // when the latest probe was sent
 	LastRestartCheckAt    Micros          // when the machine was last checked for a restart of its worker
@@ -310,7 +310,7 @@
 }
 
 // Allows reports whether the job may run on an empty machine of the given type, in the
-// given zone, spot or ordinary.
+// given zone, spot or on-demand.
 func (j *Job) Allows(t *wire.MachineType, zone string, spot bool) bool {
 	if spot && !j.Spec.Spot || j.Spec.Zone != "" && j.Spec.Zone != zone {
 		return false
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -29,8 +29,8 @@
 	FairShare func(*Job) *FairShare
 }
 
-// FairShare is a team's entitlement to machine capacity under overload and its
-// current allocation, both in CPUs.
+// FairShare is a team's fair share of machine capacity under overload and its current
+// allocation, both in CPUs.
 type FairShare struct {
 	Share     float64
 	Allocated float64 // held by the team's tasks; Plan keeps it current
@@ -258,7 +258,7 @@
 	// each machine. All tasks of a job are alike, so a placement changes only the cost of
 	// its own machine.
 	localImageOnly   bool // use only machines that hold the job's image or are fetching it
-	preferOrdinary   bool // use ordinary machines before spot machines, see prefersOrdinary
+	preferOnDemand   bool // use on-demand machines before spot machines, see prefersOnDemand
 	cost             []float64
 	needsVictims     []bool               // the machine has no room, and its cost does not yet include stopping tasks
 	victimsByMachine map[int][]*Placement // tasks to stop on a machine to make room
@@ -331,7 +331,7 @@
 // Rounds of a pass under overload. A pass outside overload has a single round, which is
 // numbered 0 and treated like finalRound.
 const (
-	minShareRound  = iota + 1 // only jobs that their account needs to reach its minimum share
+	minShareRound  = iota + 1 // only jobs that their account needs to reach its minimum served share
 	fairShareRound            // jobs of teams below their fair share
 	finalRound                // all jobs; remaining room goes to any job that can use it
 )
@@ -339,12 +339,12 @@
 // placeUnderOverload places jobs below production priority while demand exceeds the
 // capacity of the machines. In the order of SortJobs, a burst of jobs would block all work
 // of lower levels until it is over. Overdue jobs therefore go first, and then the jobs that
-// their account needs to reach its minimum share: those that have begun before others, and
-// then by the lowest served share of the account without them. The other jobs are ordered
-// by feasibility, urgency and priority; among equals, jobs that have begun and then those
-// with the least remaining work go first. A job is of use only when its last task is done,
-// so many partly completed jobs serve nobody. The final round uses any room that is left,
-// so that no capacity stays idle because of the shares.
+// their account needs to reach its minimum served share: those that have begun before
+// others, and then by the lowest served share of the account without them. The other jobs
+// are ordered by feasibility, urgency and priority; among equals, jobs that have begun and
+// then those with the least remaining work go first. A job is of use only when its last task
+// is done, so many partly completed jobs serve nobody. The final round uses any room that is
+// left, so that no capacity stays idle because of the shares.
 func (p *pass) placeUnderOverload(jobs []*Job) {
 	work := make(map[*Job]float64, len(jobs))
 	for _, j := range jobs {
@@ -590,7 +590,7 @@
 // scoreAll computes the cost of a task of j on each open machine. A non-empty zone limits
 // it to the machines of that zone.
 func (p *pass) scoreAll(j *Job, zone string) {
-	p.victimsByMachine, p.preferOrdinary, p.costHeap = nil, p.prefersOrdinary(j), p.costHeap[:0]
+	p.victimsByMachine, p.preferOnDemand, p.costHeap = nil, p.prefersOnDemand(j), p.costHeap[:0]
 	for _, i := range p.openMachines {
 		if zone != "" && p.usableMachines[i].Zone != zone {
 			continue
@@ -700,7 +700,7 @@
 
 // packingCost returns the cost of using machine i for j beyond the delay, in the same unit
 // as score. Services are packed on few machines. Other work first fills the room beside
-// services, which is paid for anyway, then spot machines, then ordinary ones, each time the
+// services, which is paid for anyway, then spot machines, then on-demand ones, each time the
 // fullest first. Other machines then become empty and can be returned.
 func (p *pass) packingCost(j *Job, i int) float64 {
 	m := p.usableMachines[i]
@@ -710,12 +710,12 @@
 		cost = 2 * (1 - share)
 	case share > 0 && !m.Spot && !j.Gang(): // not for gangs, which cannot be stopped for a service
 		cost = remaining / m.Type.CPUs
-	case p.preferOrdinary && !m.Spot:
+	case p.preferOnDemand && !m.Spot:
 		cost = remaining / m.Type.CPUs
 	case m.Spot || !j.Spec.Spot:
 		cost = 1 + remaining/m.Type.CPUs
 	default:
-		// A spot machine that has to fetch the image is preferred to an ordinary one that
+		// A spot machine that has to fetch the image is preferred to an on-demand one that
 		// holds it, as long as the job can wait for the fetch.
 		slack := j.Slack(p.Now).Seconds()
 		cost = 3 + remaining/m.Type.CPUs + max(0, min(slack/2, 0.4*j.Estimate.Seconds()))
@@ -730,14 +730,14 @@
 // a spot machine would delay all jobs after it.
 func (j *Job) inPipeline() bool { return len(j.Spec.DependsOn) > 0 || len(j.DirectDependents) > 0 }
 
-// prefersOrdinary reports whether a job uses ordinary machines before spot machines where
+// prefersOnDemand reports whether a job uses on-demand machines before spot machines where
 // both have room. That holds for jobs in pipelines, and for arrays without checkpoints that
 // would lose a task to a reclaimed spot machine with a probability above one half (ln 2
 // expected losses). A job is done with its last task: with 80 tasks and one reclaim per
 // machine every half hour, nearly every such job on spot machines finishes a whole run late
-// while checkpointed work occupies the ordinary machines. At lower reclaim rates spot
+// while checkpointed work occupies the on-demand machines. At lower reclaim rates spot
 // machines come first.
-func (p *pass) prefersOrdinary(j *Job) bool {
+func (p *pass) prefersOnDemand(j *Job) bool {
 	if j.inPipeline() {
 		return true
 	}
@@ -763,8 +763,8 @@
 }
 
 // victimCandidates lists the tasks on m that may be stopped for a job of the given
-// priority. Tasks of gangs are never stopped. Tasks that are not needed for a minimum share
-// come first; each group is sorted by lowest priority and then by least lost work.
+// priority. Tasks of gangs are never stopped. Tasks that are not needed for a minimum served
+// share come first; each group is sorted by lowest priority and then by least lost work.
 func (p *pass) victimCandidates(m *Machine, priority int) []*Placement {
 	var list []*Placement
 	for _, v := range m.Placements {
@@ -779,7 +779,7 @@
 }
 
 // neededForMinShare reports whether, under overload, the account of the placement needs its
-// job to reach the minimum share. Such placements are stopped last.
+// job to reach the minimum served share. Such placements are stopped last.
 func (p *pass) neededForMinShare(v *Placement) bool {
 	return p.FairShare != nil && !v.Job.MinShareStatus.Surplus
 }
@@ -807,8 +807,8 @@
 	need := j.Need()
 	if p.FairShare != nil {
 		// Under overload, finishing tasks free room all the time. Preempting an account's
-		// surplus over its minimum share for urgent work would stop the same jobs again and
-		// again, so that they never finish and delay the others.
+		// surplus over its minimum served share for urgent work would stop the same jobs again
+		// and again, so that they never finish and delay the others.
 		return
 	}
 	for _, i := range p.preemptibleMachines() {
@@ -955,7 +955,7 @@
 // gang's image or are fetching it.
 func (p *pass) placeGang(j *Job, localImageOnly bool) {
 	if j.PlacedCount > 0 || len(j.Queue) < len(j.Tasks)-j.DoneCount || !p.entitled(j) {
-		return // earlier placements remain, or the account's entitlement is used up
+		return // earlier placements remain, or the job may not have more in this round
 	}
 	n := len(j.Queue)
 	team := p.Teams[j.Spec.Team]
--- a/internal/sched/reservation.go
+++ b/internal/sched/reservation.go
@@ -15,14 +15,14 @@
 // Tasks that end one by one never free enough room at once for a task that takes more than
 // half a machine, or for a gang that needs several placements, as long as smaller tasks
 // take each piece of room. On machines with accelerators, gangs accepted in the first
-// second of a run waited behind arrays for two minutes. A job that the end of a single task
-// may not make room for therefore reserves machines: those that will have the room soonest,
-// by the expected ends of the tasks there. Jobs that come later in the pass's order may use
-// a reserved machine only if the room is still free in time, because they end before or fit
-// beside the reservation.
+// second of a run waited behind arrays for two minutes. A job that needs more room than the
+// end of a single task may free therefore reserves machines: those that will have the room
+// soonest, by the expected ends of the tasks there. Jobs that come later in the pass's order
+// may use a reserved machine only if they end before the reservation begins or fit beside
+// it.
 //
 // Each pass makes all reservations again in its order of jobs, first for the jobs that had
-// one in the previous pass. A job never waits for the reservation of a later one, so two
+// reservations in the previous pass. A job never waits for the reservation of a later one, so two
 // jobs cannot wait for each other.
 
 // reservation is room that a machine keeps for one task, and when the room will be available.
@@ -64,7 +64,7 @@
 // room for the job.
 func (j *Job) needsReservation() bool { return j.Gang() || j.largeTask }
 
-// tasksToReserve returns the number of tasks for which the job reserves room.
+// tasksToReserve returns the number of tasks for which the job reserves room in one pass.
 func (j *Job) tasksToReserve() int {
 	if j.Gang() {
 		return len(j.Queue)
@@ -154,10 +154,13 @@
 	zone, types string
 }
 
-// candidates is a heap ordered by time. Its times may be too early but never too late,
-// because a reservation only takes room away.
+// candidates is a heap of machines ordered by availableAt. A stored time may be too early,
+// because later reservations and placements take room away; pickReservations corrects it.
+// It can be too late only if a reservation was cancelled or a task stopped since.
 type candidates []candidate
 
+// Len, Less, Swap, Push and Pop implement heap.Interface. Equal times are ordered by machine
+// index.
 func (c candidates) Len() int { return len(c) }
 func (c candidates) Less(x, y int) bool {
 	return c[x].availableAt < c[y].availableAt || c[x].availableAt == c[y].availableAt && c[x].machine < c[y].machine
--- a/internal/sched/reservation_test.go
+++ b/internal/sched/reservation_test.go
@@ -11,11 +11,14 @@
 
 var acceleratorTypes = []wire.MachineType{{Name: "g", CPUs: 48, GPUs: 4, MemoryGB: 192, CacheGB: 100, BootTime: 45, Zones: []string{"a"}}}
 
+// newAcceleratorMachine returns an empty machine that is up and holds the image "i".
 func newAcceleratorMachine(n int) *Machine {
 	return &Machine{ID: fmt.Sprintf("m-%06d", n), Type: &acceleratorTypes[0], Zone: "a", Up: true, Acked: true,
 		Placements: map[string]*Placement{}, Images: map[string]Micros{"i": 1}, ImageSizes: map[string]float64{"i": 1}}
 }
 
+// newAcceleratorJob returns a waiting job with the given number of GPUs, and twice as many
+// CPUs, for each task. Times are in seconds.
 func newAcceleratorJob(id, kind string, tasks int, gpus float64, ready, estimate Micros) *Job {
 	j := &Job{ID: id, Submitted: ready * clock.Second, ReadyAt: ready * clock.Second, PipelineStart: ready * clock.Second,
 		Estimate: estimate * clock.Second, Deadline: clock.Forever, Tasks: make([]Task, tasks),
@@ -74,8 +77,9 @@
 	return beginAt
 }
 
-// TestLargeJobsBegin guards against the starvation of large jobs: each accelerator that
-// becomes free goes to a small task, because more small tasks arrive than there is room for.
+// TestLargeJobsBegin guards against the starvation of large jobs: without reservations each
+// accelerator that becomes free goes to a small task, because more small tasks arrive than
+// there is room for.
 func TestLargeJobsBegin(t *testing.T) {
 	gang := newAcceleratorJob("gang", wire.KindGang, 4, 4, 20, 30)
 	whole := newAcceleratorJob("whole", wire.KindArray, 1, 4, 20, 30)
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -7,6 +7,7 @@
 	"lilacthread/wire"
 )
 
+// newJob returns an array job. Times are in seconds; a target of 0 means none.
 func newJob(id string, priority int, submitted, estimate, target Micros) *Job {
 	name := []string{"best_effort", "normal", "urgent", "prod"}[priority]
 	j := &Job{ID: id, Submitted: submitted * clock.Second, ReadyAt: submitted * clock.Second, Estimate: estimate * clock.Second,
@@ -39,15 +40,17 @@
 	}
 }
 
+// TestSmooth checks the weights of the latest and the old value.
 func TestSmooth(t *testing.T) {
 	if got := Smooth(0.3, 100, 200); got != 170 {
-		t.Errorf("%d", got)
+		t.Errorf("got %d, want 170", got)
 	}
 }
 
 // TestPreemptionSparesUrgentWork guards against tasks that start and stop without end
-// (incident inc-bfbf): a job of higher priority that can wait preempts an urgent one, whose
-// placement goes straight back to it because it is first in the queue.
+// (incident inc-bfbf): if a job preempts a task of a job that is as urgent or more so, the
+// freed room can go straight back to that job, because it is first in the queue. The task
+// must be stopped only if its job is less urgent than the waiting one.
 func TestPreemptionSparesUrgentWork(t *testing.T) {
 	typ := &wire.MachineType{Name: "m", CPUs: 4, MemoryGB: 8}
 	for _, c := range []struct {
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -65,7 +65,7 @@
 
 // BenchmarkPass increases machines and waiting jobs together. "room" is the fleet of
 // largeInput, one third full; "full" is the pass after it, which finds hardly any room;
-// "over" is the same under overload, with half of the jobs needed for a minimum share.
+// "over" is the same under overload, with half of the jobs needed for a minimum served share.
 func BenchmarkPass(b *testing.B) {
 	for _, n := range []int{250, 873, 1310, 1835, 2500, 4000} {
 		for _, kind := range []string{"room", "full", "over"} {
@@ -147,15 +147,15 @@
 		spotLifetime  float64 // mean seconds until the cloud reclaims a spot machine; 0 for never
 		checkpoint    float64
 	}{
-		"local image before fetch":                    {plain, localImage, nil, 0, 0},
-		"spot before ordinary":                        {plain, spot, nil, 0, 0},
-		"spot before ordinary if losses are rare":     {plain, spot, nil, 80, 0},
-		"ordinary before spot if losses are frequent": {spot, plain, nil, 70, 0},
-		"spot for checkpointed work in any case":      {plain, spot, nil, 70, 10},
-		"ordinary before spot in a pipeline":          {spot, plain, []string{"a"}, 0, 0},
-		"fuller before emptier":                       {plain, fuller, nil, 0, 0},
-		"healthy before failing":                      {failing, plain, nil, 0, 0},
-		"free before full with a local image":         {func(m *Machine) { localImage(m); fuller(m); fuller(m) }, plain, nil, 0, 0},
+		"local image before fetch":                     {plain, localImage, nil, 0, 0},
+		"spot before on-demand":                        {plain, spot, nil, 0, 0},
+		"spot before on-demand if losses are rare":     {plain, spot, nil, 80, 0},
+		"on-demand before spot if losses are frequent": {spot, plain, nil, 70, 0},
+		"spot for checkpointed work in any case":       {plain, spot, nil, 70, 10},
+		"on-demand before spot in a pipeline":          {spot, plain, []string{"a"}, 0, 0},
+		"fuller before emptier":                        {plain, fuller, nil, 0, 0},
+		"healthy before failing":                       {failing, plain, nil, 0, 0},
+		"free before full with a local image":          {func(m *Machine) { localImage(m); fuller(m); fuller(m) }, plain, nil, 0, 0},
 	} {
 		in := largeInput(0, 0, 0)
 		typ := &wire.MachineType{Name: "m", CPUs: 16, MemoryGB: 64}
