--- a/internal/fleet/lookahead_test.go
+++ b/internal/fleet/lookahead_test.go
@@ -30,6 +30,7 @@
 	typ  *wire.MachineType
 }
 
+// compareFreed orders freed capacity by time and kind.
 func compareFreed(x, y freedCapacity) int {
 	return cmp.Or(cmp.Compare(x.at, y.at), x.kind.compare(y.kind))
 }
@@ -83,24 +84,24 @@
 // planJob does what rentalPlanner.planJob does, with the sorted list.
 func (s *sortedPlanner) planJob(u sched.Unplaced) {
 	j, need := u.Job, u.Job.Need()
-	perZone := j.PlacementsByZone(nil)
+	placedByZone := j.PlacementsByZone(nil)
 	next := 0 // an incoming machine that doesn't fit one task of the job fits none of the others
 	for range u.Count {
 		s.remainingDemand -= j.TaskCPUs()
-		if s.placeOnIncoming(j, need, perZone, &next) {
+		if s.placeOnIncoming(j, need, placedByZone, &next) {
 			continue
 		}
 		wait := clock.Forever
 		if j.Array() {
 			wait = s.earliestFit(j, need) - s.Now
 		}
-		kind, ok := s.pickKind(j, need, perZone, wait)
+		kind, ok := s.pickKind(j, need, placedByZone, wait)
 		switch {
 		case ok:
 			s.requested[kind]++
 			s.batchSupply += s.machineType(kind.Type).CPUs
 			s.incoming = append(s.incoming, s.newIncomingMachine(kind, s.machineType(kind.Type)))
-			s.placeOnIncoming(j, need, perZone, &next)
+			s.placeOnIncoming(j, need, placedByZone, &next)
 		case wait < clock.Forever/2:
 			s.consume(j, need)
 		default:
@@ -110,17 +111,17 @@
 }
 
 // placeOnIncoming does what rentalPlanner.placeOnIncoming and addRelease do.
-func (s *sortedPlanner) placeOnIncoming(j *sched.Job, need sched.Resources, perZone map[string]int, next *int) bool {
+func (s *sortedPlanner) placeOnIncoming(j *sched.Job, need sched.Resources, placedByZone map[string]int, next *int) bool {
 	for ; *next < len(s.incoming); *next++ {
 		machine := s.incoming[*next]
 		s.incomingExamined++
-		if need.Fits(machine.available) && j.Allows(machine.typ, machine.kind.Zone, machine.kind.Spot) && sched.ZoneAllows(j, perZone, machine.kind.Zone) {
+		if need.Fits(machine.available) && j.Allows(machine.typ, machine.kind.Zone, machine.kind.Spot) && sched.ZoneAllows(j, placedByZone, machine.kind.Zone) {
 			machine.available = machine.available.Sub(need)
 			if j.Priority == wire.PriorityProduction {
 				machine.reclaimableCPUs -= need.DominantCPUs(machine.typ)
 			}
-			if perZone != nil {
-				perZone[machine.kind.Zone]++
+			if placedByZone != nil {
+				placedByZone[machine.kind.Zone]++
 			}
 			if j.Array() {
 				s.addFreed(freedCapacity{machine.readyAt + j.Estimate, need.DominantCPUs(machine.typ), machine.kind, machine.typ})
@@ -180,7 +181,7 @@
 	{Name: "small", CPUs: 8, MemoryGB: 16, Price: 0.4, SpotPrice: 0.1, BootTime: 35, Zones: []string{"a", "c"}},
 }
 
-// drawJob draws a job of random kind and size.
+// drawJob draws a job of random kind, size, run time and constraints.
 func drawJob(t *rapid.T, id string) *sched.Job {
 	kind := rapid.SampledFrom([]string{wire.KindArray, wire.KindArray, wire.KindArray, wire.KindService, wire.KindGang}).Draw(t, "kind")
 	tasks := rapid.IntRange(1, 40).Draw(t, "tasks")
@@ -243,7 +244,7 @@
 						in.RefusedUntil[k] = in.Now + clock.Second
 					}
 					if n := rapid.IntRange(-3, 2).Draw(t, "pending"); n > 0 {
-						in.PendingRentals = append(in.PendingRentals, Rental{k, n})
+						in.PendingRentals = append(in.PendingRentals, PendingRental{k, n})
 					}
 				}
 			}
@@ -260,7 +261,7 @@
 }
 
 // newPeakInput makes a fleet that is full of short tasks, with waiting arrays of 1000
-// tasks each.
+// tasks each. If refused is set, the cloud refuses every machine kind.
 func newPeakInput(machines int, refused bool) *Input {
 	in := &Input{Now: 100 * clock.Second, Catalog: machineTypes, RefusedUntil: map[MachineKind]sched.Micros{}, SpotWaitThreshold: 5 * clock.Second}
 	for i := range machines {
