--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -43,8 +43,8 @@
 
 const (
 	writeShareUnknown   writeShareKind = iota // no message yet: counted as writeShareAdmission
-	writeShareAdmission                       // its base, and its part of the table
-	writeShareFixed                           // the share of a node without admission
+	writeShareAdmission                       // the base rate of a node and what the table grants it
+	writeShareFixed                           // a fixed share, as nodes with admission off use it
 )
 
 // submitLimits divides the write rate of the state service among the controllers.
@@ -111,18 +111,19 @@
 	return notice
 }
 
-// noticeFor returns the part of this node's notice that is sent to the named peer. Only the
-// leader, or any peer while the leader is unknown, receives the arrivals of each account:
-// with hundreds of teams they are most of the traffic between idle controllers.
-func (c *Core) noticeFor(name string, notice *admit.Notice) *admit.Notice {
+// admissionNoticeFor returns the part of this node's notice that is sent to the named peer.
+// Only the leader, or any peer while the leader is unknown, receives the arrivals of each
+// account: with hundreds of teams they are most of the traffic between idle controllers.
+func (c *Core) admissionNoticeFor(name string, notice *admit.Notice) *admit.Notice {
 	if leader := c.elector.Leader(); notice == nil || leader == "" || leader == name {
 		return notice
 	}
 	return &admit.Notice{Digest: notice.Digest, Refusals: notice.Refusals}
 }
 
-// handleNotice processes a peer's notice and, if this node leads, returns the peer's table.
-func (c *Core) handleNotice(m *peer.Msg) *admit.Table {
+// handleAdmissionNotice processes a peer's notice and, if this node leads, returns the
+// peer's table.
+func (c *Core) handleAdmissionNotice(m *peer.Msg) *admit.Table {
 	now := c.env.Now()
 	if p := c.peers[m.Node]; p != nil {
 		p.writeShareKind = writeShareFixed
@@ -143,8 +144,8 @@
 	return t
 }
 
-// applyAdmissionTable adopts a table that came with the answer to a greeting, which was
-// sent at requestedAt.
+// applyAdmissionTable adopts a table that came with the answer to a Hello message, which
+// was sent at requestedAt.
 func (c *Core) applyAdmissionTable(table *admit.Table, requestedAt Micros) {
 	if c.policy.Admission.Enabled && !c.Serving() && c.allowance.ApplyTable(table, requestedAt) {
 		c.updateWriteRate()
@@ -265,7 +266,7 @@
 }
 
 // recordSubmission counts an answered submission and records how long its user waited. known
-// tells that the job existed already.
+// means that the job existed already.
 func (c *Core) recordSubmission(s *submission, known bool) {
 	c.allowance.CountAccepted(s.account, known)
 	c.waitStats.record(&c.waitStats.accept, s.account, c.accountIndex.Len(), c.env.Now()-s.receivedAt)
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -76,8 +76,8 @@
 			c.restoreMachine(&wire.Item{Key: key, Value: value})
 		}
 	}
-	for _, f := range taskRecords {
-		c.restorePlacements(f)
+	for _, stored := range taskRecords {
+		c.restorePlacements(stored)
 	}
 	c.sortMachines()
 }
@@ -86,8 +86,8 @@
 func renderPending(c *Core, t *testing.T) map[string][]byte {
 	t.Helper()
 	values := map[string][]byte{}
-	for _, r := range c.committer.pending {
-		changes, ok := r.render()
+	for _, write := range c.committer.pending {
+		changes, ok := write.render()
 		for _, ch := range changes {
 			if ok && ch.PutKey != "" {
 				values[ch.PutKey] = ch.Value
@@ -102,21 +102,21 @@
 	t.Helper()
 	j, m := c.jobs["req-000001"], c.machines["m-000001"]
 	if j == nil || m == nil || len(c.machines) != 2 || len(c.jobs) != 3 {
-		t.Fatalf("%d jobs, %d machines", len(c.jobs), len(c.machines))
+		t.Fatalf("restored %d jobs and %d machines, want 3 jobs and 2 machines, with req-000001 and m-000001 among them", len(c.jobs), len(c.machines))
 	}
 	if j.DoneCount != 3 || j.Tasks[9].State != sched.Done || j.PlacedCount != 3 || j.Estimate != 42*clock.Second || !j.AnyTaskSucceeded ||
 		j.Deadline != 301*clock.Second {
-		t.Errorf("job: %+v", j)
+		t.Errorf("restored job: %+v", j)
 	}
 	p := j.Tasks[4].Placement
 	if p == nil || p.Machine.ID != "m-000002" || p.Attempt != 2<<32|9 || p.Session != 2 || p.Team != "core" || p.Need.CPUs != 2 {
-		t.Errorf("placement: %+v", p)
+		t.Errorf("restored placement: %+v", p)
 	}
 	if s := c.jobs["req-000003"]; s.CommittedPhase != wire.PhaseCancelled {
-		t.Errorf("cancelled job: %q", s.CommittedPhase)
+		t.Errorf("cancelled job is restored with phase %q", s.CommittedPhase)
 	}
 	if m.ImageSizes["img-2"] != 1.2 || !m.Recorded || c.teams["core"].Allocated.CPUs < 8 {
-		t.Errorf("machine: %+v, team %+v", m, c.teams["core"])
+		t.Errorf("restored machine: %+v, team %+v", m, c.teams["core"])
 	}
 }
 
@@ -155,8 +155,8 @@
 	}
 	c.cfg.Params.State.ValueKB = 1
 	c.migrateRecords()
-	for _, r := range c.committer.pending { // as if committed, the task records first
-		r.render()
+	for _, write := range c.committer.pending { // as if committed, the task records first
+		write.render()
 	}
 	for _, m := range c.machines {
 		for _, p := range m.Placements {
@@ -178,7 +178,7 @@
 	}
 	var f finalRecord
 	if err := wire.Decode(records["f/req-000004"], &f); err != nil || f.Phase != wire.PhaseDone || f.Done != 7 {
-		t.Errorf("final state: %+v, %v", f, err)
+		t.Errorf("final record: %+v, %v", f, err)
 	}
 	c.restoreLearned(records[learnedKey])
 	if c.arrivals["check"].rate != 3.25 || c.fetchRates["t"] != 0.21 {
@@ -199,8 +199,8 @@
 		c.catalog = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64}}
 		m := c.addMachine("m-000001", "", "t", "a", false, 0)
 		c.addJobRecord(wire.Encode(&jobRecord{Job: wire.Job{ID: "req-000001", Team: "core", Tasks: 70}}), nil)
-		for _, r := range c.restoreDoneTasks([]wire.Item{{Key: tasksKey("req-000001", tasksPerRecord, 0), Value: value}}) {
-			c.restorePlacements(r)
+		for _, stored := range c.restoreDoneTasks([]wire.Item{{Key: tasksKey("req-000001", tasksPerRecord, 0), Value: value}}) {
+			c.restorePlacements(stored)
 		}
 		for _, p := range m.Placements {
 			if p.Index < tasksPerRecord || p.Index >= 70 {
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -93,7 +93,7 @@
 	lastStateContact Micros // when the state service last answered
 	peers            map[string]*peerInfo
 	reportingWorkers map[string]*reportingWorker // workers that reported while this node was not the leader
-	deferredReports  []func()                    // reports received before the records were loaded
+	deferredReports  []func()                    // handlers of reports received before the records were loaded
 	lateRenewals     int                         // worker leases renewed after this leader's own lease deadline
 	leaseLongExpired bool                        // in this term, the lease was expired for more than half a worker lease
 	catalog          []wire.MachineType
@@ -106,54 +106,54 @@
 	relay            *carrier.Relay
 
 	// The fields below are used only while this node is the leader.
-	term                uint64
-	electedAt           Micros
-	loaded              bool
-	jobs                map[string]*sched.Job
-	finalRecords        map[string]finalRecord
-	finalRecordOrder    []string
-	machines            map[string]*sched.Machine
-	sortedMachines      []*sched.Machine         // all machines, sorted by id
-	machineGroups       map[string]*machineGroup // by machine id
-	groupCount          uint64                   // groups created in this term
-	releasedMachines    map[string]bool
-	teams               map[string]*sched.Team
-	fetchRates          map[string]float64 // GB per second, by machine type
-	committer           committer
-	finalReadWaiters    map[string][]*sched.Job // jobs that wait for the final record of a dependency, by its id
-	attemptCount        uint64
-	rentalCount         uint64
-	pendingRentals      map[string]fleet.Rental
-	refusedUntil        map[fleet.MachineKind]Micros
-	cloudPausedUntil    Micros
-	releaseInFlight     bool
-	releaseQueue        []string
-	pendingReleases     []releaseBatch // without a committed intent, or not yet confirmed by the cloud
-	openIntents         map[string]bool
-	releaseCount        uint64
-	arrivals            map[string]*arrivalStats
-	passScheduled       bool
-	lastPassAt          Micros
-	unplacedTasks       []sched.Unplaced
-	lastReportAt        Micros
-	ordersInFlight      int // command batches sent and not yet answered
-	orderQueue          []*sched.Machine
-	moveBudgetUpdatedAt Micros  // when moveBudget was last updated
-	moveBudget          float64 // service replicas that may be moved now
-	spotLosses          spotLosses
-	allocator           *admit.Allocator
-	shares              *admit.TeamShares
-	accountDemands      []admit.Demand // of the latest scheduling pass, by account
-	objectiveTracker    *admit.ObjectiveTracker
-	fairShares          []admit.Entitlement // nil unless the cluster is overloaded
-	router              *carrier.Router
+	term                   uint64
+	electedAt              Micros
+	loaded                 bool
+	jobs                   map[string]*sched.Job
+	finalRecords           map[string]finalRecord
+	finalRecordOrder       []string
+	machines               map[string]*sched.Machine
+	sortedMachines         []*sched.Machine         // all machines, sorted by id
+	machineGroups          map[string]*machineGroup // by machine id
+	groupCount             uint64                   // groups created in this term
+	releasedMachines       map[string]bool
+	teams                  map[string]*sched.Team
+	fetchRates             map[string]float64 // GB per second, by machine type
+	committer              committer
+	finalReadWaiters       map[string][]*sched.Job // jobs that wait for the final record of a dependency, by its id
+	attemptCount           uint64
+	rentalCount            uint64
+	pendingRentals         map[string]fleet.Rental
+	refusedUntil           map[fleet.MachineKind]Micros
+	cloudPausedUntil       Micros
+	releaseInFlight        bool
+	releaseQueue           []string
+	pendingReleases        []releaseBatch // without a committed intent, or not yet confirmed by the cloud
+	openIntents            map[string]bool
+	releaseCount           uint64
+	arrivals               map[string]*arrivalStats
+	passScheduled          bool // a scheduling pass will run
+	lastPassAt             Micros
+	unplacedTasks          []sched.Unplaced
+	lastReportAt           Micros           // since when the absence of reports counts as silence; see cutOffFromWorkers
+	commandBatchesInFlight int              // command batches sent and not yet answered
+	commandBatchQueue      []*sched.Machine // machines to which a command batch is to be sent
+	moveBudgetUpdatedAt    Micros           // when moveBudget was last updated
+	moveBudget             float64          // service replicas that may be moved now
+	spotLosses             spotLosses
+	allocator              *admit.Allocator
+	shares                 *admit.TeamShares
+	accountDemands         []admit.Demand // of the latest scheduling pass, by account
+	objectiveTracker       *admit.ObjectiveTracker
+	fairShares             []admit.Entitlement // nil unless the cluster is overloaded
+	router                 *carrier.Router
 }
 
 // peerInfo is what this node knows of another controller from its messages.
 type peerInfo struct {
 	lastMessageAt    Micros
 	stateOK          bool
-	reportingWorkers uint32
+	reportingWorkers uint32 // workers that report to it although it is not the leader
 	term             uint64
 	duplicateNames   duplicateNameDetector
 	connectionUsage  float64        // fraction of its connections in use
@@ -205,12 +205,13 @@
 	return c
 }
 
-// Shares of the state service's write budget when admission control is off. Besides the
-// one leader, all nodes are followers, which only create jobs.
+// Shares of the state service's write budget when admission control is off, and the share
+// of its request budget for reads. All nodes but the leader are followers, which write
+// hardly anything but new jobs.
 const (
 	leaderShare   = 0.7
 	followerShare = 0.12
-	readShare     = 0.2 // share of the request budget; a read takes two requests
+	readShare     = 0.2 // of the request budget; a read takes two requests
 )
 
 // Start begins election, periodic work and the initial reads.
@@ -238,14 +239,14 @@
 // leaseMargin covers processing time and a clock drift of 0.2 % over a worker's lease.
 func (c *Core) leaseMargin() Micros { return c.policy.LeaseMargin + c.cfg.WorkerLease()/500 }
 
-// renewalBound returns the limits within which this node may renew worker leases.
-func (c *Core) renewalBound() lead.RenewalLimits {
+// renewalLimits returns the limits within which this node may renew worker leases.
+func (c *Core) renewalLimits() lead.RenewalLimits {
 	return lead.RenewalLimits{LeaseDuration: c.cfg.WorkerLease(), CancelTimeout: clock.FromSeconds(c.cfg.Params.Workers.Cancel), Margin: c.leaseMargin()}
 }
 
 // mayRenewLeases reports whether this node may renew worker leases.
 func (c *Core) mayRenewLeases() bool {
-	return c.elector.Leading() && c.renewalBound().Allowed(c.env.Now(), c.elector.LeaseDeadline(), c.loaded)
+	return c.elector.Leading() && c.renewalLimits().Allowed(c.env.Now(), c.elector.LeaseDeadline(), c.loaded)
 }
 
 // logLateRenewals logs and resets the number of worker leases that this leader renewed
@@ -316,7 +317,7 @@
 	for _, p := range c.cfg.Peers { // a slice, so the order is deterministic
 		name := p.Name
 		hello := c.newMessage(fb.KindHello)
-		hello.AdmissionNotice = c.noticeFor(name, notice)
+		hello.AdmissionNotice = c.admissionNoticeFor(name, notice)
 		hello.ConnectionUsagePermille = int(c.env.ConnectionUsage() * 1000)
 		c.env.Call(name, hello, clock.Second, func(m *peer.Msg) {
 			if m != nil {
@@ -332,16 +333,16 @@
 // forgets workers that have not reported here for two worker leases.
 func (c *Core) newMessage(kind fb.Kind) *peer.Msg {
 	now := c.env.Now()
-	reports := uint32(0)
-	for id, s := range c.reportingWorkers {
-		if now-s.lastReportAt < 3*clock.Second && s.forwardingSince == 0 {
-			reports++ // reports that are forwarded reach the leader anyway
+	reportingWorkers := uint32(0)
+	for id, worker := range c.reportingWorkers {
+		if now-worker.lastReportAt < 3*clock.Second && worker.forwardingSince == 0 {
+			reportingWorkers++ // reports that are forwarded reach the leader anyway
 		}
-		if now-s.lastReportAt > 2*c.cfg.WorkerLease() {
+		if now-worker.lastReportAt > 2*c.cfg.WorkerLease() {
 			delete(c.reportingWorkers, id)
 		}
 	}
-	m := &peer.Msg{Kind: kind, Node: c.cfg.Name, StateOK: c.stateOK(), ReportingWorkers: reports, Incarnation: c.incarnation}
+	m := &peer.Msg{Kind: kind, Node: c.cfg.Name, StateOK: c.stateOK(), ReportingWorkers: reportingWorkers, Incarnation: c.incarnation}
 	if c.elector.Leading() {
 		m.Term = c.elector.Term()
 	}
@@ -352,7 +353,7 @@
 }
 
 // updatePeerInfo records the status that a peer sent with its message. A leader steps
-// down if the peer leads a later term.
+// down if the peer is the leader of a later term.
 func (c *Core) updatePeerInfo(m *peer.Msg) {
 	p := c.peers[m.Node]
 	if p == nil {
@@ -383,7 +384,7 @@
 	switch m.Kind {
 	case fb.KindHello:
 		r := c.newMessage(fb.KindAnswer)
-		r.Code, r.AdmissionTable, r.RelayTable = 200, c.handleNotice(m), c.currentRelays()
+		r.Code, r.AdmissionTable, r.RelayTable = 200, c.handleAdmissionNotice(m), c.currentRelays()
 		reply(r)
 	case fb.KindStatus:
 		if m.InMemoryOnly {
@@ -448,7 +449,7 @@
 	c.openIntents = map[string]bool{}
 	c.arrivals = map[string]*arrivalStats{}
 	c.unplacedTasks = nil
-	c.ordersInFlight, c.orderQueue = 0, nil
+	c.commandBatchesInFlight, c.commandBatchQueue = 0, nil
 	c.format.raising = false
 	c.router = carrier.NewRouter(relayHost{c}, term, c.cfg.MaxCommandBatches())
 	c.initAdmission(now)
@@ -525,7 +526,7 @@
 		// state_outage_keeps_fleet). Resigning makes the next leader load all records again.
 		c.elector.Resign("the state service was out of reach for long", 0)
 		return
-	} else if c.isolated(now) {
+	} else if c.cutOffFromWorkers(now) {
 		c.elector.Resign("no worker reaches this node", 15*clock.Second)
 		return
 	}
@@ -542,23 +543,24 @@
 		c.maintainRelays()
 		c.probePartitions(now)
 		c.probeOverdueMachines(now)
-		c.sendOrders()
+		c.sendQueuedCommandBatches()
 		c.requestSchedulingPass()
 	}
 	c.committer.startTransaction()
 }
 
-// isolated reports whether no worker reports here although some should, while a peer
+// cutOffFromWorkers reports whether no worker reports here although some should, while a peer
 // receives reports or this node has lost all its peers too. Another node would then be
 // a better leader, although this one still reaches the state service.
-func (c *Core) isolated(now Micros) bool {
-	// A worker reports at least every 1.25 intervals, so after 1.75 intervals reports are
-	// overdue from all workers. A quick decision matters: redirected workers return to the
-	// unreachable leader and wait there for 4 s, while their leases run out.
+func (c *Core) cutOffFromWorkers(now Micros) bool {
+	// A worker reports at least every 1.25 intervals, so after 1.75 intervals without a
+	// report, the reports of all workers are overdue. A quick decision matters: redirected
+	// workers return to the unreachable leader and wait there for 4 s, while their leases
+	// run out.
 	maxSilence := max(7*c.cfg.ReportInterval()/4, 5*clock.Second/2)
 	// After an election, workers may need several attempts to find the new leader, and
 	// peers that are silent too may be dead, so the leader waits longer. That ends with the
-	// first report: a leader isolated nine seconds after its election would otherwise stay
+	// first report: a leader cut off nine seconds after its election would otherwise stay
 	// leader for longer than a worker lease.
 	silentSince, reportReceived := c.lastReportAt, c.lastReportAt > c.electedAt
 	if !reportReceived {
@@ -628,15 +630,15 @@
 		}
 		c.saveMachine(placement.Machine, c.whileInTerm(func() {
 			placement.Committed = true
-			c.queueOrder(placement.Machine)
+			c.queueCommandBatch(placement.Machine)
 		}))
 	}
 	for _, victim := range result.Stop {
 		if victim.Grace > 0 { // the other stops are sent with the launch that needs their resources
-			c.queueOrder(victim.Machine)
+			c.queueCommandBatch(victim.Machine)
 		}
 	}
-	c.sendOrders()
+	c.sendQueuedCommandBatches()
 	c.unplacedTasks = result.Unplaced
 	c.rentMachines(now)
 	c.committer.startTransaction()
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// endTimeOrNow returns the time at which a job ended, or now if it was not recorded.
+// endTimeOrNow returns endedAt, the time at which a job ended, or the present time if that
+// was not recorded.
 func (c *Core) endTimeOrNow(endedAt Micros) Micros {
 	if endedAt == 0 {
 		return c.env.Now()
@@ -177,10 +178,10 @@
 func (c *Core) answerUnlessCancelled(record []byte, answer Answer, reply func(Answer)) {
 	var rec jobRecord
 	switch err := msgpack.Unmarshal(record, &rec); {
-	case err == nil && (len(rec.Job.DependsOn) == 0 && rec.AwaitsKeys == 0 || !c.cancellationMayBeDue(c.toSteadyTime(rec.AcceptedAt))):
+	case err == nil && (len(rec.Job.DependsOn) == 0 && rec.ExtraDependencyKeys == 0 || !c.cancellationMayBeDue(c.toSteadyTime(rec.AcceptedAt))):
 		reply(answer)
 		return
-	case err != nil || rec.AwaitsKeys > 0 || len(rec.Job.DependsOn) > maxDependencyLookups:
+	case err != nil || rec.ExtraDependencyKeys > 0 || len(rec.Job.DependsOn) > maxDependencyLookups:
 		reply(unavailable)
 		return
 	}
@@ -246,7 +247,7 @@
 }
 
 // readFinalRecord reads a job's final record. It passes nil to done if there is none or
-// it cannot be read; absent tells that there is certainly none.
+// it cannot be read; absent means that there is certainly none.
 func (c *Core) readFinalRecord(id string, done func(f *finalRecord, absent bool)) {
 	c.env.State().Get(finalPrefix+id, func(o store.Outcome, it *wire.Item) {
 		final := new(finalRecord)
--- a/internal/controller/format_level.go
+++ b/internal/controller/format_level.go
@@ -40,9 +40,9 @@
 
 // Keys of the format level, which version 0.1 neither reads nor writes.
 const (
-	levelPrefix = "fmt/"
-	levelKey    = "fmt/level"
-	nodePrefix  = "fmt/node/"
+	levelPrefix     = "fmt/"
+	levelKey        = "fmt/level"
+	nodeLevelPrefix = "fmt/node/"
 )
 
 // levelRecord is stored for the level in force, and by each node for the highest level
@@ -95,7 +95,7 @@
 	}
 	c.writeBudget.Spend(at, admit.BackgroundWrites, 1)
 	c.env.State().Txn(&wire.Txn{Then: []wire.Change{
-		{PutKey: nodePrefix + c.cfg.Name, Value: wire.Encode(&levelRecord{c.format.maxLevel})},
+		{PutKey: nodeLevelPrefix + c.cfg.Name, Value: wire.Encode(&levelRecord{c.format.maxLevel})},
 	}}, func(o store.Outcome, _ *wire.TxnAnswer) {
 		if o != store.OK {
 			retry()
@@ -131,13 +131,13 @@
 			if msgpack.Unmarshal(l.Items[i].Value, &r) != nil {
 				continue
 			}
-			if l.Items[i].Key == nodePrefix+c.cfg.Name && r.Level == c.format.maxLevel {
+			if l.Items[i].Key == nodeLevelPrefix+c.cfg.Name && r.Level == c.format.maxLevel {
 				c.format.announced = true
 			}
 			if l.Items[i].Key == levelKey {
 				c.recordNodeLevel("", 0, r.Level)
 			} else {
-				c.recordNodeLevel(strings.TrimPrefix(l.Items[i].Key, nodePrefix), r.Level, 0)
+				c.recordNodeLevel(strings.TrimPrefix(l.Items[i].Key, nodeLevelPrefix), r.Level, 0)
 			}
 		}
 		done(true)
@@ -159,12 +159,12 @@
 		c.readLevels(func(bool) {})
 	}
 	if commonLevel > c.format.level {
-		c.recordLevel(commonLevel, func() { c.raiseLevel(commonLevel, "supported by every node") })
+		c.saveLevel(commonLevel, func() { c.raiseLevel(commonLevel, "supported by every node") })
 	}
 }
 
-// recordLevel writes the level in force and calls done once it is committed.
-func (c *Core) recordLevel(level int, done func()) {
+// saveLevel writes the level in force and calls done once it is committed.
+func (c *Core) saveLevel(level int, done func()) {
 	c.format.raising = true
 	c.committer.put(levelKey, func() []byte { return wire.Encode(&levelRecord{max(level, c.format.level)}) }, c.whileInTerm(func() {
 		c.format.raising = false
@@ -231,7 +231,7 @@
 	}
 	c.raiseLevel(LevelTasks, "the state service enforces its next limits")
 	if c.elector.Leading() && c.loaded {
-		c.recordLevel(LevelTasks, func() {})
+		c.saveLevel(LevelTasks, func() {})
 	}
 	return true
 }
@@ -245,6 +245,6 @@
 	}
 	c.saveTasks(p.Job, p.Index, classUrgent, c.whileInTerm(func() {
 		p.InJobRecord, p.Committed = true, true
-		c.queueOrder(p.Machine)
+		c.queueCommandBatch(p.Machine)
 	}))
 }
--- a/internal/controller/forward_submissions.go
+++ b/internal/controller/forward_submissions.go
@@ -18,10 +18,10 @@
 }
 
 const (
-	submissionForwardAfter = 60 * clock.Millisecond // a submission that would wait at least this long here is forwarded
-	forwardPause           = clock.Second           // after a refusal by the leader
-	startupPeriod          = clock.Second           // of a process; a first election takes less time
-	noLeaderDelay          = 40 * clock.Millisecond // after which a held submission is enqueued again
+	submissionForwardAfter = 60 * clock.Millisecond // forward a submission that would wait at least this long here
+	forwardPause           = clock.Second           // how long nothing is forwarded after the leader refused a submission
+	startupPeriod          = clock.Second           // how long after the start submissions are held; the first election takes less time
+	noLeaderDelay          = 40 * clock.Millisecond // after this time a held submission is enqueued again
 )
 
 // localWait returns how long a submission would wait at this node until the write budget
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -12,9 +12,10 @@
 	"lilacthread/wire"
 )
 
-// From LevelIntents on, rentals and releases are written ahead of the cloud request, as launches
-// are. The leader commits an intent, i/NAME, before it calls the cloud, and deletes it after the
-// record of the outcome. A new leader finds the open intents and resumes them:
+// intentPrefix precedes the names of intents in their keys. From LevelIntents on, rentals and
+// releases are written ahead of the cloud request, as launches are written ahead of the command to
+// the worker. The leader commits an intent, i/NAME, before it calls the cloud, and deletes it
+// after the record of the outcome. A new leader finds the open intents and resumes them:
 //
 //   - A rental is sent again under its old request ID. The cloud does not rent twice for one
 //     request ID and answers with the machines that were rented, so the leader need not wait for
@@ -146,6 +147,7 @@
 	}
 }
 
+// kindOf returns the kind of machine that a request rents.
 func kindOf(request *wire.RentRequest) fleet.MachineKind {
 	return fleet.MachineKind{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
 }
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -16,11 +16,12 @@
 	"lilacthread/wire"
 )
 
-// From LevelGroups on, machines that were rented together share a record, g/TERM-NUMBER. They
-// have the type and zone in common, and the images of each take only a few bytes. Renting 1,800
-// machines then takes about forty writes. With a record for each machine, at 50 writes a second,
-// it delayed launches and submissions by half a minute. A removed machine is dropped from its
-// group when the group is next written, and a group without machines is deleted.
+// groupPrefix is the prefix of the keys of machine groups. From LevelGroups on, machines that were
+// rented together share a record, g/TERM-NUMBER. They have the type and zone in common, and the
+// images of each take only a few bytes. Renting 1,800 machines then takes about forty writes. With
+// a record for each machine, at 50 writes a second, renting them delayed launches and submissions
+// by half a minute. A removed machine is dropped from its group when the group is next written,
+// and a group without machines is deleted.
 const groupPrefix = "g/"
 
 // groupRecord is the stored form of a machineGroup.
@@ -43,11 +44,11 @@
 }
 
 // maxGroupSize returns how many machines are certain to fit into a record of limitBytes.
-func maxGroupSize(limitBytes int) int { return max((limitBytes-256)/machineRecordBytes, 1) }
+func maxGroupSize(limitBytes int) int { return max((limitBytes-256)/groupMemberBytes, 1) }
 
-// machineRecordBytes is an upper bound on the size of a machine in its group's record, without
+// groupMemberBytes is an upper bound on the size of a machine in its group's record, without
 // its images.
-const machineRecordBytes = 32
+const groupMemberBytes = 32
 
 // formGroups assigns machines of one kind that have no group to new groups and queues the groups
 // to be written.
@@ -75,9 +76,9 @@
 	}
 }
 
-// saveMachineInGroup queues the record of the group that contains a machine. A record of the
-// machine's own, written at a lower format level, is deleted once the group is written and the
-// job records hold its placements.
+// saveMachineInGroup queues the record of the group that contains a machine. The machine's own
+// record, written at a lower format level, is deleted once the group is written and the task
+// records hold its placements.
 func (c *Core) saveMachineInGroup(m *sched.Machine, class int, done func()) {
 	if c.machineGroups[m.ID] == nil && c.machines[m.ID] == m {
 		c.formGroups([]*sched.Machine{m})
@@ -152,14 +153,14 @@
 			rec.ImageGB = append(rec.ImageGB, sizeGB[image])
 		}
 		for _, m := range members {
-			held := []int{}
+			imageIndexes := []int{}
 			for i, image := range images {
 				if _, ok := m.Images[image]; ok {
-					held = append(held, i)
+					imageIndexes = append(imageIndexes, i)
 				}
 			}
 			if len(images) > 0 {
-				rec.ImagesByMachine = append(rec.ImagesByMachine, held)
+				rec.ImagesByMachine = append(rec.ImagesByMachine, imageIndexes)
 			}
 		}
 		value := wire.Encode(&rec)
@@ -206,19 +207,19 @@
 
 // groupMachines assigns machines without a group to new groups, by kind.
 func (c *Core) groupMachines(machines []*sched.Machine) {
-	kinds := map[fleet.MachineKind][]*sched.Machine{}
+	machinesByKind := map[fleet.MachineKind][]*sched.Machine{}
 	var kindOrder []fleet.MachineKind
 	for _, m := range machines {
 		if c.machineGroups[m.ID] != nil {
 			continue
 		}
 		kind := fleet.MachineKind{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}
-		if kinds[kind] == nil {
+		if machinesByKind[kind] == nil {
 			kindOrder = append(kindOrder, kind)
 		}
-		kinds[kind] = append(kinds[kind], m)
+		machinesByKind[kind] = append(machinesByKind[kind], m)
 	}
 	for _, kind := range kindOrder {
-		c.saveNewMachines(kinds[kind])
+		c.saveNewMachines(machinesByKind[kind])
 	}
 }
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -10,11 +10,11 @@
 	"lilacthread/wire"
 )
 
-// TestGroups checks the migration of machine records to groups: the groups stay within the value
-// size limit, a machine's own record is deleted only after its group is written and the job
-// records hold its placements, and the next leader restores the same machines, placements and
-// images.
-func TestGroups(t *testing.T) {
+// TestGroupMigration checks the migration of machine records to groups: the groups stay
+// within the value size limit, a machine's own record is deleted only after its group is
+// written and the task records hold its placements, and the next leader restores the same
+// machines, placements and images.
+func TestGroupMigration(t *testing.T) {
 	records := productionRecords(t)
 	c := newLoadingCore(LevelPlacements, config.StateLimits{ValueKB: 4, TxnOps: 32, WriteRPS: 100})
 	loadRecords(t, c, records)
@@ -23,8 +23,8 @@
 	isMachineKey := func(key string) bool { return strings.HasPrefix(key, machinePrefix) }
 	deletions := func() int {
 		n := 0
-		for _, r := range c.committer.pending {
-			changes, ok := r.render()
+		for _, write := range c.committer.pending {
+			changes, ok := write.render()
 			for _, ch := range changes {
 				if ok && isMachineKey(ch.DeleteKey) {
 					n++
@@ -40,7 +40,7 @@
 		m.InGroupRecord = true
 	}
 	if n := deletions(); n != 0 {
-		t.Errorf("%d machine records are deleted before the job records hold the placements", n)
+		t.Errorf("%d machine records are deleted before the task records hold the placements", n)
 	}
 	for _, m := range c.machines {
 		for _, p := range m.Placements {
@@ -48,7 +48,7 @@
 		}
 	}
 	if n := deletions(); n != 2 {
-		t.Errorf("%d machine records are deleted once groups and job records are written, want 2", n)
+		t.Errorf("%d machine records are deleted once groups and task records are written, want 2", n)
 	}
 	for key, value := range renderPending(c, t) {
 		records[key] = value
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestGroupFits checks that groups are written within the value size limit, and that images are
-// left out of a full record starting with those cached on the fewest machines.
-func TestGroupFits(t *testing.T) {
+// TestGroupRecordsFit checks that groups are written within the value size limit, and that
+// images are left out of a full record starting with those cached on the fewest machines.
+func TestGroupRecordsFit(t *testing.T) {
 	c := newLoadingCore(LevelGroups, config.StateLimits{ValueKB: 2, TxnOps: 8, WriteRPS: 42})
 	c.catalog = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, CacheGB: 1000}}
 	var all []*sched.Machine
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -135,6 +135,7 @@
 	}
 }
 
+// findMachineType returns the catalog's entry for a machine type, or nil if there is none.
 func (c *Core) findMachineType(name string) *wire.MachineType {
 	for i := range c.catalog {
 		if c.catalog[i].Name == name {
@@ -157,6 +158,7 @@
 	return m
 }
 
+// sortMachines rebuilds the sorted list of machines after machines were added or removed.
 func (c *Core) sortMachines() {
 	c.sortedMachines = c.sortedMachines[:0]
 	for _, m := range c.machines {
@@ -206,7 +208,7 @@
 		case m.Restarted:
 			reason = "restarted"
 		case m.Unlisted && now-m.LastReportAt > 3*c.cfg.ReportInterval()/2:
-			// The cloud has taken the machine, or an earlier leader released it and its record of
+			// The cloud has reclaimed the machine, or an earlier leader released it and its record of
 			// the release was lost. Releasing it again proves that its tasks are gone.
 			reason = "not listed"
 		case !m.Up && settled && now-m.RequestedAt > Micros(float64(bootTime)*c.policy.BootTimeoutFactor)+clock.FromSeconds(c.cfg.Params.Cloud.ListLag):
@@ -243,8 +245,9 @@
 
 // consolidate empties machines whose work fits on the others. Replicas move a few at a time, to
 // machines with free capacity and a cached image, so that hardly any replica is down at any
-// moment; batch tasks finish where they are. Both rates grow with the fleet: with a fixed rate,
-// hundreds of CPUs stayed idle for minutes when hundreds of machines had to be emptied.
+// moment; batch tasks finish where they are. The rate of moves and the number of machines that may
+// be emptied at once grow with the fleet: with fixed ones, hundreds of CPUs stayed idle for
+// minutes when hundreds of machines had to be emptied.
 func (c *Core) consolidate(input *fleet.Input, now Micros) {
 	waiting := len(c.unplacedTasks) > 0
 	retiring := 0
@@ -285,7 +288,7 @@
 				p.Job.PlacedCount == len(p.Job.Tasks) && vacancies.Claim(p) {
 				slog.Debug("moving replica", "task", p.Task, "from", m.ID)
 				p.Stopping, p.Grace = true, 0
-				c.queueOrder(m)
+				c.queueCommandBatch(m)
 				c.moveBudget--
 			}
 		}
@@ -358,7 +361,7 @@
 // are stopped to continue elsewhere; other tasks may finish.
 func (c *Core) drain(m *sched.Machine) {
 	m.Draining = true
-	c.queueOrder(m)
+	c.queueCommandBatch(m)
 	for _, p := range sortedPlacements(m) {
 		if p.Job == nil || p.Exited {
 			continue
@@ -369,9 +372,9 @@
 	}
 }
 
-// drainForNotice stops the tasks that can save their state before the cloud reclaims a machine.
+// drainForReclaim stops the tasks that can save their state before the cloud reclaims a machine.
 // Tasks without checkpoints continue, since they may finish in time.
-func (c *Core) drainForNotice(m *sched.Machine, now Micros) {
+func (c *Core) drainForReclaim(m *sched.Machine, now Micros) {
 	slog.Debug("spot reclaim notice", "machine", m.ID, "in", (m.ReclaimAt - now).Seconds())
 	c.spotLosses.lost++
 	for _, p := range sortedPlacements(m) {
@@ -382,7 +385,7 @@
 			for i := range j.Tasks {
 				if q := j.Tasks[i].Placement; q != nil && !q.Stopping {
 					q.Stopping, q.Grace = true, j.Spec.SaveDuration+1
-					c.queueOrder(q.Machine)
+					c.queueCommandBatch(q.Machine)
 				}
 			}
 		case j.Service() || j.Spec.CheckpointInterval > 0:
@@ -443,7 +446,7 @@
 			input.Service = arrivals.lastJob
 		}
 	}
-	if input.Service == nil { // after a takeover, take any service for the class
+	if input.Service == nil { // no service has arrived since the takeover: take the one with the lowest id
 		for _, j := range c.jobs {
 			if j.Service() && (input.Service == nil || j.ID < input.Service.ID) {
 				input.Service = j
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -9,45 +9,47 @@
 	"lilacthread/wire"
 )
 
-// A direct command batch saves a launch or a stop the wait for the worker's next report. It
+// With a direct command batch, a launch or a stop need not wait for the worker's next report. It
 // differs from the answer to a report in one respect: the worker may execute it whenever it
 // arrives, as long as token and session match. The placement of a launch whose batch was not
 // answered is therefore kept until a report shows the task, the session ends, or the machine is
 // released. If the batch was lost on the way through a relaying controller, the launch is sent
 // again with the answers to reports that lack the task; launching an attempt that the worker
-// already knows has no effect. Since the first copy may still arrive later, the worker is not
-// told to forget that attempt.
+// already knows has no effect. Since the first copy may still arrive later, no command to forget
+// that attempt is sent.
 
-// queueOrder marks a machine for a direct command batch in the next round.
-func (c *Core) queueOrder(m *sched.Machine) { c.orderQueue = append(c.orderQueue, m) }
+// queueCommandBatch marks a machine for a direct command batch in the next round.
+func (c *Core) queueCommandBatch(m *sched.Machine) {
+	c.commandBatchQueue = append(c.commandBatchQueue, m)
+}
 
-// sendOrders sends a direct command batch to each queued machine. Commands that can't be sent
-// now are part of the answer to the machine's next report.
-func (c *Core) sendOrders() {
-	for _, m := range c.orderQueue {
-		c.sendOrder(m)
+// sendQueuedCommandBatches sends a direct command batch to each queued machine. Commands
+// that can't be sent now are part of the answer to the machine's next report.
+func (c *Core) sendQueuedCommandBatches() {
+	for _, m := range c.commandBatchQueue {
+		c.sendPendingCommands(m)
 	}
-	c.orderQueue = c.orderQueue[:0]
+	c.commandBatchQueue = c.commandBatchQueue[:0]
 }
 
-// mayOrder reports whether a command batch may be sent to the machine now.
-func (c *Core) mayOrder(m *sched.Machine) bool {
+// canSendCommandBatch reports whether a command batch may be sent to the machine now.
+func (c *Core) canSendCommandBatch(m *sched.Machine) bool {
 	if m.CommandInFlight || !c.Serving() || c.machines[m.ID] != m || m.Releasing || m.Addr == "" {
 		return false
 	}
 	if relayNode := c.router.RelayFor(m.ID); relayNode != "" {
 		return c.router.CanSendOrders(relayNode)
 	}
-	return c.ordersInFlight < c.cfg.MaxCommandBatches()
+	return c.commandBatchesInFlight < c.cfg.MaxCommandBatches()
 }
 
-// sendCommands sends a command batch, which may be empty, to a machine for which mayOrder holds.
-// It calls done with the outcome, unless the machine was removed or this leader's term ended in
-// the meantime.
+// sendCommandBatch sends a command batch, which may be empty, to a machine for which
+// canSendCommandBatch holds. It calls done with the outcome, unless the machine was removed
+// or this leader's term ended in the meantime.
 //
 // The batch goes through the relaying controller that holds the machine's connection, if there
 // is one.
-func (c *Core) sendCommands(m *sched.Machine, commands []wire.Command, done func(store.Outcome, *wire.Report)) {
+func (c *Core) sendCommandBatch(m *sched.Machine, commands []wire.Command, done func(store.Outcome, *wire.Report)) {
 	m.CommandInFlight = true
 	term := c.term
 	orders := &wire.Orders{Token: term, Session: m.Session, Commands: commands}
@@ -57,7 +59,7 @@
 			return
 		}
 		if relayNode == "" {
-			c.ordersInFlight--
+			c.commandBatchesInFlight--
 		}
 		m.CommandInFlight = false
 		if outcome == store.OK || outcome == store.Failed {
@@ -71,15 +73,15 @@
 		c.router.SendOrders(relayNode, m.Addr, orders, complete)
 		return
 	}
-	c.ordersInFlight++
+	c.commandBatchesInFlight++
 	c.env.SendOrders(m.Addr, orders, complete)
 }
 
-// sendOrder sends a machine its pending stops and launches in a direct command batch, if it can
-// receive one now.
-func (c *Core) sendOrder(m *sched.Machine) {
+// sendPendingCommands sends a machine its pending stops and launches in a direct command
+// batch, if it can receive one now.
+func (c *Core) sendPendingCommands(m *sched.Machine) {
 	now := c.env.Now()
-	if !c.mayOrder(m) || !m.Acked || m.Downlink.Partitioned || now-m.LastReportAt > c.maxReportAge() {
+	if !c.canSendCommandBatch(m) || !m.Acked || m.Downlink.Partitioned || now-m.LastReportAt > c.maxReportAge() {
 		return
 	}
 	stops, starts := c.buildCommands(m, sortedPlacements(m), now, true)
@@ -93,7 +95,7 @@
 			m.LastCommandAt += carrier.OrderTimeout // the relaying controller may send the batch that much later
 		}
 	}
-	c.sendCommands(m, append(stops, starts...), func(outcome store.Outcome, report *wire.Report) {
+	c.sendCommandBatch(m, append(stops, starts...), func(outcome store.Outcome, report *wire.Report) {
 		if m.Session != session {
 			return // the placements of the previous session have ended
 		}
@@ -168,9 +170,9 @@
 // tasks lasts longer than cancel_s while the machine's reports are forwarded (scenario
 // order_held_past_cancel).
 func (c *Core) mayStartCancelled(m *sched.Machine, now Micros) bool {
-	renewalBound := c.renewalBound()
+	renewalLimits := c.renewalLimits()
 	for _, p := range m.Placements {
-		if p.DirectUnanswered && p.Job != nil && p.Job.Cancelled && p.Job.EndedAt > 0 && renewalBound.MayOutliveCancel(now, p.Job.EndedAt) {
+		if p.DirectUnanswered && p.Job != nil && p.Job.Cancelled && p.Job.EndedAt > 0 && renewalLimits.MayOutliveCancel(now, p.Job.EndedAt) {
 			return true
 		}
 	}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -18,31 +18,31 @@
 )
 
 // Keys in the state service. The node that accepts a job writes its record once, and those
-// of the job's awaits that do not fit in the record under further keys beside it. The
+// of the job's dependencies that do not fit in the record under further keys beside it. The
 // leader writes the job's progress under the same prefix, so that one list request reads
 // all of them as of one instant. From LevelTasks on, the records of a job's tasks have a
 // prefix of their own.
 const (
-	jobPrefix      = "j/"
-	finalPrefix    = "f/"
-	machinePrefix  = "m/"
-	taskPrefix     = "t/"
-	catalogKey     = "catalog"
-	learnedKey     = "learnt"
-	progressSuffix = "/s"
-	awaitsSuffix   = "/w" // followed by a number; sorts after the progress
+	jobPrefix          = "j/"
+	finalPrefix        = "f/"
+	machinePrefix      = "m/"
+	taskPrefix         = "t/"
+	catalogKey         = "catalog"
+	learnedKey         = "learnt"
+	progressSuffix     = "/s"
+	dependenciesSuffix = "/w" // followed by a number; sorts after the progress
 )
 
 // jobRecord is an accepted job.
 type jobRecord struct {
-	Job        wire.Job `msgpack:"job"`
-	AcceptedAt int64    `msgpack:"at"`              // time of day of acceptance, microseconds
-	AwaitsKeys int      `msgpack:"parts,omitempty"` // number of further keys that hold the rest of the awaits
+	Job                 wire.Job `msgpack:"job"`
+	AcceptedAt          int64    `msgpack:"at"`              // time of day of acceptance, microseconds
+	ExtraDependencyKeys int      `msgpack:"parts,omitempty"` // number of further keys that hold the dependencies; 0 if Job holds them
 }
 
-// awaitsRecord holds awaits of a job that did not fit in its jobRecord.
-type awaitsRecord struct {
-	Awaits []string `msgpack:"awaits"`
+// dependenciesRecord holds some dependencies of a job whose jobRecord has no room for them.
+type dependenciesRecord struct {
+	DependsOn []string `msgpack:"awaits"`
 }
 
 // progressRecord is the progress of a job and, in the end, its final phase.
@@ -90,7 +90,7 @@
 	Placements  []placementRecord `msgpack:"places"`
 }
 
-// learnedRecord holds the statistics that a new leader takes over.
+// learnedRecord holds statistics that the leader gathers and a new leader takes over.
 type learnedRecord struct {
 	SavedAt       int64              `msgpack:"at"`             // time of day, microseconds
 	TeamUsage     map[string]float64 `msgpack:"use"`            // CPU-seconds of a team, decayed
@@ -259,7 +259,7 @@
 		c.deleteTasks(j.ID, first, parts)
 	}
 	for i := range j.ExtraAwaitsKeys {
-		c.committer.put(awaitsKey(j.ID, i), func() []byte { return nil }, nil)
+		c.committer.put(dependenciesKey(j.ID, i), func() []byte { return nil }, nil)
 	}
 }
 
@@ -290,15 +290,15 @@
 			}
 		}
 		// Done tasks first: a record that still holds a placement of one may be older.
-		records := c.restoreDoneTasks(tasks)
+		taskRecords := c.restoreDoneTasks(tasks)
 		for i := range machines {
 			c.restoreMachine(&machines[i])
 		}
 		for i := range groups {
 			c.restoreGroup(&groups[i])
 		}
-		for _, r := range records {
-			c.restorePlacements(r)
+		for _, stored := range taskRecords {
+			c.restorePlacements(stored)
 		}
 		for _, j := range c.jobs {
 			c.queuePendingTasks(j)
@@ -331,8 +331,8 @@
 			c.addJobRecords(items, progress)
 			readAll(taskPrefix, func(items []wire.Item, _ uint64) {
 				tasks = items
-				// A machine's own record is deleted after its group's record is written, so
-				// reading the own records first misses no machine.
+				// A machine's own record is deleted only after its group's record is written, so
+				// reading the machines' own records before the groups misses no machine.
 				readAll(machinePrefix, func(items []wire.Item, _ uint64) {
 					machines = items
 					readAll(groupPrefix, func(items []wire.Item, _ uint64) {
@@ -356,8 +356,8 @@
 	})
 }
 
-// readLevelsBeforeLoad reads the format levels, with retries, before the leader writes
-// anything.
+// readLevelsBeforeLoad reads the format levels, with retries, before the new leader
+// writes anything.
 func (c *Core) readLevelsBeforeLoad(stillLeading func() bool, then func()) {
 	c.readLevels(func(ok bool) {
 		switch {
@@ -373,18 +373,18 @@
 // addJobRecords adds the jobs among the items. If progress is not nil, it receives the
 // progress records among the items, by job id.
 func (c *Core) addJobRecords(items []wire.Item, progress map[string]*progressRecord) {
-	awaitsValues := map[string][][]byte{}
+	dependencyValues := map[string][][]byte{}
 	for i := range items {
 		key := strings.TrimPrefix(items[i].Key, jobPrefix)
-		if id, tail, found := strings.Cut(key, "/"); found && strings.HasPrefix("/"+tail, awaitsSuffix) {
-			awaitsValues[id] = append(awaitsValues[id], items[i].Value)
+		if id, tail, found := strings.Cut(key, "/"); found && strings.HasPrefix("/"+tail, dependenciesSuffix) {
+			dependencyValues[id] = append(dependencyValues[id], items[i].Value)
 		}
 	}
 	for i := range items {
 		id, tail, found := strings.Cut(strings.TrimPrefix(items[i].Key, jobPrefix), "/")
 		switch {
 		case !found:
-			c.addJobRecord(items[i].Value, awaitsValues[id])
+			c.addJobRecord(items[i].Value, dependencyValues[id])
 		case "/"+tail == progressSuffix && progress != nil:
 			p := new(progressRecord)
 			if msgpack.Unmarshal(items[i].Value, p) == nil {
@@ -435,9 +435,9 @@
 	page("")
 }
 
-// decodeJobRecord decodes a job's record and the values of the further keys that hold the
-// rest of its awaits.
-func decodeJobRecord(value []byte, awaitsValues [][]byte) (*jobRecord, error) {
+// decodeJobRecord decodes a job's record and the values of the further keys that hold its
+// dependencies, if there are any.
+func decodeJobRecord(value []byte, dependencyValues [][]byte) (*jobRecord, error) {
 	rec := new(jobRecord)
 	if err := msgpack.Unmarshal(value, rec); err != nil {
 		return nil, err
@@ -445,22 +445,22 @@
 	if !wire.ValidID(rec.Job.ID) {
 		return nil, fmt.Errorf("invalid job id %q", rec.Job.ID)
 	}
-	if len(awaitsValues) != rec.AwaitsKeys {
-		return nil, fmt.Errorf("job %s has %d of %d further awaits keys", rec.Job.ID, len(awaitsValues), rec.AwaitsKeys)
+	if len(dependencyValues) != rec.ExtraDependencyKeys {
+		return nil, fmt.Errorf("job %s has %d of %d further dependency keys", rec.Job.ID, len(dependencyValues), rec.ExtraDependencyKeys)
 	}
-	for _, raw := range awaitsValues {
-		var rest awaitsRecord
+	for _, raw := range dependencyValues {
+		var rest dependenciesRecord
 		if err := msgpack.Unmarshal(raw, &rest); err != nil {
 			return nil, err
 		}
-		rec.Job.DependsOn = append(rec.Job.DependsOn, rest.Awaits...)
+		rec.Job.DependsOn = append(rec.Job.DependsOn, rest.DependsOn...)
 	}
 	return rec, nil
 }
 
 // addJobRecord adds a job from its record, unless it is known already.
-func (c *Core) addJobRecord(value []byte, awaitsValues [][]byte) {
-	rec, err := decodeJobRecord(value, awaitsValues)
+func (c *Core) addJobRecord(value []byte, dependencyValues [][]byte) {
+	rec, err := decodeJobRecord(value, dependencyValues)
 	if err != nil {
 		slog.Error("job record cannot be read", "err", err)
 		return
@@ -482,7 +482,7 @@
 		Tasks:           make([]sched.Task, spec.Tasks),
 		FailedOn:        map[string]bool{},
 		TaskRecords:     map[int]int{},
-		ExtraAwaitsKeys: rec.AwaitsKeys,
+		ExtraAwaitsKeys: rec.ExtraDependencyKeys,
 	}
 	j.Init()
 	j.ComputeSize(c.catalog)
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -128,8 +128,9 @@
 	return m
 }
 
-// redirectIfIsolated reports whether a worker should look for another leader, because this one
-// has lost the state service and all its peers.
+// redirectIfIsolated reports whether to refuse a machine's report so that the worker searches for
+// another leader, because this one has lost the state service and all its peers. It records the
+// time of the refusal.
 //
 // As long as this leader answers, the worker stays with it and a successor can't use the
 // machine. A worker that is refused once searches for a successor and returns if it finds none.
@@ -159,7 +160,7 @@
 		m.ReclaimAt = 0 // the notice came from a delayed copy of a report, or the cloud withdrew it
 	} else if m.ReclaimAt == 0 {
 		m.ReclaimAt = now + clock.FromSeconds(*report.ReclaimNoticeSeconds)
-		c.drainForNotice(m, now)
+		c.drainForReclaim(m, now)
 	}
 	if m.LastCommandUnanswered {
 		m.LastCommandUnanswered = false
@@ -212,7 +213,7 @@
 // the task; that happened at a report interval of four seconds.
 //
 // A cancellation takes effect with the user's request, before it is committed. If the answer to
-// the commit is lost, another node may read the final state and notify the user, and this
+// the commit is lost, another node may read the committed end and notify the user, and this
 // leader never learns of it (scenario cancellation_unknown_to_leader). Reported tasks are
 // included even if they have no placement any more; a job that is not in memory has ended. A
 // launch that was sent but is not reported yet may still reach the worker, so it is stopped too.
@@ -299,8 +300,8 @@
 // or for a direct command batch. A direct batch starts only tasks whose launch was never sent.
 // A launch in an unanswered batch is not sent again, because it could start the task a second
 // time after the worker has forgotten the attempt. The exception is a batch that was lost
-// together with the relaying controller: its launches are sent again, and the worker is not
-// told to forget those attempts.
+// together with the relaying controller: its launches are sent again, and no command to forget
+// those attempts is sent.
 func (c *Core) buildCommands(m *sched.Machine, placements []*sched.Placement, now Micros, direct bool) (stops, starts []wire.Command) {
 	stops = []wire.Command{}
 	for _, p := range placements {
@@ -444,7 +445,7 @@
 }
 
 // completeTask records a completed task. Before the record is committed, no user is notified
-// and the worker is not told to forget the task.
+// and the worker gets no command to forget the task.
 func (c *Core) completeTask(p *sched.Placement, now Micros) {
 	j := p.Job
 	if p.RunningSince > 0 && p.SentAt > 0 {
--- a/internal/controller/task_records.go
+++ b/internal/controller/task_records.go
@@ -13,13 +13,14 @@
 	"lilacthread/wire"
 )
 
-// From LevelTasks on, the finished and the placed tasks of a job are stored in records
-// of tasksPerRecord tasks each, under t/JOB/FIRST, where FIRST is the index of the first
-// task. What the tasks share, such as their resource needs, is in the job's record.
-// Therefore a placement takes about ten bytes, a launch of many tasks of a job on many
-// machines takes one or two changes, and a job of 100,000 tasks needs no large value. A
-// record that exceeds the value limit of the state service continues in t/JOB/FIRST/1
-// and so on; all its parts are written in one transaction.
+// tasksPerRecord is the number of tasks in a task record. From LevelTasks on, the finished
+// and the placed tasks of a job are stored in records of that many tasks each, under
+// t/JOB/FIRST, where FIRST is the index of the first task. What the tasks share, such as
+// their resource needs, is in the job's record. Therefore a placement takes about ten
+// bytes, a launch of many tasks of a job on many machines takes one or two changes, and a
+// job of 100,000 tasks needs no large value. A record that exceeds the value limit of the
+// state service continues in t/JOB/FIRST/1 and so on; all its parts are written in one
+// transaction.
 const tasksPerRecord = 64
 
 // tasksRecord is the stored state of up to tasksPerRecord tasks of a job.
@@ -31,7 +32,7 @@
 	Placements  []uint64 `msgpack:"p,omitempty"` // four each: task minus FIRST, index in Machines, attempt minus BaseAttempt, session
 }
 
-// tasksKey returns the key of a part of the record that begins with task first.
+// tasksKey returns the key of a part of the record that begins with the task of index first.
 func tasksKey(job string, first, part int) string {
 	key := taskPrefix + job + "/" + strconv.Itoa(first)
 	if part > 0 {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -21,7 +21,7 @@
 // submissionBatcher queues submissions so that one transaction creates several jobs.
 type submissionBatcher struct {
 	queue *admit.Queue[*submission]
-	busy  bool
+	busy  bool // a transaction is in flight or waits for the write budget
 }
 
 // submission is a job that waits to be written to the state service.
@@ -42,7 +42,7 @@
 func (c *Core) Submit(job *wire.Job, reply func(Answer)) {
 	if c.catalog != nil {
 		if reason := c.unrunnableReason(job); reason != "" {
-			c.refuseNew(job.ID, Answer{Code: 422, Status: wire.JobStatus{ID: reason}}, reply)
+			c.rejectUnlessKnown(job.ID, Answer{Code: 422, Status: wire.JobStatus{ID: reason}}, reply)
 			return
 		}
 	}
@@ -57,18 +57,19 @@
 	c.submitLocally(job, true, reply)
 }
 
-// RejectMalformed answers a submission in which a field is missing or invalid.
+// RejectMalformed answers a submission in which a field is missing or invalid, or that is too
+// large for the state service.
 func (c *Core) RejectMalformed(id, reason string, reply func(Answer)) {
-	c.refuseNew(id, Answer{Code: 400, Status: wire.JobStatus{ID: reason}}, reply)
+	c.rejectUnlessKnown(id, Answer{Code: 400, Status: wire.JobStatus{ID: reason}}, reply)
 }
 
-// refuseNew rejects a job permanently unless it exists. An accepted job stays accepted even if
-// its submission would be rejected now because of changed settings, dependencies or limits of
-// the state service; the answer is then the job's status.
-func (c *Core) refuseNew(id string, refusal Answer, reply func(Answer)) {
+// rejectUnlessKnown gives a negative answer to a submission unless the job exists. An
+// accepted job stays accepted even if its submission would be rejected now because of changed
+// settings, dependencies or limits of the state service; the answer is then the job's status.
+func (c *Core) rejectUnlessKnown(id string, rejection Answer, reply func(Answer)) {
 	c.Status(id, func(a Answer) {
 		if a.Code == 404 {
-			a = refusal
+			a = rejection
 		}
 		reply(a)
 	})
@@ -124,11 +125,11 @@
 			c.enqueue(job, mayForward, reply)
 			return
 		}
-		refusal := unavailable
+		rejection := unavailable
 		if result.rejectReason != "" {
-			refusal = Answer{Code: 422, Status: wire.JobStatus{ID: result.rejectReason}}
+			rejection = Answer{Code: 422, Status: wire.JobStatus{ID: result.rejectReason}}
 		}
-		c.refuseNew(job.ID, refusal, reply)
+		c.rejectUnlessKnown(job.ID, rejection, reply)
 	})
 }
 
@@ -163,14 +164,15 @@
 	c.submissions.queue.Push(s.account, c.submissionRank(s.job), len(s.changes), bytes, s.receivedAt, s)
 }
 
-// awaitsKey returns the key of a record that holds some of a job's dependencies.
-func awaitsKey(job string, part int) string {
-	return fmt.Sprintf("%s%s%s%04d", jobPrefix, job, awaitsSuffix, part)
+// dependenciesKey returns the key of a record that holds some of a job's dependencies.
+func dependenciesKey(job string, part int) string {
+	return fmt.Sprintf("%s%s%s%04d", jobPrefix, job, dependenciesSuffix, part)
 }
 
-// jobChanges returns the changes that create a job, its record first. Dependencies that
-// do not fit in the record go to keys of their own, written in the same transaction.
-// If the job exceeds the limits of the state service, the reason is returned instead.
+// jobChanges returns the changes that create a job, its record first. If its dependencies
+// do not fit in the record, all of them go to further keys, written in the same
+// transaction. If the job exceeds the limits of the state service, the reason is returned
+// instead.
 func (c *Core) jobChanges(job *wire.Job) ([]wire.Change, string) {
 	limits := c.stateLimits()
 	limit := limits.ValueBytes()
@@ -178,27 +180,27 @@
 	value := wire.Encode(&rec)
 	changes := []wire.Change{{PutKey: jobPrefix + job.ID}}
 	if wire.JSONSize(value) > limit {
-		rec.Job.DependsOn, rec.AwaitsKeys = nil, 1
+		rec.Job.DependsOn, rec.ExtraDependencyKeys = nil, 1
 		value = wire.Encode(&rec)
 		if wire.JSONSize(value) > limit-16 {
 			return nil, fmt.Sprintf("too large: a job's record without its awaits may take %d bytes", limit-16)
 		}
-		var part awaitsRecord
+		var part dependenciesRecord
 		size := 0
 		flush := func() {
-			changes = append(changes, wire.Change{PutKey: awaitsKey(job.ID, len(changes)-1), Value: wire.Encode(&part)})
-			part, size = awaitsRecord{}, 0
+			changes = append(changes, wire.Change{PutKey: dependenciesKey(job.ID, len(changes)-1), Value: wire.Encode(&part)})
+			part, size = dependenciesRecord{}, 0
 		}
 		for _, id := range job.DependsOn {
 			idSize := len(id) + 3
 			if size+idSize > limit-16 {
 				flush()
 			}
-			part.Awaits = append(part.Awaits, id)
+			part.DependsOn = append(part.DependsOn, id)
 			size += idSize
 		}
 		flush()
-		rec.AwaitsKeys = len(changes) - 1
+		rec.ExtraDependencyKeys = len(changes) - 1
 		value = wire.Encode(&rec)
 	}
 	changes[0].Value = value
@@ -328,7 +330,7 @@
 
 // handleFailedGuards handles a transaction that failed because some of its jobs exist:
 // those are answered with their status, the others are queued again. If no failed guard is
-// given, all users are told to retry.
+// given, all users are answered that they should retry.
 func (c *Core) handleFailedGuards(batch []*submission, failedKeys []string) {
 	known := map[string]bool{}
 	for _, key := range failedKeys {
@@ -364,7 +366,8 @@
 // resubmit handles submissions that the state service rejected as invalid. If the
 // rejection shows that the limits of the state service are lower now, the changes are
 // rendered again within these limits and queued. Otherwise one of the submissions is
-// invalid, and all users are told to retry, so that the submissions come one by one.
+// invalid, and all users are answered that they should retry, so that the submissions come
+// one by one.
 func (c *Core) resubmit(batch []*submission, changes []wire.Change) {
 	if !c.raiseLevelOnSizeRefusal(changes) {
 		for _, s := range batch {
@@ -500,7 +503,8 @@
 }
 
 // maxLookupItems is how many items a status lookup reads: the job's record, its progress
-// and the records of its dependencies. The watch delivers those beyond the limit.
+// and the further keys of its dependencies. A job with more keys is not added to memory by
+// the lookup, but once the watch delivers it.
 const maxLookupItems = 16
 
 // Cancel cancels a job for a user, at the leader.
@@ -578,7 +582,7 @@
 		}
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Placement; p != nil && !p.Exited {
-				c.queueOrder(p.Machine)
+				c.queueCommandBatch(p.Machine)
 			}
 		}
 		c.resolveDependents(j)
