--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -177,12 +177,12 @@
 // this node's queue, or 0 if the queue accepts it. wait is the time that the submission is
 // expected to wait there: if it is longer than MaxQueueWait, the submission is refused now.
 func (c *Core) queueRetryAfter(job *wire.Job, account int, wait Micros) int {
-	q := c.submissions.queue
-	if q.Len() > 0 && wait > c.policy.Admission.MaxQueueWait {
+	queue := c.submissions.queue
+	if queue.Len() > 0 && wait > c.policy.Admission.MaxQueueWait {
 		return admit.RetryAfterSeconds(wait, job.ID)
 	}
-	if !q.Fits(account, wire.MaxBody/8) {
-		return admit.RetryAfterSeconds(clock.FromSeconds(float64(q.Cost())/max(c.minSubmissionRate(), 0.1)), job.ID)
+	if !queue.Fits(account, wire.MaxBody/8) {
+		return admit.RetryAfterSeconds(clock.FromSeconds(float64(queue.Cost())/max(c.minSubmissionRate(), 0.1)), job.ID)
 	}
 	return 0
 }
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -317,11 +317,11 @@
 		}
 	}
 	txn := &wire.Txn{If: []wire.Guard{c.elector.Guard()}, Then: transaction.changes}
-	c.env.State().Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
+	c.env.State().Txn(txn, func(outcome store.Outcome, answer *wire.TxnAnswer) {
 		if !stillCurrent() {
 			return
 		}
-		switch o {
+		switch outcome {
 		case store.OK:
 			c.lastStateContact = c.env.Now()
 			w.inFlight, w.sizeReductions, w.rateLimitCount = false, 0, 0
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -53,10 +53,10 @@
 	// Call sends a message to another controller. It passes nil to done if no answer
 	// arrives within the timeout.
 	Call(node string, m *peer.Msg, timeout Micros, done func(*peer.Msg))
-	// SendOrders sends commands to the worker at addr. It passes OK to done, or Failed if
+	// SendOrders sends a command batch to the worker at addr. It passes OK to done, or Failed if
 	// the worker executed nothing because the token or the session differs; in both cases
 	// with the worker's report.
-	SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report))
+	SendOrders(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report))
 	// ConnectionUsage returns the fraction of this node's connections for users and
 	// workers that is in use.
 	ConnectionUsage() float64
@@ -306,8 +306,8 @@
 func (c *Core) sendHellos() {
 	now := c.env.Now()
 	if now-c.lastStateContact > 700*clock.Millisecond {
-		c.env.State().Get(lead.TermKey, func(o store.Outcome, _ *wire.Item) {
-			if o == store.OK || o == store.Failed {
+		c.env.State().Get(lead.TermKey, func(outcome store.Outcome, _ *wire.Item) {
+			if outcome == store.OK || outcome == store.Failed {
 				c.lastStateContact = c.env.Now()
 			}
 		})
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -27,8 +27,8 @@
 		interval = clock.Second
 		c.env.State().List(catalogKey, "", 500, func(outcome store.Outcome, page *wire.ItemList) {
 			if outcome == store.OK && c.catalog == nil {
-				if cat := readCatalog(page.Items); cat != nil {
-					c.setCatalog(cat)
+				if stored := readCatalog(page.Items); stored != nil {
+					c.setCatalog(stored)
 				}
 			}
 			if c.catalog == nil {
@@ -383,9 +383,9 @@
 		case j == nil || p.Exited:
 		case j.Gang(): // all members of the gang must receive the stop within gang_peer_s
 			for i := range j.Tasks {
-				if q := j.Tasks[i].Placement; q != nil && !q.Stopping {
-					q.Stopping, q.Grace = true, j.Spec.SaveDuration+1
-					c.queueCommandBatch(q.Machine)
+				if member := j.Tasks[i].Placement; member != nil && !member.Stopping {
+					member.Stopping, member.Grace = true, j.Spec.SaveDuration+1
+					c.queueCommandBatch(member.Machine)
 				}
 			}
 		case j.Service() || j.Spec.CheckpointInterval > 0:
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -175,19 +175,19 @@
 // progressRecordOf returns a job's progress record in the format of the level in force.
 func (c *Core) progressRecordOf(j *sched.Job) *progressRecord {
 	if c.format.level < LevelTasks {
-		r := renderProgress(j, c.stateLimits().ValueBytes())
-		c.setReadyTimes(j, r)
-		return r
+		rec := renderProgress(j, c.stateLimits().ValueBytes())
+		c.setReadyTimes(j, rec)
+		return rec
 	}
-	r := renderProgress(j, 0) // the tasks have records of their own
-	c.setReadyTimes(j, r)
-	if j.CommittedPhase == "" && r.Phase != "" && j.EndedAt == 0 {
+	rec := renderProgress(j, 0) // the tasks have records of their own
+	c.setReadyTimes(j, rec)
+	if j.CommittedPhase == "" && rec.Phase != "" && j.EndedAt == 0 {
 		j.EndedAt = c.env.Now()
 	}
 	if j.EndedAt != 0 {
-		r.EndedAt = c.toWallTime(j.EndedAt)
+		rec.EndedAt = c.toWallTime(j.EndedAt)
 	}
-	return r
+	return rec
 }
 
 // setReadyTimes sets when a job with dependencies became ready and when its pipeline
@@ -214,23 +214,23 @@
 // the next leader starts them again, and they exit with their result at once. A larger
 // record would be refused by the state service and block all others.
 func renderProgress(j *sched.Job, limit int) *progressRecord {
-	r := &progressRecord{DoneCount: j.DoneCount, Estimate: int64(j.Estimate), AnyTaskSucceeded: j.AnyTaskSucceeded}
+	rec := &progressRecord{DoneCount: j.DoneCount, Estimate: int64(j.Estimate), AnyTaskSucceeded: j.AnyTaskSucceeded}
 	switch {
 	case j.Cancelled:
-		r.Phase = wire.PhaseCancelled
+		rec.Phase = wire.PhaseCancelled
 	case j.Ended:
-		r.Phase = wire.PhaseDone
+		rec.Phase = wire.PhaseDone
 	}
-	if r.Phase == "" && j.DoneCount > 0 {
+	if rec.Phase == "" && j.DoneCount > 0 {
 		bits := make([]byte, min((len(j.Tasks)+7)/8, max(limit-progressOverhead, 0)*3/4))
 		for i := range j.Tasks[:min(len(j.Tasks), 8*len(bits))] {
 			if j.Tasks[i].State == sched.Done {
 				bits[i/8] |= 1 << (i % 8)
 			}
 		}
-		r.Done = base64.StdEncoding.EncodeToString(bits)
+		rec.Done = base64.StdEncoding.EncodeToString(bits)
 	}
-	return r
+	return rec
 }
 
 // progressOverhead is an upper bound, in bytes, of what a progress record needs besides
@@ -339,12 +339,12 @@
 						groups = items
 						readAll(intentPrefix, func(items []wire.Item, _ uint64) {
 							intents = items
-							c.env.State().Get(learnedKey, func(o store.Outcome, it *wire.Item) {
+							c.env.State().Get(learnedKey, func(outcome store.Outcome, item *wire.Item) {
 								if !stillLeading() {
 									return
 								}
-								if o == store.OK {
-									c.restoreLearned(it.Value)
+								if outcome == store.OK {
+									c.restoreLearned(item.Value)
 								}
 								c.awaitCatalog(stillLeading, finish)
 							})
@@ -414,18 +414,18 @@
 	var revision uint64
 	var page func(after string)
 	page = func(after string) {
-		c.env.State().List(prefix, after, 500, func(o store.Outcome, l *wire.ItemList) {
+		c.env.State().List(prefix, after, 500, func(outcome store.Outcome, list *wire.ItemList) {
 			switch {
 			case !stillLeading():
-			case o != store.OK:
+			case outcome != store.OK:
 				c.env.After(100*clock.Millisecond, func() { page(after) })
 			default:
 				if after == "" {
-					revision = l.Revision
+					revision = list.Revision
 				}
-				all = append(all, l.Items...)
-				if l.More && len(l.Items) > 0 {
-					page(l.Items[len(l.Items)-1].Key)
+				all = append(all, list.Items...)
+				if list.More && len(list.Items) > 0 {
+					page(list.Items[len(list.Items)-1].Key)
 					return
 				}
 				done(all, revision)
@@ -720,23 +720,23 @@
 	if !c.elector.Leading() || c.term != term {
 		return
 	}
-	c.env.State().Watch(jobPrefix, revision, 10_000, func(o store.Outcome, a *wire.WatchAnswer) {
+	c.env.State().Watch(jobPrefix, revision, 10_000, func(outcome store.Outcome, answer *wire.WatchAnswer) {
 		if !c.elector.Leading() || c.term != term {
 			return
 		}
-		switch o {
+		switch outcome {
 		case store.OK:
-			items := make([]wire.Item, 0, len(a.Events))
-			for _, e := range a.Events {
+			items := make([]wire.Item, 0, len(answer.Events))
+			for _, e := range answer.Events {
 				if e.PutKey != "" {
 					items = append(items, wire.Item{Key: e.PutKey, Value: e.Value})
 				}
 			}
 			c.addJobRecords(items, nil)
-			if len(a.Events) > 0 {
+			if len(answer.Events) > 0 {
 				c.requestSchedulingPass()
 			}
-			c.watchJobs(term, a.Revision)
+			c.watchJobs(term, answer.Revision)
 		case store.Gone:
 			c.listAll(func() bool { return c.elector.Leading() && c.term == term }, jobPrefix,
 				func(items []wire.Item, revision uint64) {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -576,8 +576,8 @@
 			c.queuePendingTasks(j)
 		} else {
 			for i := range j.Tasks { // the remaining tasks of this gang attempt are useless
-				if q := j.Tasks[i].Placement; q != nil && !q.Stopping {
-					q.Stopping, q.Grace = true, 0
+				if member := j.Tasks[i].Placement; member != nil && !member.Stopping {
+					member.Stopping, member.Grace = true, 0
 				}
 			}
 		}
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -268,15 +268,15 @@
 	c.submissions.busy = true
 	term, leading := c.term, c.elector.Leading()
 	c.writeBudget.Spend(at, admit.SubmissionWrites, len(txn.Then))
-	c.env.State().Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
+	c.env.State().Txn(txn, func(outcome store.Outcome, answer *wire.TxnAnswer) {
 		c.submissions.busy = false
-		switch o {
+		switch outcome {
 		case store.OK:
 			c.lastStateContact = c.env.Now()
 			// In an unchanged term, only this leader can have ended the jobs since, and it would know.
 			c.answerCreated(batch, leading && c.elector.Leading() && c.term == term && c.loaded)
 		case store.Failed:
-			c.handleFailedGuards(batch, a.FailedGuards)
+			c.handleFailedGuards(batch, answer.FailedGuards)
 		case store.Invalid:
 			c.resubmit(batch, txn.Then)
 		default:
@@ -425,23 +425,23 @@
 // statusOf returns the committed status of a job: a state that was sent to a user must
 // outlive this leader.
 func statusOf(j *sched.Job) wire.JobStatus {
-	s := wire.JobStatus{ID: j.ID, Phase: j.CommittedPhase, Done: j.DoneCount}
-	if s.Phase != "" {
-		return s
+	status := wire.JobStatus{ID: j.ID, Phase: j.CommittedPhase, Done: j.DoneCount}
+	if status.Phase != "" {
+		return status
 	}
-	s.Phase = wire.PhaseQueued
+	status.Phase = wire.PhaseQueued
 	if j.PlacedCount > 0 {
-		s.Phase = wire.PhaseRunning
+		status.Phase = wire.PhaseRunning
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Placement; p != nil && p.RunningSince > 0 && !p.Exited {
-				s.Running++
+				status.Running++
 			}
 		}
 	}
 	if j.DoneCount == len(j.Tasks) {
-		s.Done, s.Phase = j.DoneCount-1, wire.PhaseRunning // the job's end is not committed yet
+		status.Done, status.Phase = j.DoneCount-1, wire.PhaseRunning // the job's end is not committed yet
 	}
-	return s
+	return status
 }
 
 // lookupStatus reads a job's status from the state service: first the job's record, then
@@ -452,15 +452,15 @@
 		return
 	}
 	term, leading := c.term, c.elector.Leading()
-	c.env.State().List(jobPrefix+id, "", maxLookupItems, func(o store.Outcome, l *wire.ItemList) {
-		if o != store.OK {
+	c.env.State().List(jobPrefix+id, "", maxLookupItems, func(outcome store.Outcome, list *wire.ItemList) {
+		if outcome != store.OK {
 			reply(unavailable)
 			return
 		}
 		var record []byte
 		var progress progressRecord
-		for i := range l.Items {
-			switch it := &l.Items[i]; it.Key {
+		for i := range list.Items {
+			switch it := &list.Items[i]; it.Key {
 			case jobPrefix + id:
 				record = it.Value
 			case jobPrefix + id + progressSuffix:
@@ -478,7 +478,7 @@
 					status.Phase = wire.PhaseRunning
 				}
 				if leading && c.Serving() && c.term == term {
-					c.addJobRecords(l.Items, nil) // the watch has not delivered the job yet
+					c.addJobRecords(list.Items, nil) // the watch has not delivered the job yet
 					c.requestSchedulingPass()
 				}
 				if progress.ReadyAt == 0 {
