--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -123,7 +123,7 @@
 	finalReadWaiters       map[string][]*sched.Job // jobs that wait for the final record of a dependency, by its id
 	attemptCount           uint64
 	rentalCount            uint64
-	pendingRentals         map[string]fleet.Rental
+	pendingRentals         map[string]fleet.PendingRental
 	refusedUntil           map[fleet.MachineKind]Micros
 	cloudPausedUntil       Micros
 	releaseInFlight        bool
@@ -443,7 +443,7 @@
 	c.fetchRates, c.spotLosses = map[string]float64{}, spotLosses{updatedAt: now}
 	c.committer = committer{core: c, pending: map[string]*pendingWrite{}}
 	c.attemptCount, c.rentalCount = 0, 0
-	c.pendingRentals = map[string]fleet.Rental{}
+	c.pendingRentals = map[string]fleet.PendingRental{}
 	c.refusedUntil = map[fleet.MachineKind]Micros{}
 	c.releaseQueue, c.pendingReleases, c.releaseCount, c.releaseInFlight = nil, nil, 0, false
 	c.openIntents = map[string]bool{}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -472,7 +472,7 @@
 		}
 		c.rentalCount++
 		requestID := "r-" + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.rentalCount, 10)
-		c.pendingRentals[requestID] = fleet.Rental(rental)
+		c.pendingRentals[requestID] = fleet.PendingRental(rental)
 		request := &wire.RentRequest{RequestID: requestID, Type: rental.Kind.Type, Zone: rental.Kind.Zone, Spot: rental.Kind.Spot, Count: rental.Count}
 		c.commitIntent(requestID, intentRecord{Rent: request}, func() { c.sendRental(request, now, false) })
 	}
