--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -43,14 +43,14 @@
 			defer users.Done()
 			job := &wire.Job{ID: fmt.Sprintf("req-%06d", i+1), Class: "c", Team: "core", Kind: wire.KindArray,
 				Priority: "normal", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, Estimate: 0.5}
-			simServer.WithWorld(func(w *sim.World) { w.Rules.AddJob(job) })
+			simServer.WithWorld(func(w *sim.World) { w.Checker.AddJob(job) })
 			c := client.New(settings[i%len(settings)].Listen)
 			if _, err := c.Submit(job); err != nil {
 				t.Errorf("%s: %v", job.ID, err)
 				return
 			}
 			if i%4 == 3 {
-				simServer.WithWorld(func(w *sim.World) { w.Rules.CancelRequested(job.ID) })
+				simServer.WithWorld(func(w *sim.World) { w.Checker.CancelRequested(job.ID) })
 				if _, err := c.Cancel(job.ID); err != nil {
 					t.Errorf("%s: %v", job.ID, err)
 				}
@@ -69,8 +69,8 @@
 	}
 	users.Wait()
 	simServer.WithWorld(func(w *sim.World) {
-		if w.Rules.CheckFinal(); len(w.Rules.Violations) > 0 {
-			t.Errorf("rules broken: %v", w.Rules.Violations)
+		if w.Checker.CheckFinal(); len(w.Checker.Violations) > 0 {
+			t.Errorf("rules broken: %v", w.Checker.Violations)
 		}
 	})
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -37,22 +37,22 @@
 	for i := range r.Phases {
 		p := &r.Phases[i]
 		for k := range p.Controllers {
-			model := followerCPU
+			quantity := followerCPU
 			if p.Controllers[k].Leads {
-				model = leaderCPU
+				quantity = leaderCPU
 			}
-			p.Controllers[k].ExpectedCores = expectedValue(fits, model, r, p) / 1e6
+			p.Controllers[k].ExpectedCores = expectedValue(fits, quantity, r, p) / 1e6
 		}
 	}
 }
 
 // expectedValue returns the value that the fit of the quantity model predicts for a phase.
-func expectedValue(fits []Fit, model string, r *Report, p *Result) float64 {
+func expectedValue(fits []Fit, quantity string, r *Report, p *Result) float64 {
 	sum := 0.0
 	for _, f := range fits {
 		for _, term := range f.Terms {
 			for _, reg := range []regressor{intercept, workerCount, reportRate, startRate, jobRate, runningTasks} {
-				if f.Quantity == model && reg.name == term.Regressor {
+				if f.Quantity == quantity && reg.name == term.Regressor {
 					sum += term.Slope * reg.value(r, p)
 				}
 			}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -101,7 +101,7 @@
 	self, _ := readUsage(os.Getpid())
 	s.processes = append(s.processes, self)
 	d.simServer.WithWorld(func(w *sim.World) {
-		s.startedTasks, s.runningTasks, s.leasesLost, s.traffic = w.Rules.TaskStarts(), w.RunningTasks(), w.LeasesLost, d.simServer.Traffic
+		s.startedTasks, s.runningTasks, s.leasesLost, s.traffic = w.Checker.TaskStarts(), w.RunningTasks(), w.LeasesLost, d.simServer.Traffic
 	})
 	return s
 }
@@ -145,9 +145,9 @@
 
 // recordWaits sets Waits from the times that the checker recorded. Jobs that did not start
 // are left out.
-func (r *Report) recordWaits(rules *sim.Checker) {
+func (r *Report) recordWaits(checker *sim.Checker) {
 	byPriority := map[string]*hdrhistogram.Histogram{}
-	rules.EachWait(func(job *wire.Job, submitted, started sim.Micros) {
+	checker.EachWait(func(job *wire.Job, submitted, started sim.Micros) {
 		if started == 0 {
 			return
 		}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -307,10 +307,10 @@
 func (d *deployment) finish() {
 	d.users.drain(drainTimeout)
 	d.simServer.WithWorld(func(w *sim.World) {
-		w.Rules.CheckOverdue(w.Now())
-		w.Rules.CheckFinal()
-		d.report.Violations = append(d.report.Violations, w.Rules.Violations...)
-		d.report.recordWaits(w.Rules)
+		w.Checker.CheckOverdue(w.Now())
+		w.Checker.CheckFinal()
+		d.report.Violations = append(d.report.Violations, w.Checker.Violations...)
+		d.report.recordWaits(w.Checker)
 	})
 	d.report.Unfinished = d.users.unfinished()
 	d.report.AcceptLatency = newQuantiles(d.users.acceptLatency, 1000)
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -139,17 +139,17 @@
 func parseParameters(words []string, parameters []parameter) error {
 	for _, word := range words {
 		name, text, _ := strings.Cut(word, "=")
-		i := slices.IndexFunc(parameters, func(s parameter) bool { return s.name == name })
+		i := slices.IndexFunc(parameters, func(p parameter) bool { return p.name == name })
 		if i < 0 {
 			var names []string
-			for _, s := range parameters {
-				names = append(names, s.name)
+			for _, p := range parameters {
+				names = append(names, p.name)
 			}
 			return fmt.Errorf("unknown parameter %q: want one of %s", name, strings.Join(names, ", "))
 		}
 		v, err := strconv.ParseFloat(text, 64)
-		if s := parameters[i]; err != nil || !(v >= s.min && v <= s.max) {
-			return fmt.Errorf("%s: want a number from %v to %v", word, s.min, s.max)
+		if p := parameters[i]; err != nil || !(v >= p.min && v <= p.max) {
+			return fmt.Errorf("%s: want a number from %v to %v", word, p.min, p.max)
 		}
 		*parameters[i].value = v
 	}
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -114,7 +114,7 @@
 func (u *users) submit(job *wire.Job) {
 	number := int(u.lastJobNumber.Add(1))
 	job.ID, job.Team = fmt.Sprintf("req-%06d", number), teamName(number%u.deployment.Teams)
-	u.deployment.simServer.WithWorld(func(w *sim.World) { w.Rules.AddJob(job) })
+	u.deployment.simServer.WithWorld(func(w *sim.World) { w.Checker.AddJob(job) })
 	u.setPending(job.ID, true)
 	u.goroutines.Add(1)
 	go func() {
@@ -185,12 +185,12 @@
 func (u *users) request(method, path string, body any, jobID string) (code int, retryAfter time.Duration) {
 	var check func(a controller.Answer)
 	u.deployment.simServer.WithWorld(func(w *sim.World) {
-		facts := w.Rules.BeginRequest(jobID)
+		facts := w.Checker.BeginRequest(jobID)
 		check = func(a controller.Answer) {
 			if method == http.MethodPost {
-				w.Rules.CheckSubmitAnswer(jobID, facts, a)
+				w.Checker.CheckSubmitAnswer(jobID, facts, a)
 			} else {
-				w.Rules.CheckStatusAnswer(jobID, facts, a)
+				w.Checker.CheckStatusAnswer(jobID, facts, a)
 			}
 		}
 	})
--- a/internal/sim/bench_test.go
+++ b/internal/sim/bench_test.go
@@ -11,9 +11,9 @@
 
 // newLoadedWorld returns an environment with the given number of controllers, one of them
 // leading, and about n machines, each of which runs eight tasks.
-func newLoadedWorld(b testing.TB, nodes, n int) *World {
+func newLoadedWorld(tb testing.TB, nodes, n int) *World {
 	w := NewWorld(nodes, []string{"a"}, 7)
-	s := &script{w: w}
+	s := &script{world: w}
 	s.addTeam("core", 0, 0)
 	w.Cloud.Types = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchRate: 1, Price: 1,
 		SpotPrice: 0.3, BootTime: 10, Zones: []string{"a"}}}
@@ -27,7 +27,7 @@
 	}
 	w.Run(150 * second)
 	if machines := len(w.Cloud.Machines); machines < n*9/10 {
-		b.Fatalf("%d machines are rented, fewer than nine tenths of those wanted", machines)
+		tb.Fatalf("%d machines are rented, fewer than nine tenths of those wanted", machines)
 	}
 	return w
 }
--- a/internal/sim/bounds_test.go
+++ b/internal/sim/bounds_test.go
@@ -57,8 +57,8 @@
 			if w.State.PeakRequests > int(p.State.RPS) || w.State.RefusedTxns > 0 || w.State.LargestValue > p.State.ValueBytes() {
 				t.Errorf("limit exceeded: %d requests in a second, %d transactions refused, a value of %d bytes", w.State.PeakRequests, w.State.RefusedTxns, w.State.LargestValue)
 			}
-			if len(w.Rules.Violations) > 0 {
-				t.Errorf("rules broken: %v", w.Rules.Violations)
+			if len(w.Checker.Violations) > 0 {
+				t.Errorf("rules broken: %v", w.Checker.Violations)
 			}
 			before := allocatedBytes()
 			for _, node := range w.Nodes { // so that only their memory is missing afterwards
@@ -100,7 +100,7 @@
 // leader, the only one that can use them, while they know who leads.
 func TestNoticesGoToTheLeader(t *testing.T) {
 	w := NewWorld(5, []string{"a"}, 7)
-	s := &script{w: w}
+	s := &script{world: w}
 	s.addTeam("core", 0, 0)
 	s.compile("admission", args{})()
 	for _, n := range w.Nodes {
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -10,7 +10,7 @@
 
 // Cloud simulates the cloud and holds the machines with their workers.
 type Cloud struct {
-	w                  *World
+	world              *World
 	Types              []wire.MachineType
 	Capacity           map[string]int      // machines left by type/zone or type/zone/spot; missing: unlimited
 	Machines           map[string]*Worker  // rented machines by ID
@@ -29,7 +29,7 @@
 
 // newCloud returns a cloud without machine types, machines and capacity limits.
 func newCloud(w *World) *Cloud {
-	return &Cloud{w: w, Capacity: map[string]int{}, Machines: map[string]*Worker{}, machinesByRequest: map[string][]string{}, requestByMachine: map[string]string{}, intentRequests: map[string]bool{}}
+	return &Cloud{world: w, Capacity: map[string]int{}, Machines: map[string]*Worker{}, machinesByRequest: map[string][]string{}, requestByMachine: map[string]string{}, intentRequests: map[string]bool{}}
 }
 
 // capacityKey returns the key of Capacity for a type, zone and price model.
@@ -72,7 +72,7 @@
 	var ids []string
 	for range count {
 		c.rentedCount++
-		x := newWorker(c.w, fmt.Sprintf("m-%06d", c.rentedCount), t, r.Zone, r.Spot)
+		x := newWorker(c.world, fmt.Sprintf("m-%06d", c.rentedCount), t, r.Zone, r.Spot)
 		c.Machines[x.id] = x
 		ids = append(ids, x.id)
 		if c.intentRequests[r.RequestID] {
@@ -86,7 +86,7 @@
 		if c.BootTime > 0 {
 			bootTime = c.BootTime
 		}
-		c.w.After(bootTime, x.boot)
+		c.world.After(bootTime, x.boot)
 	}
 	c.machinesByRequest[r.RequestID] = ids
 	return ids, true
@@ -100,7 +100,7 @@
 	}
 	x.terminate()
 	delete(c.Machines, id)
-	if key := capacityKey(x.typ.Name, x.zone, x.spot); c.Capacity[key] > 0 || c.limited(key) {
+	if key := capacityKey(x.machineType.Name, x.zone, x.spot); c.Capacity[key] > 0 || c.limited(key) {
 		c.Capacity[key]++
 	}
 }
@@ -112,24 +112,24 @@
 }
 
 // cloudClient is the connection of one incarnation of a node to the cloud.
-type cloudClient struct{ e *env }
+type cloudClient struct{ env *env }
 
 // cloud returns the cloud of the client's environment.
-func (c *cloudClient) cloud() *Cloud { return c.e.n.w.Cloud }
+func (c *cloudClient) cloud() *Cloud { return c.env.node.world.Cloud }
 
 // call runs f at the cloud after 80 ms and delivers the answer by the function that f
 // returns. In an outage refused is called; without an answer in 5 s, unknown.
 func (c *cloudClient) call(f func() func(), refused, unknown func()) {
-	w := c.e.n.w
-	w.call(c.e.n.name, "cloud", 5*second, func(respond func(func())) {
+	w := c.env.node.world
+	w.call(c.env.node.name, "cloud", 5*second, func(respond func(func())) {
 		w.After(80*millisecond, func() {
 			if w.Cloud.Outage {
-				respond(c.e.whileRunning(refused))
+				respond(c.env.whileRunning(refused))
 				return
 			}
-			respond(c.e.whileRunning(f()))
+			respond(c.env.whileRunning(f()))
 		})
-	}, c.e.whileRunning(unknown))
+	}, c.env.whileRunning(unknown))
 }
 
 // Catalog returns the machine types.
@@ -142,13 +142,13 @@
 
 // Rent rents machines; the outcome is Failed if the cloud has none.
 func (c *cloudClient) Rent(r *wire.RentRequest, done func(store.Outcome, []string)) {
-	if c.e.n.core.FormatLevel() >= controller.LevelIntents {
+	if c.env.node.core.FormatLevel() >= controller.LevelIntents {
 		c.cloud().intentRequests[r.RequestID] = true
 	}
 	if delay := c.cloud().NextRentDelay; delay > 0 {
 		c.cloud().NextRentDelay = 0
-		c.e.n.w.After(delay, func() { c.cloud().rent(r) })
-		c.e.After(5*second, func() { done(store.Unknown, nil) })
+		c.env.node.world.After(delay, func() { c.cloud().rent(r) })
+		c.env.After(5*second, func() { done(store.Unknown, nil) })
 		return
 	}
 	c.call(func() func() {
@@ -164,10 +164,10 @@
 // a record, or the intent under which it was rented still exists.
 func (c *Cloud) checkRentedRecorded() {
 	for _, id := range sortedKeys(c.requestByMachine) {
-		if s := c.w.State; c.Machines[id] == nil || s.items["m/"+id] != nil || s.groupKeys[id] != "" {
+		if s := c.world.State; c.Machines[id] == nil || s.items["m/"+id] != nil || s.groupKeys[id] != "" {
 			delete(c.requestByMachine, id) // checked once: recorded or released
 		} else if s.items["i/"+c.requestByMachine[id]] == nil {
-			c.w.Rules.addViolation("unaccounted", "machine %s is in no record and the intent of its rental is gone", id)
+			c.world.Checker.addViolation("unaccounted", "machine %s is in no record and the intent of its rental is gone", id)
 			delete(c.requestByMachine, id)
 		}
 	}
@@ -176,17 +176,17 @@
 // Release releases machines to the cloud. It checks that controllers at LevelIntents or
 // above have recorded an intent first.
 func (c *cloudClient) Release(ids []string, done func(store.Outcome)) {
-	s, w := c.cloud().w.State, c.e.n.w
+	s, w := c.cloud().world.State, c.env.node.world
 	for _, id := range ids {
-		if c.e.n.core.FormatLevel() >= controller.LevelIntents && !s.hasReleaseIntent(id) {
-			w.Rules.addViolation("unintended", "machine %s is released without an intent record", id)
+		if c.env.node.core.FormatLevel() >= controller.LevelIntents && !s.hasReleaseIntent(id) {
+			w.Checker.addViolation("unintended", "machine %s is released without an intent record", id)
 		}
 	}
 	remove := func() {
 		for _, id := range ids {
-			if x := w.Cloud.Machines[id]; x != nil && (s.Leader() != c.e.n.name || c.e.n.incarnation != c.e.incarnation) {
+			if x := w.Cloud.Machines[id]; x != nil && (s.Leader() != c.env.node.name || c.env.node.incarnation != c.env.incarnation) {
 				for _, t := range x.tasks {
-					if j := w.Rules.jobs[t.job.ID]; t.state != wire.TaskExited && j.finalPhase == "" && !j.cancelRequested {
+					if j := w.Checker.jobs[t.job.ID]; t.state != wire.TaskExited && j.finalPhase == "" && !j.cancelRequested {
 						w.Cloud.StaleReleaseLosses++
 					}
 				}
@@ -200,7 +200,7 @@
 			w.Cloud.DelayedReleases++
 			remove()
 		})
-		c.e.After(5*second, func() { done(store.Unknown) })
+		c.env.After(5*second, func() { done(store.Unknown) })
 		return
 	}
 	c.call(func() func() {
@@ -219,11 +219,11 @@
 
 // list returns a page of the machine list as it was one ListLag (a setting) ago.
 func (c *Cloud) list(after string, limit int) *wire.MachineList {
-	lag := Micros(c.w.Config.Params.Cloud.ListLag * 1e6)
+	lag := Micros(c.world.Config.Params.Cloud.ListLag * 1e6)
 	l := &wire.MachineList{}
 	for _, id := range sortedKeys(c.Machines) {
 		x := c.Machines[id]
-		if id <= after || c.w.now-x.rentedAt < lag {
+		if id <= after || c.world.now-x.rentedAt < lag {
 			continue
 		}
 		if len(l.Machines) == limit {
@@ -234,8 +234,8 @@
 		if x.up {
 			state = wire.MachineRunning
 		}
-		l.Machines = append(l.Machines, wire.ListedMachine{ID: id, Addr: x.addr, Type: x.typ.Name, Zone: x.zone,
-			Spot: x.spot, State: state, AgeSeconds: (c.w.now - x.rentedAt - lag).Seconds()})
+		l.Machines = append(l.Machines, wire.ListedMachine{ID: id, Addr: x.addr, Type: x.machineType.Name, Zone: x.zone,
+			Spot: x.spot, State: state, AgeSeconds: (c.world.now - x.rentedAt - lag).Seconds()})
 	}
 	return l
 }
--- a/internal/sim/real_test.go
+++ b/internal/sim/real_test.go
@@ -91,7 +91,7 @@
 // ask sends a request to the controller that the attempt number selects and returns the
 // status, 0 without an answer. Half of the requests use a connection that was used before
 // and may be half open.
-func (d *deployment) ask(attempt int, method, path string, in any) (int, wire.JobStatus) {
+func (d *deployment) sendRequest(attempt int, method, path string, in any) (int, wire.JobStatus) {
 	var st wire.JobStatus
 	node := attempt % len(d.nodes)
 	c := d.keptClients[node]
@@ -109,14 +109,14 @@
 // 50 ms at the same addresses, with half-open connections of users, peers and workers. All
 // accepted jobs must be done, without a violation of the checker's rules.
 func TestRealProcesses(t *testing.T) {
-	playReal(t, func(*deployment, int) {})
+	runJobsDuringFaults(t, func(*deployment, int) {})
 }
 
 // TestRealFaults does the same as TestRealProcesses while messages to single machines are
 // lost for longer than a lease, copies of reports arrive seconds later at any controller,
 // and machines restart with a reset session counter.
 func TestRealFaults(t *testing.T) {
-	playReal(t, func(d *deployment, round int) {
+	runJobsDuringFaults(t, func(d *deployment, round int) {
 		d.simServer.WithWorld(func(w *World) {
 			ids := sortedKeys(w.Cloud.Machines)
 			if round == 1 {
@@ -140,21 +140,21 @@
 // TestRealRelaying does the same as TestRealProcesses while controllers relay the reports
 // of workers and the command batches to them.
 func TestRealRelaying(t *testing.T) {
-	playReal(t, func(d *deployment, _ int) {
+	runJobsDuringFaults(t, func(d *deployment, _ int) {
 		d.simServer.WithWorld(func(w *World) { w.ReportChanges = true })
 	}, "--policy", "../scale/testdata/relay.star")
 }
 
 // playReal runs jobs to their end while it kills controllers and calls injectFault, about
 // thirty times a second.
-func playReal(t *testing.T, injectFault func(d *deployment, round int), args ...string) {
+func runJobsDuringFaults(t *testing.T, injectFault func(d *deployment, round int), args ...string) {
 	d := deploy(t, args)
 	jobs := make([]*wire.Job, 40)
 	accepted, finished := map[string]bool{}, map[string]bool{}
 	for i := range jobs {
 		jobs[i] = &wire.Job{ID: fmt.Sprintf("req-%06d", 100+i), Class: "c", Team: "core", Kind: wire.KindArray, Priority: "normal",
 			Tasks: 4, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, Estimate: 0.6}
-		d.simServer.WithWorld(func(w *World) { w.Rules.AddJob(jobs[i]) })
+		d.simServer.WithWorld(func(w *World) { w.Checker.AddJob(jobs[i]) })
 	}
 	start, kills, round := time.Now(), 0, 0
 	for time.Since(start) < 60*time.Second && len(finished) < len(jobs) {
@@ -181,16 +181,16 @@
 				continue
 			}
 			var known knownFacts
-			d.simServer.WithWorld(func(w *World) { known = w.Rules.BeginRequest(j.ID) })
+			d.simServer.WithWorld(func(w *World) { known = w.Checker.BeginRequest(j.ID) })
 			if !accepted[j.ID] {
-				code, st := d.ask(round+i, "POST", "/v2/runs", j)
-				d.simServer.WithWorld(func(w *World) { w.Rules.CheckSubmitAnswer(j.ID, known, controller.Answer{Code: code, Status: st}) })
+				code, st := d.sendRequest(round+i, "POST", "/v2/runs", j)
+				d.simServer.WithWorld(func(w *World) { w.Checker.CheckSubmitAnswer(j.ID, known, controller.Answer{Code: code, Status: st}) })
 				accepted[j.ID] = code == 200 || code == 201
 				break
 			}
 			if (round+i)%4 == 0 {
-				code, st := d.ask(round+i, "GET", "/v2/runs/"+j.ID, nil)
-				d.simServer.WithWorld(func(w *World) { w.Rules.CheckStatusAnswer(j.ID, known, controller.Answer{Code: code, Status: st}) })
+				code, st := d.sendRequest(round+i, "GET", "/v2/runs/"+j.ID, nil)
+				d.simServer.WithWorld(func(w *World) { w.Checker.CheckStatusAnswer(j.ID, known, controller.Answer{Code: code, Status: st}) })
 				if st.Phase == wire.PhaseDone {
 					finished[j.ID] = true
 				}
@@ -199,10 +199,10 @@
 		time.Sleep(30 * time.Millisecond)
 	}
 	d.simServer.WithWorld(func(w *World) {
-		w.Rules.CheckOverdue(w.now)
-		w.Rules.CheckFinal()
-		if len(w.Rules.Violations) > 0 {
-			t.Errorf("checker reported violations: %v", w.Rules.Violations)
+		w.Checker.CheckOverdue(w.now)
+		w.Checker.CheckFinal()
+		if len(w.Checker.Violations) > 0 {
+			t.Errorf("checker reported violations: %v", w.Checker.Violations)
 		}
 		t.Logf("%d of %d jobs done after %v and %d kills; %d requests in the state service's busiest second",
 			len(finished), len(jobs), time.Since(start).Round(time.Second/10), kills, w.State.PeakRequests)
--- a/internal/sim/real_time_server.go
+++ b/internal/sim/real_time_server.go
@@ -25,7 +25,7 @@
 // BeginRequest, CheckSubmitAnswer, CheckStatusAnswer).
 type RealTimeServer struct {
 	mu          sync.Mutex // guards the simulated environment
-	w           *World
+	world       *World
 	start       time.Time
 	clients     map[string]*rpc.Client // connections to the controllers, for report copies
 	addrs       map[string]string      // addresses of the controllers
@@ -56,10 +56,10 @@
 // Serve starts to run an environment whose controllers take reports at the given addresses
 // by name. Close ends it.
 func Serve(w *World, nodes map[string]string) (*RealTimeServer, error) {
-	rt := &RealTimeServer{w: w, start: time.Now(), clients: map[string]*rpc.Client{}, addrs: nodes, connections: map[string]*workerConn{}, stop: make(chan struct{})}
+	rt := &RealTimeServer{world: w, start: time.Now(), clients: map[string]*rpc.Client{}, addrs: nodes, connections: map[string]*workerConn{}, stop: make(chan struct{})}
 	w.server, w.Nodes = rt, nil
 	for _, name := range sortedKeys(nodes) {
-		w.Nodes = append(w.Nodes, &Node{w: w, name: name})
+		w.Nodes = append(w.Nodes, &Node{world: w, name: name})
 		rt.clients[name] = rpc.New(nodes[name])
 	}
 	var err error
@@ -79,8 +79,8 @@
 func (rt *RealTimeServer) WithWorld(f func(w *World)) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	rt.w.Run(Micros(time.Since(rt.start).Microseconds()))
-	f(rt.w)
+	rt.world.Run(Micros(time.Since(rt.start).Microseconds()))
+	f(rt.world)
 }
 
 // run advances the environment every 2 ms until Close.
--- a/internal/sim/repeat_test.go
+++ b/internal/sim/repeat_test.go
@@ -22,7 +22,7 @@
 `
 	defaultLogger := slog.Default()
 	defer slog.SetDefault(defaultLogger)
-	play := func() string {
+	run := func() string {
 		var log bytes.Buffer
 		slog.SetDefault(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{
 			ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
@@ -31,17 +31,17 @@
 				}
 				return a
 			}})))
-		if err := Play(scenario); err != nil {
+		if err := RunScenario(scenario); err != nil {
 			t.Fatal(err)
 		}
 		return log.String()
 	}
-	first := play()
+	first := run()
 	if len(first) < 2000 {
 		t.Fatalf("the log has %d bytes, at least 2000 expected", len(first))
 	}
 	for i := range 5 {
-		if again := play(); again != first {
+		if again := run(); again != first {
 			t.Fatalf("run %d logged other events than the first run", i+2)
 		}
 	}
--- a/internal/sim/script.go
+++ b/internal/sim/script.go
@@ -18,7 +18,7 @@
 // read. An "expect" line without "at" is checked at the end of the run, which "run T" sets.
 // '#' begins a comment.
 type script struct {
-	w           *World
+	world       *World
 	endTime     Micros
 	checks      []func() error
 	currentLine int // number of the line that is being read or run
@@ -72,9 +72,9 @@
 // cutMode returns how a link is cut: Hold with the flag hold, otherwise Drop.
 func (a args) cutMode() Cut {
 	if a.hasFlag("hold") {
-		return Hold
+		return CutHold
 	}
-	return Drop
+	return CutDrop
 }
 
 // hasFlag reports whether flag is one of the words.
@@ -82,7 +82,7 @@
 
 // Play runs a scenario. It returns an error for an invalid line, a violated rule of the Checker
 // or a failed expectation.
-func Play(text string) (err error) {
+func RunScenario(text string) (err error) {
 	s := &script{endTime: 300 * second}
 	defer func() {
 		if r := recover(); r != nil {
@@ -93,7 +93,7 @@
 			panic(r)
 		}
 	}()
-	s.w = NewWorld(3, []string{"a", "b"}, 7)
+	s.world = NewWorld(3, []string{"a", "b"}, 7)
 	for index, line := range strings.Split(text, "\n") {
 		s.readLine(index+1, line)
 	}
@@ -128,7 +128,7 @@
 		action()
 	}
 	if at > 0 {
-		s.w.At(at, run)
+		s.world.At(at, run)
 	} else {
 		run()
 	}
@@ -137,27 +137,27 @@
 // run starts the controllers, runs the scenario that was read until its end, and checks the
 // rules and the expectations.
 func (s *script) run() error {
-	if len(s.w.Config.Params.Teams) == 0 {
+	if len(s.world.Config.Params.Teams) == 0 {
 		s.addTeam("core", 0, 0)
 	}
-	for _, node := range s.w.Nodes {
+	for _, node := range s.world.Nodes {
 		node.Start()
 	}
 	var checkPeriodically func()
 	checkPeriodically = func() {
-		s.w.Rules.CheckOverdue(s.w.now)
-		s.w.Cloud.checkRentedRecorded()
-		if s.w.now%(5*second) == 0 {
-			s.w.checkLeftWaiting()
+		s.world.Checker.CheckOverdue(s.world.now)
+		s.world.Cloud.checkRentedRecorded()
+		if s.world.now%(5*second) == 0 {
+			s.world.checkLeftWaiting()
 		}
-		s.w.After(second, checkPeriodically)
+		s.world.After(second, checkPeriodically)
 	}
 	checkPeriodically()
-	s.w.Run(s.endTime)
-	s.w.Rules.CheckFinal()
-	s.w.State.checkOrphanedKeys()
-	if len(s.w.Rules.Violations) > 0 {
-		return fmt.Errorf("rules broken: %s", strings.Join(s.w.Rules.Violations, "; "))
+	s.world.Run(s.endTime)
+	s.world.Checker.CheckFinal()
+	s.world.State.checkOrphanedKeys()
+	if len(s.world.Checker.Violations) > 0 {
+		return fmt.Errorf("rules broken: %s", strings.Join(s.world.Checker.Violations, "; "))
 	}
 	for _, check := range s.checks {
 		if err := check(); err != nil {
@@ -170,27 +170,27 @@
 // addTeam adds a team with its guaranteed and its greatest number of CPUs; limit 0 means no
 // limit.
 func (s *script) addTeam(name string, guarantee, limit float64) {
-	s.w.Config.Params.Teams = append(s.w.Config.Params.Teams, config.Team{Name: name, CPUs: guarantee, CPUsMax: limit})
-	s.w.Rules.TeamLimits[name] = limit
+	s.world.Config.Params.Teams = append(s.world.Config.Params.Teams, config.Team{Name: name, CPUs: guarantee, CPUsMax: limit})
+	s.world.Checker.TeamLimits[name] = limit
 }
 
 // node finds a controller by its name, or as the current leader, or as the first running
 // follower.
 func (s *script) node(name string) *Node {
 	if name == "leader" {
-		if leader := s.w.Leader(); leader != nil {
+		if leader := s.world.Leader(); leader != nil {
 			return leader
 		}
 		panic("there is no leader now")
 	}
 	if name == "follower" {
-		for _, n := range s.w.Nodes {
-			if n != s.w.Leader() && n.Up() {
+		for _, n := range s.world.Nodes {
+			if n != s.world.Leader() && n.Up() {
 				return n
 			}
 		}
 	}
-	if n := s.w.node(name); n != nil {
+	if n := s.world.node(name); n != nil {
 		return n
 	}
 	panic("no node " + name)
@@ -200,8 +200,8 @@
 // the job.
 func (s *script) worker(a args) *Worker {
 	if job := a.pairs["of"]; job != "" {
-		for _, id := range sortedKeys(s.w.Cloud.Machines) {
-			machine := s.w.Cloud.Machines[id]
+		for _, id := range sortedKeys(s.world.Cloud.Machines) {
+			machine := s.world.Cloud.Machines[id]
 			for _, task := range machine.tasks {
 				if strings.HasPrefix(task.task, job+"/") && task.state != wire.TaskExited {
 					return machine
@@ -210,7 +210,7 @@
 		}
 		panic("no machine runs " + job)
 	}
-	if machine := s.w.Cloud.Machines[a.pairs["machine"]]; machine != nil {
+	if machine := s.world.Cloud.Machines[a.pairs["machine"]]; machine != nil {
 		return machine
 	}
 	panic("no machine " + a.pairs["machine"])
@@ -223,11 +223,11 @@
 	case "state", "cloud", "users":
 		return []string{selector}
 	case "workers":
-		return sortedKeys(s.w.Cloud.Machines)
+		return sortedKeys(s.world.Cloud.Machines)
 	case "peers", "followers":
 		var names []string
-		for _, n := range s.w.Nodes {
-			if selector == "peers" || n != s.w.Leader() {
+		for _, n := range s.world.Nodes {
+			if selector == "peers" || n != s.world.Leader() {
 				names = append(names, n.name)
 			}
 		}
@@ -252,7 +252,7 @@
 	}
 	return func() {
 		action()
-		s.w.Rules.ExtendFaultWindow(s.w.now + Micros((a.number("for", 20)+a.number("by", 0)+a.number("in", 0))*1e6))
+		s.world.Checker.ExtendFaultWindow(s.world.now + Micros((a.number("for", 20)+a.number("by", 0)+a.number("in", 0))*1e6))
 	}
 }
 
@@ -335,7 +335,7 @@
 // machine, does not exist at that time.
 func (s *script) tryAt(at Micros, a args) {
 	action := s.compile(a.words[0], args{words: a.words[1:], pairs: a.pairs})
-	s.w.At(at, func() {
+	s.world.At(at, func() {
 		defer func() {
 			if r := recover(); r != nil {
 				if _, ok := r.(string); !ok {
@@ -351,11 +351,11 @@
 // awaits, cancelled.
 func (s *script) checkFinished(id string) func() error {
 	return func() error {
-		user := s.w.Users[id]
+		user := s.world.Users[id]
 		if user != nil && user.lastCode == 422 && user.job.DependsOn != nil {
 			return nil // refused, since a job that it awaits had not been accepted yet
 		}
-		if user == nil || user.LastPhase != wire.PhaseDone && (user.LastPhase != wire.PhaseCancelled || !s.w.Rules.cancelAllowed(s.w.Rules.jobs[id])) {
+		if user == nil || user.LastPhase != wire.PhaseDone && (user.LastPhase != wire.PhaseCancelled || !s.world.Checker.cancelAllowed(s.world.Checker.jobs[id])) {
 			return fmt.Errorf("job %s is neither done nor cancelled on request", id)
 		}
 		return nil
--- a/internal/sim/script_chaos.go
+++ b/internal/sim/script_chaos.go
@@ -17,8 +17,8 @@
 //     reports that are kept until the next election;
 //   - up to 14: controllers that freeze while their clocks run on.
 type chaosPlan struct {
-	s   *script
-	rng *rand.Rand
+	script *script
+	rng    *rand.Rand
 	// Jobs and faults are scheduled between from and to, at random intervals of every/2 to 3*every/2.
 	// Jobs await others from dependenciesFrom on.
 	from, to, every, dependenciesFrom Micros
@@ -50,7 +50,7 @@
 // scheduleLine schedules a line of a scenario. The line has no effect if the object that it needs
 // does not exist at that time.
 func (c *chaosPlan) scheduleLine(at Micros, format string, args ...any) {
-	c.s.tryAt(at, parseArgs(strings.Fields(fmt.Sprintf(format, args...))))
+	c.script.tryAt(at, parseArgs(strings.Fields(fmt.Sprintf(format, args...))))
 }
 
 // randomCutMode draws whether a cut holds messages back or drops them.
@@ -75,11 +75,11 @@
 		c.scheduleLine(c.to+60*second, "cancel %s", id)
 	case 1:
 		c.scheduleLine(at, "submit %s gang tasks=%d run=%d cpus=2 %s", id, min(c.jobScale, 20)*(2+c.rng.IntN(3)), 10+c.rng.IntN(20), awaits)
-		c.s.checks = append(c.s.checks, c.s.checkFinished(id))
+		c.script.checks = append(c.script.checks, c.script.checkFinished(id))
 	default:
 		c.scheduleLine(at, "submit %s array tasks=%d run=%d checkpoint=%d save=2 priority=low cpus=%d %s", id,
 			c.jobScale*(1+c.rng.IntN(8)), 5+c.rng.IntN(40), c.rng.IntN(2)*8, 1+c.rng.IntN(3), awaits)
-		c.s.checks = append(c.s.checks, c.s.checkFinished(id))
+		c.script.checks = append(c.script.checks, c.script.checkFinished(id))
 	}
 	if c.rng.IntN(6) == 0 || c.pairedFaults && c.rng.IntN(4) == 0 {
 		c.scheduleLine(at+Micros(c.rng.IntN(30))*second, "cancel %s", id)
--- a/internal/sim/script_expect.go
+++ b/internal/sim/script_expect.go
@@ -38,7 +38,7 @@
 // expectation returns the action of an "expect" line. At time 0 the action adds the check to those
 // at the end of the run; later, after "at", it checks at once and keeps an error for the end.
 func (s *script) expectation(a args) func() {
-	w := s.w
+	w := s.world
 	evaluate := expectations[a.word(0)]
 	if evaluate == nil {
 		evaluate = (*script).expectJob
@@ -57,7 +57,7 @@
 
 // expectMachines checks that the number of machines is between min and max.
 func (s *script) expectMachines(a args) error {
-	w := s.w
+	w := s.world
 	if count := len(w.Cloud.Machines); count > int(a.number("max", 1e9)) || count < int(a.number("min", 0)) {
 		return fmt.Errorf("at %v s: %d machines, outside the expected range", w.now.Seconds(), count)
 	}
@@ -66,7 +66,7 @@
 
 // expectOver checks that one job, or all of them, are done or cancelled; see checkFinished.
 func (s *script) expectOver(a args) error {
-	w := s.w
+	w := s.world
 	if a.word(1) != "all" {
 		return s.checkFinished(a.word(1))()
 	}
@@ -81,12 +81,12 @@
 // expectAccepted checks that the jobs of all users are accepted, that each took at most "within"
 // seconds, and that the number of 429 answers is between min-refused and refused.
 func (s *script) expectAccepted(a args) error {
-	w := s.w
+	w := s.world
 	longestWait, refusals := Micros(0), 0
 	for _, id := range sortedKeys(w.Users) {
 		if user := w.Users[id]; !user.accepted {
 			return fmt.Errorf("at %v s: job %s is not accepted; the last answer has status %d", w.now.Seconds(), id, user.lastCode)
-		} else if wait := w.Rules.jobs[id].acceptedAt - user.firstAttempt; wait > longestWait {
+		} else if wait := w.Checker.jobs[id].acceptedAt - user.firstAttempt; wait > longestWait {
 			longestWait = wait
 		}
 		refusals += w.Users[id].refusals
@@ -99,7 +99,7 @@
 
 // expectOverload checks that the leader considers the cluster overloaded.
 func (s *script) expectOverload(a args) error {
-	w := s.w
+	w := s.world
 	if leader := w.Leader(); leader == nil || !leader.Up() || !leader.core.Admission().Overloaded {
 		return fmt.Errorf("at %v s: no leader that reports overload", w.now.Seconds())
 	}
@@ -108,7 +108,7 @@
 
 // expectKnownRefused checks that no repeated submission of an accepted job was refused with 429.
 func (s *script) expectKnownRefused(a args) error {
-	w := s.w
+	w := s.world
 	if w.AcceptedJobRefusals > 0 {
 		return fmt.Errorf("at %v s: %d submissions of accepted jobs were refused", w.now.Seconds(), w.AcceptedJobRefusals)
 	}
@@ -118,7 +118,7 @@
 // expectAnswers checks the 99th percentile of the latency of all answers to submissions, of
 // whatever status, against the limit p99 in seconds.
 func (s *script) expectAnswers(a args) error {
-	w := s.w
+	w := s.world
 	latencies := slices.Sorted(slices.Values(w.SubmitLatencies))
 	if p99 := latencies[len(latencies)*99/100]; p99.Seconds() > a.number("p99", 0.2) {
 		return fmt.Errorf("at %v s: the 99th percentile of the latency of %d submissions is %v s, above the limit", w.now.Seconds(), len(latencies), p99.Seconds())
@@ -129,7 +129,7 @@
 // expectValue checks that the size in bytes of the largest value sent to the state service is
 // between min and max.
 func (s *script) expectValue(a args) error {
-	w := s.w
+	w := s.world
 	if w.State.LargestValue > int(a.number("max", 1e9)) || w.State.LargestValue < int(a.number("min", 0)) {
 		return fmt.Errorf("at %v s: the largest value has %d bytes, outside the expected range", w.now.Seconds(), w.State.LargestValue)
 	}
@@ -139,7 +139,7 @@
 // expectRequests checks that the number of requests to the state service in its busiest second is
 // between min and max.
 func (s *script) expectRequests(a args) error {
-	w := s.w
+	w := s.world
 	if w.State.PeakRequests > int(a.number("max", 0)) || w.State.PeakRequests < int(a.number("min", 0)) {
 		return fmt.Errorf("at %v s: %d requests to the state service in its busiest second, outside the expected range", w.now.Seconds(), w.State.PeakRequests)
 	}
@@ -148,7 +148,7 @@
 
 // expectTerm checks that the term of the latest election is between min and max.
 func (s *script) expectTerm(a args) error {
-	w := s.w
+	w := s.world
 	if term := w.State.term(); term < int(a.number("min", 0)) || term > int(a.number("max", 1e9)) {
 		return fmt.Errorf("at %v s: the term is %d, outside the expected range", w.now.Seconds(), term)
 	}
@@ -158,10 +158,10 @@
 // expectRelayed checks that the number of reports that relaying controllers forwarded, or with the
 // flag "orders" of command batches, is between min and max.
 func (s *script) expectRelayed(a args) error {
-	w := s.w
+	w := s.world
 	relayed := w.RelayedReports
 	if a.hasFlag("orders") {
-		relayed = w.RelayedOrders
+		relayed = w.RelayedCommandBatches
 	}
 	if relayed < int(a.number("min", 0)) || relayed > int(a.number("max", 1e9)) {
 		return fmt.Errorf("at %v s: %d messages relayed, outside the expected range", w.now.Seconds(), relayed)
@@ -172,7 +172,7 @@
 // expectCarried checks that the number of workers that a controller relays for, according to the
 // leader, is between min and max.
 func (s *script) expectCarried(a args) error {
-	w := s.w
+	w := s.world
 	workers := w.Leader().core.Relays().WorkersPerRelay[a.word(1)]
 	if workers < int(a.number("min", 0)) || workers > int(a.number("max", 1e9)) {
 		return fmt.Errorf("at %v s: %s relays for %d workers, outside the expected range", w.now.Seconds(), a.word(1), workers)
@@ -182,7 +182,7 @@
 
 // expectLeasesLost checks that at most max leases expired on workers that held tasks.
 func (s *script) expectLeasesLost(a args) error {
-	w := s.w
+	w := s.world
 	if w.LeasesLost > int(a.number("max", 0)) {
 		return fmt.Errorf("at %v s: %d leases expired on workers with tasks, above the limit", w.now.Seconds(), w.LeasesLost)
 	}
@@ -191,7 +191,7 @@
 
 // expectLooks checks that at least min probes were answered; see prober.
 func (s *script) expectLooks(a args) error {
-	w := s.w
+	w := s.world
 	if w.ProbeAnswers < int(a.number("min", 1)) {
 		return fmt.Errorf("at %v s: only %d probes were answered", w.now.Seconds(), w.ProbeAnswers)
 	}
@@ -201,7 +201,7 @@
 // expectKeptCopies checks that at least min copies of reports were delivered after an election; see
 // reportCopier.
 func (s *script) expectKeptCopies(a args) error {
-	w := s.w
+	w := s.world
 	if w.CopiesDelivered < int(a.number("min", 1)) {
 		return fmt.Errorf("at %v s: only %d copies of reports were delivered after an election", w.now.Seconds(), w.CopiesDelivered)
 	}
@@ -210,7 +210,7 @@
 
 // expectLateTxns checks that at least min transactions were applied late and without an answer.
 func (s *script) expectLateTxns(a args) error {
-	w := s.w
+	w := s.world
 	if w.State.DelayedTxns < int(a.number("min", 1)) {
 		return fmt.Errorf("at %v s: only %d transactions were applied late", w.now.Seconds(), w.State.DelayedTxns)
 	}
@@ -220,9 +220,9 @@
 // expectStarts checks that the number of task starts since the beginning of the run is between min
 // and max.
 func (s *script) expectStarts(a args) error {
-	w := s.w
-	if starts := w.Rules.taskStarts; starts > int(a.number("max", 1e9)) || starts < int(a.number("min", 0)) {
-		return fmt.Errorf("at %v s: %d tasks were started, outside the expected range", w.now.Seconds(), w.Rules.taskStarts)
+	w := s.world
+	if starts := w.Checker.taskStarts; starts > int(a.number("max", 1e9)) || starts < int(a.number("min", 0)) {
+		return fmt.Errorf("at %v s: %d tasks were started, outside the expected range", w.now.Seconds(), w.Checker.taskStarts)
 	}
 	return nil
 }
@@ -230,7 +230,7 @@
 // expectStaleLost checks that at most max tasks were lost with machines whose release was executed
 // after its caller had lost the lead or been restarted.
 func (s *script) expectStaleLost(a args) error {
-	w := s.w
+	w := s.world
 	if lost := w.Cloud.StaleReleaseLosses; lost > int(a.number("max", 0)) {
 		return fmt.Errorf("at %v s: %d tasks were lost with releases by former leaders, above the limit", w.now.Seconds(), lost)
 	}
@@ -239,7 +239,7 @@
 
 // expectLateReturns checks that at least min delayed releases of machines were executed.
 func (s *script) expectLateReturns(a args) error {
-	w := s.w
+	w := s.world
 	if w.Cloud.DelayedReleases < int(a.number("min", 1)) {
 		return fmt.Errorf("at %v s: only %d delayed releases were executed", w.now.Seconds(), w.Cloud.DelayedReleases)
 	}
@@ -249,7 +249,7 @@
 // expectRented checks that the number of machines rented since the beginning of the run is between
 // min and max.
 func (s *script) expectRented(a args) error {
-	w := s.w
+	w := s.world
 	if rented := w.Cloud.rentedCount; rented > int(a.number("max", 1e9)) || rented < int(a.number("min", 0)) {
 		return fmt.Errorf("at %v s: %d machines were rented, outside the expected range", w.now.Seconds(), rented)
 	}
@@ -258,7 +258,7 @@
 
 // expectIntents checks that at most max intents are recorded in the state service.
 func (s *script) expectIntents(a args) error {
-	w := s.w
+	w := s.world
 	intents := 0
 	for key := range w.State.items {
 		if strings.HasPrefix(key, "i/") {
@@ -274,7 +274,7 @@
 // expectRefusedTxns checks that the number of transactions that the state service refused is
 // between min and max.
 func (s *script) expectRefusedTxns(a args) error {
-	w := s.w
+	w := s.world
 	if w.State.RefusedTxns > int(a.number("max", 0)) || w.State.RefusedTxns < int(a.number("min", 0)) {
 		return fmt.Errorf("at %v s: %d transactions were refused, outside the expected range", w.now.Seconds(), w.State.RefusedTxns)
 	}
@@ -284,9 +284,9 @@
 // expectRunning checks that at least min tasks of a job are on machines or, without min, exactly
 // "tasks" of them.
 func (s *script) expectRunning(a args) error {
-	w := s.w
+	w := s.world
 	placed := 0
-	for task, machines := range w.Rules.machinesByTask {
+	for task, machines := range w.Checker.machinesByTask {
 		if strings.HasPrefix(task, a.word(1)+"/") {
 			placed += len(machines)
 		}
@@ -300,7 +300,7 @@
 // expectJob checks the last phase of a job that its user received, or that its submission was
 // refused (422) or malformed (400).
 func (s *script) expectJob(a args) error {
-	w := s.w
+	w := s.world
 	user := w.Users[a.word(0)]
 	if user == nil {
 		return fmt.Errorf("job %s was never submitted", a.word(0))
--- a/internal/sim/script_machines.go
+++ b/internal/sim/script_machines.go
@@ -6,13 +6,13 @@
 
 // doNoBoot makes the next machines that are rented never finish booting.
 func (s *script) doNoBoot(a args) func() {
-	w := s.w
+	w := s.world
 	return func() { w.Cloud.BootFailures = int(a.number("count", 1)) }
 }
 
 // doHang suspends a machine for some time.
 func (s *script) doHang(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		machine := s.worker(a)
 		machine.Hang(true)
@@ -42,14 +42,14 @@
 
 // doTake makes the cloud reclaim a machine without a notice.
 func (s *script) doTake(a args) func() {
-	w := s.w
+	w := s.world
 	return func() { w.Cloud.remove(s.worker(a).id) }
 }
 
 // doWave injects one kind of fault into a random share of the machines at once: hang, cut, deaf
 // (inbound traffic lost), mute (outbound traffic lost), reborn, sick or taken.
 func (s *script) doWave(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		rng := rand.New(rand.NewPCG(uint64(w.now), 3))
 		for _, id := range sortedKeys(w.Cloud.Machines) {
--- a/internal/sim/script_network.go
+++ b/internal/sim/script_network.go
@@ -6,7 +6,7 @@
 
 // doCut cuts the links between the first host or group of hosts and the others.
 func (s *script) doCut(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		mode := a.cutMode()
 		var to []string
@@ -27,7 +27,7 @@
 
 // doZoneCut cuts the machines of a zone and one controller in it off from all other hosts.
 func (s *script) doZoneCut(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		mode := a.cutMode()
 		inside, outside := []string{s.node(a.word(1)).name}, []string{"state", "cloud", "users"}
@@ -53,7 +53,7 @@
 
 // doSlowLinks delays all messages.
 func (s *script) doSlowLinks(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		w.LinkDelay = a.duration("by", 0.3)
 		w.After(a.duration("for", 20), func() { w.LinkDelay = 0 })
@@ -62,7 +62,7 @@
 
 // doIsolate cuts one machine off from all controllers.
 func (s *script) doIsolate(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		mode := a.cutMode()
 		machine := s.worker(a)
@@ -75,19 +75,19 @@
 // doApart cuts the links between a controller and a share of the machines; messages are held until
 // the end of the cut.
 func (s *script) doApart(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		name := s.node(a.word(0)).name
 		ids := sortedKeys(w.Cloud.Machines)
 		for _, id := range ids[:int(a.number("share", 0.5)*float64(len(ids)))] {
-			w.cutFor(name, id, Hold, a.duration("for", 20))
+			w.cutFor(name, id, CutHold, a.duration("for", 20))
 		}
 	}
 }
 
 // doSlowReports delays the reports of all workers.
 func (s *script) doSlowReports(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		w.ReportDelay = a.duration("by", 2)
 		w.After(a.duration("for", 2), func() { w.ReportDelay = 0 })
@@ -96,7 +96,7 @@
 
 // doDeaf loses the inbound traffic of a machine; what the machine sends arrives.
 func (s *script) doDeaf(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		w.addHostFor(w.inboundLost, s.worker(a).id, a.duration("for", 20))
 	}
@@ -105,7 +105,7 @@
 // doMute loses the outbound traffic of a machine: its reports reach no controller, while command
 // batches reach it.
 func (s *script) doMute(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		w.addHostFor(w.outboundLost, s.worker(a).id, a.duration("for", 20))
 	}
@@ -114,7 +114,7 @@
 // doCopies delivers a share of the reports a second time: later at a random controller or, with
 // the flag "for-next", at all controllers after the next election.
 func (s *script) doCopies(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		copier := &reportCopier{share: a.number("share", 0.5), delay: a.duration("by", 20), rng: rand.New(rand.NewPCG(uint64(w.now), 4)), untilElection: a.hasFlag("for-next")}
 		w.reportCopier = copier
--- a/internal/sim/script_nodes.go
+++ b/internal/sim/script_nodes.go
@@ -11,7 +11,7 @@
 
 // doSlow delays the answers of the state service.
 func (s *script) doSlow(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		w.State.AnswerDelay = a.duration("by", 0.2)
 		w.After(a.duration("for", 20), func() { w.State.AnswerDelay = 0 })
@@ -20,7 +20,7 @@
 
 // doKill kills one controller process or all of them, and starts them again later.
 func (s *script) doKill(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		var nodes []*Node
 		if a.word(0) == "all" {
@@ -42,17 +42,17 @@
 
 // doTwin starts another controller process, on its own machine, under the name of an existing one.
 func (s *script) doTwin(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		name := s.node(a.word(0)).name
-		w.Nodes = append(w.Nodes, &Node{w: w, name: name + "-twin", duplicateOf: name})
+		w.Nodes = append(w.Nodes, &Node{world: w, name: name + "-twin", duplicateOf: name})
 		w.Nodes[len(w.Nodes)-1].Start()
 	}
 }
 
 // doThrottle lowers the write rate of the state service below the limit in the settings.
 func (s *script) doThrottle(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		w.State.WriteRateOverride = a.number("rate", 5)
 		w.After(a.duration("for", 20), func() { w.State.WriteRateOverride = 0 })
@@ -61,7 +61,7 @@
 
 // doUpgrade kills a controller of the old version and starts it again with the new version.
 func (s *script) doUpgrade(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		for _, node := range w.Nodes {
 			if node.oldVersion && (a.word(0) == node.name || a.word(0) == "next") {
@@ -76,7 +76,7 @@
 
 // doRefuse makes the state service refuse all requests of one controller.
 func (s *script) doRefuse(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		name := s.node(a.word(0)).name
 		w.State.RefusedNodes[name] = true
@@ -86,7 +86,7 @@
 
 // doOutage makes the state service or the cloud unavailable.
 func (s *script) doOutage(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		switch a.word(0) {
 		case "state":
@@ -102,7 +102,7 @@
 // doLateTxn makes the next transaction of a controller be applied late and without an answer. With
 // "keys", this is the next one that writes a key with that prefix.
 func (s *script) doLateTxn(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		w.State.NextTxnDelay[s.node(a.word(0)).name] = a.duration("by", 10)
 		w.State.DelayedKeyPrefix = a.pairs["keys"]
@@ -112,7 +112,7 @@
 // doLateWrites makes a share of the transactions of all controllers be applied late and without an
 // answer; see delayedWrites.
 func (s *script) doLateWrites(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		w.State.WriteDelays = &delayedWrites{a.number("share", 0.3), rand.New(rand.NewPCG(uint64(w.now), 5)), a.hasFlag("at-once")}
 		w.After(a.duration("for", 20), func() { w.State.WriteDelays = nil })
@@ -121,24 +121,24 @@
 
 // doLostAnswer loses the answer to the next transaction of a controller.
 func (s *script) doLostAnswer(a args) func() {
-	w := s.w
+	w := s.world
 	return func() { w.State.LoseNextAnswer[s.node(a.word(0)).name] = true }
 }
 
 // doLateOrder makes the next command batch be executed late.
 func (s *script) doLateOrder(a args) func() {
-	w := s.w
-	return func() { w.NextOrderDelay = a.duration("by", 10) }
+	w := s.world
+	return func() { w.NextCommandBatchDelay = a.duration("by", 10) }
 }
 
 // doLateReturn makes the next release of machines be executed late.
 func (s *script) doLateReturn(a args) func() {
-	w := s.w
+	w := s.world
 	return func() { w.Cloud.NextReleaseDelay = a.duration("by", 20) }
 }
 
 // doLateRent makes the next rental be executed late.
 func (s *script) doLateRent(a args) func() {
-	w := s.w
+	w := s.world
 	return func() { w.Cloud.NextRentDelay = a.duration("by", 20) }
 }
--- a/internal/sim/script_setup.go
+++ b/internal/sim/script_setup.go
@@ -30,7 +30,7 @@
 
 // doType adds a machine type to the cloud's catalog.
 func (s *script) doType(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		zones := []string{"a"}
 		if list := a.pairs["zones"]; list != "" {
@@ -45,13 +45,13 @@
 // doCapacity limits the number of machines of a kind (TYPE/ZONE or TYPE/ZONE/spot) that the cloud
 // still has.
 func (s *script) doCapacity(a args) func() {
-	w := s.w
+	w := s.world
 	return func() { w.Cloud.Capacity[a.word(0)] = int(a.number("count", 0)) }
 }
 
 // doAdmission enables admission control, with the pairs as further settings of the policy.
 func (s *script) doAdmission(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		program := "admission = True\n"
 		for _, key := range sortedKeys(a.pairs) {
@@ -68,7 +68,7 @@
 // doRelay enables relaying: controllers that do not lead hold workers' connections for the leader,
 // once it has at least as many workers as the key "workers" says.
 func (s *script) doRelay(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		withRelay := *w.policy
 		withRelay.Relay = policy.Relay{Enabled: true, MinWorkers: int(a.number("workers", 1))}
@@ -78,34 +78,34 @@
 
 // doReportChanges makes workers report changes at once; see World.ReportChanges.
 func (s *script) doReportChanges(a args) func() {
-	w := s.w
+	w := s.world
 	return func() { w.ReportChanges = true }
 }
 
 // doObjective adds an objective for a class of jobs, with its time window in seconds.
 func (s *script) doObjective(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		w.Config.Params.Objectives = append(w.Config.Params.Objectives, config.Objective{Kind: a.word(0), Class: a.word(1), Within: a.number("within", 60)})
-		w.Rules.LongestObjective[a.word(1)] = max(w.Rules.LongestObjective[a.word(1)], a.duration("within", 60))
+		w.Checker.LongestObjective[a.word(1)] = max(w.Checker.LongestObjective[a.word(1)], a.duration("within", 60))
 	}
 }
 
 // doFair makes the starvation of a class or team a rule violation.
 func (s *script) doFair(a args) func() {
-	w := s.w
-	return func() { w.Rules.CheckStarvation = true }
+	w := s.world
+	return func() { w.Checker.CheckStarvation = true }
 }
 
 // doImpatient makes users retry after a fixed time instead of the Retry-After of the answer.
 func (s *script) doImpatient(a args) func() {
-	w := s.w
+	w := s.world
 	return func() { w.RetryInterval = a.duration("after", 0.2) }
 }
 
 // doRepeat schedules a verb several times at a fixed interval; see tryAt.
 func (s *script) doRepeat(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		at, repeated := w.now, args{words: a.words, pairs: maps.Clone(a.pairs)}
 		delete(repeated.pairs, "count")
@@ -118,7 +118,7 @@
 
 // doSettings announces the next limits of the state service in the settings.
 func (s *script) doSettings(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		next := fmt.Sprintf(`{"next":{"value_kb":%v,"txn_ops":%v,"write_rps":%v}}`, a.number("value", 2), a.number("ops", 8), a.number("rate", 42))
 		if err := json.Unmarshal([]byte(next), &w.Config.Params.State); err != nil {
@@ -129,13 +129,13 @@
 
 // doLimits makes the state service enforce the next limits.
 func (s *script) doLimits(a args) func() {
-	w := s.w
+	w := s.world
 	return func() { w.State.NextLimitsInForce = true }
 }
 
 // doWorkers sets the workers' report interval, lease duration and cancel timeout, in seconds.
 func (s *script) doWorkers(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		params := &w.Config.Params.Workers
 		params.Report, params.Lease, params.Cancel = a.number("report", 1), a.number("lease", 10), a.number("cancel", params.Cancel)
@@ -144,13 +144,13 @@
 
 // doStrict enables the check of cancellation cascades; see World.CheckCancelCascade.
 func (s *script) doStrict(a args) func() {
-	w := s.w
+	w := s.world
 	return func() { w.CheckCancelCascade = true }
 }
 
 // doOld makes controllers start with the version in production.
 func (s *script) doOld(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		for _, word := range a.words {
 			if word == "all" {
@@ -167,7 +167,7 @@
 // doChaos schedules random jobs and faults; see chaosPlan.
 func (s *script) doChaos(a args) func() {
 	return func() {
-		plan := chaosPlan{s: s, from: a.duration("from", 20), to: a.duration("to", 200), every: a.duration("every", 8), dependenciesFrom: a.duration("pipelines", 1e9),
+		plan := chaosPlan{script: s, from: a.duration("from", 20), to: a.duration("to", 200), every: a.duration("every", 8), dependenciesFrom: a.duration("pipelines", 1e9),
 			jobScale: int(a.number("size", 1)), extraFaults: int(a.number("more", 0)), pairedFaults: a.hasFlag("pairs")}
 		plan.schedule(uint64(a.number("seed", 1)))
 	}
--- a/internal/sim/script_users.go
+++ b/internal/sim/script_users.go
@@ -14,7 +14,7 @@
 
 // doSubmit makes a user submit a job.
 func (s *script) doSubmit(a args) func() {
-	w := s.w
+	w := s.world
 	job := s.parseJob(a)
 	w.failingJobs[job.ID] = a.hasFlag("broken") // its tasks fail on every machine
 	return func() {
@@ -29,7 +29,7 @@
 
 // doMany submits small array jobs with the IDs from req-100000 on.
 func (s *script) doMany(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		for i := range int(a.number("count", 10)) {
 			w.At(second, s.compile("submit", parseArgs([]string{manyJobID(i), "array", "cpus=1", "run=" + a.pairs["run"]})))
@@ -40,7 +40,7 @@
 // doBurst submits "count" jobs of the same form, with consecutive IDs from the given one on, evenly
 // over "over" seconds.
 func (s *script) doBurst(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		id, count := a.word(0), int(a.number("count", 10))
 		first, err := strconv.Atoi(strings.TrimPrefix(id, "req-"))
@@ -64,7 +64,7 @@
 // doResubmit repeats submissions: unchanged, with tasks that fit on no machine ("other"), with only
 // one task ("less"), or without a required field ("malformed").
 func (s *script) doResubmit(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		first, _ := strconv.Atoi(strings.TrimPrefix(a.word(0), "req-")) // the submission has checked the ID
 		for i := range int(a.number("count", 1)) {
@@ -90,11 +90,11 @@
 // doPoll makes a user query the state of a job, at the controller "at", even if it is not ready, or
 // at one that the load balancer chooses.
 func (s *script) doPoll(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		user := w.Users[a.word(0)]
 		if user == nil {
-			user = &User{w: w, job: &wire.Job{ID: a.word(0)}}
+			user = &User{world: w, job: &wire.Job{ID: a.word(0)}}
 		}
 		user.connectedNode = a.pairs["at"]
 		user.Poll(nil)
@@ -104,7 +104,7 @@
 
 // doCancel makes a user cancel a job.
 func (s *script) doCancel(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		if w.Users[a.word(0)] == nil {
 			panic("cancel: nobody submitted " + a.word(0))
@@ -115,7 +115,7 @@
 
 // doCloseLooks makes users send bursts of requests at each event of a job; see prober.
 func (s *script) doCloseLooks(a args) func() {
-	w := s.w
+	w := s.world
 	return func() {
 		w.prober = &prober{a.number("cancels", 0), rand.New(rand.NewPCG(uint64(w.now), 6))}
 		w.After(a.duration("for", 1e6), func() { w.prober = nil })
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := Play(string(text)); err != nil {
+			if err := RunScenario(string(text)); err != nil {
 				t.Error(err)
 			}
 		})
@@ -48,7 +48,7 @@
 		if strings.Contains(string(text), "close-looks") {
 			continue
 		}
-		if err := Play("close-looks cancels=0.2\nexpect looks min=100\n" + string(text)); err != nil {
+		if err := RunScenario("close-looks cancels=0.2\nexpect looks min=100\n" + string(text)); err != nil {
 			t.Errorf("%s: %v", f, err)
 		}
 	}
@@ -72,7 +72,7 @@
 		"submit req-000001 choir":  "kind or priority of req-000001",
 		"run long":                 "run: long",
 	} {
-		err := Play("type t cpus=8 boot=10\n\n" + line + "\nrun 5\n")
+		err := RunScenario("type t cpus=8 boot=10\n\n" + line + "\nrun 5\n")
 		if err == nil || !strings.HasPrefix(err.Error(), "line 3: ") || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", line, err)
 		}
@@ -249,17 +249,17 @@
 		}
 		job := c.job
 		job.ID, job.Team = "req-000001", "core"
-		w.Rules.TeamLimits["core"] = c.limit
-		w.Rules.AddJob(&job)
-		w.Rules.jobs[job.ID].accepted = true
-		w.Rules.ExtendFaultWindow(50 * second)
+		w.Checker.TeamLimits["core"] = c.limit
+		w.Checker.AddJob(&job)
+		w.Checker.jobs[job.ID].accepted = true
+		w.Checker.ExtendFaultWindow(50 * second)
 		for w.now = 5 * second; w.now <= 145*second; w.now += 5 * second {
 			w.checkLeftWaiting()
-			if w.now == 140*second && len(w.Rules.Violations) > 0 {
-				t.Errorf("%s: reported too soon: %v", name, w.Rules.Violations)
+			if w.now == 140*second && len(w.Checker.Violations) > 0 {
+				t.Errorf("%s: reported too soon: %v", name, w.Checker.Violations)
 			}
 		}
-		if got := len(w.Rules.Violations) > 0; got != c.wantViolation {
+		if got := len(w.Checker.Violations) > 0; got != c.wantViolation {
 			t.Errorf("%s: reported as left waiting: %v, want %v", name, got, c.wantViolation)
 		}
 	}
@@ -273,7 +273,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Play(strings.Replace(string(text), "serve=0.4", "serve=0.4 begin_s=0", 1)); err == nil || !strings.Contains(err.Error(), "late: ") {
+	if err := RunScenario(strings.Replace(string(text), "serve=0.4", "serve=0.4 begin_s=0", 1)); err == nil || !strings.Contains(err.Error(), "late: ") {
 		t.Error(err)
 	}
 }
@@ -291,7 +291,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := Play(strings.Replace(string(text), "\nadmission ", "\n# admission ", 1)); err == nil || !strings.Contains(err.Error(), "starved") {
+		if err := RunScenario(strings.Replace(string(text), "\nadmission ", "\n# admission ", 1)); err == nil || !strings.Contains(err.Error(), "starved") {
 			t.Errorf("%s: expected a violation of starved, got %v", f, err)
 		}
 	}
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -17,7 +17,7 @@
 // State simulates the state service: versioned keys, transactions, leases and watches,
 // with the request limits of the settings and injected faults.
 type State struct {
-	w                *World
+	world            *World
 	revision         uint64 // version of the latest transaction
 	items            map[string]*wire.Item
 	groupKeys        map[string]string // machine -> key of the group record ("g/") that names it
@@ -61,7 +61,7 @@
 
 // newState returns an empty state service that checks its leases every 50 ms.
 func newState(w *World) *State {
-	s := &State{w: w, items: map[string]*wire.Item{}, groupKeys: map[string]string{}, leases: map[uint64]*lease{},
+	s := &State{world: w, items: map[string]*wire.Item{}, groupKeys: map[string]string{}, leases: map[uint64]*lease{},
 		RefusedNodes: map[string]bool{}, NextTxnDelay: map[string]Micros{}, LoseNextAnswer: map[string]bool{}, tokens: 1e9}
 	var expire func()
 	expire = func() {
@@ -108,7 +108,7 @@
 	s.Outage = on
 	if !on {
 		for _, l := range s.leases {
-			l.expiresAt = s.w.now + l.ttl
+			l.expiresAt = s.world.now + l.ttl
 		}
 		s.notify()
 	}
@@ -169,7 +169,7 @@
 		s.updateGroupKeys(c.PutKey, c.Value)
 		s.checkMachinesRecorded(c)
 		if c.PutKey == lead.TermKey {
-			s.w.onElection()
+			s.world.onElection()
 		}
 		s.items[c.PutKey] = &wire.Item{Key: c.PutKey, Value: c.Value, Version: s.revision, Lease: c.Lease}
 		s.eventLog = append(s.eventLog, wire.Event{PutKey: c.PutKey, Value: c.Value, Version: s.revision})
@@ -211,7 +211,7 @@
 	if strings.HasPrefix(c.PutKey, "t/") && msgpack.Unmarshal(c.Value, &rec) == nil {
 		for _, id := range rec.Machines {
 			if s.items["m/"+id] == nil && s.groupKeys[id] == "" {
-				s.w.Rules.addViolation("unrecorded", "record %s places tasks on machine %s, which has no record", c.PutKey, id)
+				s.world.Checker.addViolation("unrecorded", "record %s places tasks on machine %s, which has no record", c.PutKey, id)
 			}
 		}
 	}
@@ -239,10 +239,10 @@
 		switch {
 		case kind == "j" && hasSubkey, kind == "t":
 			if s.items["j/"+id] == nil {
-				s.w.Rules.addViolation("left_behind", "record %s exists without its job", key)
+				s.world.Checker.addViolation("left_behind", "record %s exists without its job", key)
 			}
 		case kind == "g" && !slices.Contains(slices.Collect(maps.Values(s.groupKeys)), key):
-			s.w.Rules.addViolation("left_behind", "group record %s names no machine", key)
+			s.world.Checker.addViolation("left_behind", "group record %s names no machine", key)
 		}
 	}
 }
@@ -290,7 +290,7 @@
 	entry := &watch{prefix: prefix, since: since}
 	entry.fire = func() { answer(&wire.WatchAnswer{Revision: s.revision, Events: s.eventsSince(prefix, since)}) }
 	s.watches = append(s.watches, entry)
-	s.w.After(hold, func() {
+	s.world.After(hold, func() {
 		if !entry.answered && !s.Outage {
 			entry.answered = true
 			entry.fire()
@@ -342,7 +342,7 @@
 // checkLimits checks a transaction against the limits of the settings, or against the
 // lower of these and the announced limits once NextLimitsInForce is set.
 func (s *State) checkLimits(t *wire.Txn) store.Outcome {
-	limits := s.w.Config.Params.State
+	limits := s.world.Config.Params.State
 	if s.NextLimitsInForce {
 		limits = limits.Lowest()
 	}
@@ -356,8 +356,8 @@
 			invalid = invalid || wire.JSONSize(c.Value) > limits.ValueBytes()
 		}
 	}
-	s.tokens = min(limits.WriteRPS, s.tokens+(s.w.now-s.tokensUpdatedAt).Seconds()*limits.WriteRPS)
-	s.tokensUpdatedAt = s.w.now
+	s.tokens = min(limits.WriteRPS, s.tokens+(s.world.now-s.tokensUpdatedAt).Seconds()*limits.WriteRPS)
+	s.tokensUpdatedAt = s.world.now
 	switch {
 	case invalid:
 		s.RefusedTxns++
@@ -371,11 +371,11 @@
 }
 
 // stateClient is the connection of one incarnation of a node to the state service.
-type stateClient struct{ e *env }
+type stateClient struct{ env *env }
 
 // countRequest counts a request for PeakRequests.
 func (s *State) countRequest() {
-	if current := s.w.now / second; current != s.currentSecond {
+	if current := s.world.now / second; current != s.currentSecond {
 		s.currentSecond, s.requestsInSecond = current, 0
 	}
 	s.requestsInSecond++
@@ -383,26 +383,26 @@
 }
 
 // state returns the state service of the client's environment.
-func (c *stateClient) state() *State { return c.e.n.w.State }
+func (c *stateClient) state() *State { return c.env.node.world.State }
 
 // call runs f at the service and delivers the answer by the function that f returns. If
 // the service has an outage or refuses the node, refused is called; without an answer in
 // 1.5 s, unknown.
 func (c *stateClient) call(f func() func(), refused, unknown func()) {
 	s := c.state()
-	c.e.n.w.call(c.e.n.name, "state", 1500*millisecond, func(respond func(func())) {
+	c.env.node.world.call(c.env.node.name, "state", 1500*millisecond, func(respond func(func())) {
 		s.countRequest()
-		if s.Outage || s.RefusedNodes[c.e.n.name] {
-			respond(c.e.whileRunning(refused))
+		if s.Outage || s.RefusedNodes[c.env.node.name] {
+			respond(c.env.whileRunning(refused))
 			return
 		}
-		answer := c.e.whileRunning(f())
+		answer := c.env.whileRunning(f())
 		if s.AnswerDelay == 0 {
 			respond(answer)
 			return
 		}
-		c.e.n.w.After(s.AnswerDelay, func() { respond(answer) })
-	}, c.e.whileRunning(unknown))
+		c.env.node.world.After(s.AnswerDelay, func() { respond(answer) })
+	}, c.env.whileRunning(unknown))
 }
 
 // listPage returns up to limit items whose keys have the prefix and follow the given key.
@@ -444,7 +444,7 @@
 // Txn executes a transaction, subject to the injected faults. A delayed transaction is
 // applied without a check of the limits.
 func (c *stateClient) Txn(t *wire.Txn, done func(store.Outcome, *wire.TxnAnswer)) {
-	s, name := c.state(), c.e.n.name
+	s, name := c.state(), c.env.node.name
 	matchesPrefix := slices.ContainsFunc(t.Then, func(ch wire.Change) bool { return strings.HasPrefix(ch.PutKey+ch.DeleteKey, s.DelayedKeyPrefix) })
 	delay, delayed := s.NextTxnDelay[name]
 	if delayed = delayed && matchesPrefix; delayed {
@@ -454,8 +454,8 @@
 	}
 	if delayed {
 		s.DelayedTxns++
-		c.e.n.w.After(delay, func() { s.txn(t) })
-		c.e.After(1500*millisecond, func() { done(store.Unknown, &wire.TxnAnswer{}) })
+		c.env.node.world.After(delay, func() { s.txn(t) })
+		c.env.After(1500*millisecond, func() { done(store.Unknown, &wire.TxnAnswer{}) })
 		return
 	}
 	loseAnswer := s.LoseNextAnswer[name]
@@ -466,7 +466,7 @@
 		}
 		o, a := s.txn(t)
 		if loseAnswer {
-			return func() { c.e.After(1500*millisecond, func() { done(store.Unknown, &wire.TxnAnswer{}) }) }
+			return func() { c.env.After(1500*millisecond, func() { done(store.Unknown, &wire.TxnAnswer{}) }) }
 		}
 		return func() { done(o, a) }
 	}, func() { done(store.Refused, &wire.TxnAnswer{}) }, func() { done(store.Unknown, &wire.TxnAnswer{}) })
@@ -475,7 +475,7 @@
 // grantLease creates a lease and returns its ID.
 func (s *State) grantLease(ttl Micros) uint64 {
 	s.lastLeaseID++
-	s.leases[s.lastLeaseID] = &lease{ttl, s.w.now + ttl}
+	s.leases[s.lastLeaseID] = &lease{ttl, s.world.now + ttl}
 	return s.lastLeaseID
 }
 
@@ -483,7 +483,7 @@
 func (s *State) renewLease(id uint64) bool {
 	l := s.leases[id]
 	if l != nil {
-		l.expiresAt = s.w.now + l.ttl
+		l.expiresAt = s.world.now + l.ttl
 	}
 	return l != nil
 }
@@ -519,13 +519,13 @@
 
 // Watch waits up to the given time in milliseconds for changes after a revision.
 func (c *stateClient) Watch(prefix string, since uint64, wait int64, done func(store.Outcome, *wire.WatchAnswer)) {
-	s, w := c.state(), c.e.n.w
-	w.call(c.e.n.name, "state", Micros(wait)*millisecond+3*second, func(respond func(func())) {
+	s, w := c.state(), c.env.node.world
+	w.call(c.env.node.name, "state", Micros(wait)*millisecond+3*second, func(respond func(func())) {
 		s.countRequest()
 		s.addWatch(prefix, since, Micros(wait)*millisecond, func(a *wire.WatchAnswer) {
-			if !s.RefusedNodes[c.e.n.name] { // as in an outage, an open watch gets no answer
-				respond(c.e.whileRunning(func() { done(store.OK, a) }))
+			if !s.RefusedNodes[c.env.node.name] { // as in an outage, an open watch gets no answer
+				respond(c.env.whileRunning(func() { done(store.OK, a) }))
 			}
 		})
-	}, c.e.whileRunning(func() { done(store.Unknown, &wire.WatchAnswer{}) }))
+	}, c.env.whileRunning(func() { done(store.Unknown, &wire.WatchAnswer{}) }))
 }
--- a/internal/sim/waiting.go
+++ b/internal/sim/waiting.go
@@ -14,7 +14,7 @@
 // checkLeftWaiting enforces maxPlaceableWait; scenarios call it every 5 s of virtual time.
 // It considers each task of an array or service on its own, and a gang as a whole.
 func (w *World) checkLeftWaiting() {
-	c := w.Rules
+	c := w.Checker
 	placed := w.tasksOnMachines()
 	usedCPUs := map[string]float64{}
 	for id, tasks := range placed {
@@ -74,12 +74,12 @@
 	if job.Kind != wire.KindGang {
 		missing = 1
 	}
-	if limit := w.Rules.TeamLimits[job.Team]; limit > 0 && usedCPUs+float64(missing)*job.CPUs > limit+1e-6 {
+	if limit := w.Checker.TeamLimits[job.Team]; limit > 0 && usedCPUs+float64(missing)*job.CPUs > limit+1e-6 {
 		return false
 	}
-	inZone := map[string]int{}
+	placedByZone := map[string]int{}
 	for _, zone := range placed {
-		inZone[zone]++
+		placedByZone[zone]++
 	}
 	roomByZone := map[string]int{} // free slots by zone
 	for _, id := range sortedKeys(w.Cloud.Machines) {
@@ -91,11 +91,11 @@
 	for zone, n := range roomByZone {
 		switch {
 		case job.OneZone:
-			if len(placed) == 0 || inZone[zone] > 0 {
+			if len(placed) == 0 || placedByZone[zone] > 0 {
 				totalRoom = max(totalRoom, n)
 			}
 		case job.Spread:
-			totalRoom += min(n, (job.Tasks+1)/2-inZone[zone])
+			totalRoom += min(n, (job.Tasks+1)/2-placedByZone[zone])
 		default:
 			totalRoom += n
 		}
@@ -106,12 +106,12 @@
 // canRun reports whether a machine is healthy and allowed to run tasks of a job.
 func (x *Worker) canRun(job *wire.Job) bool {
 	return x.up && !x.dead && !x.hung && !x.Unhealthy && x.reclaimAt == 0 && (job.Spot || !x.spot) &&
-		(job.Zone == "" || job.Zone == x.zone) && (len(job.Types) == 0 || slices.Contains(job.Types, x.typ.Name))
+		(job.Zone == "" || job.Zone == x.zone) && (len(job.Types) == 0 || slices.Contains(job.Types, x.machineType.Name))
 }
 
 // freeSlots returns how many more tasks of a job the machine has room for.
 func (x *Worker) freeSlots(job *wire.Job) int {
-	cpus, gpus, mem := x.typ.CPUs, x.typ.GPUs, x.typ.MemoryGB
+	cpus, gpus, mem := x.machineType.CPUs, x.machineType.GPUs, x.machineType.MemoryGB
 	for _, t := range x.tasks {
 		if t.job != nil && t.state != wire.TaskExited {
 			cpus, gpus, mem = cpus-t.job.CPUs, gpus-t.job.GPUs, mem-t.job.MemoryGB
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -8,13 +8,13 @@
 
 // Worker simulates one machine and its worker process.
 type Worker struct {
-	w        *World
-	id       string
-	addr     string // address for command batches; in virtual time the machine's ID
-	typ      *wire.MachineType
-	zone     string
-	spot     bool
-	rentedAt Micros // when the cloud created the machine
+	world       *World
+	id          string
+	addr        string // address for command batches; in virtual time the machine's ID
+	machineType *wire.MachineType
+	zone        string
+	spot        bool
+	rentedAt    Micros // when the cloud created the machine
 
 	up, dead, hung bool                // booted; ended for good; suspended
 	Unhealthy      bool                // every task fails half a second after it starts to run
@@ -49,7 +49,7 @@
 
 // newWorker returns the worker of a machine that has not booted yet.
 func newWorker(w *World, id string, t *wire.MachineType, zone string, spot bool) *Worker {
-	return &Worker{w: w, id: id, addr: id, typ: t, zone: zone, spot: spot, rentedAt: w.now, session: 1,
+	return &Worker{world: w, id: id, addr: id, machineType: t, zone: zone, spot: spot, rentedAt: w.now, session: 1,
 		tasks: map[string]*simTask{}, images: map[string]bool{}, nodeIndex: len(id) % len(w.Nodes)}
 }
 
@@ -58,9 +58,9 @@
 	if x.dead {
 		return
 	}
-	x.up, x.leaseRenewedAt = true, x.w.now
-	if x.w.server != nil {
-		x.w.server.serveWorker(x)
+	x.up, x.leaseRenewedAt = true, x.world.now
+	if x.world.server != nil {
+		x.world.server.serveWorker(x)
 	}
 	x.report()
 	var checkLease func()
@@ -70,15 +70,15 @@
 		}
 		// A worker checks its lease even while it is suspended, since its tasks must not run
 		// on after the lease has expired.
-		if x.w.now-x.leaseRenewedAt > Micros(x.w.Config.Params.Workers.Lease*1e6) {
+		if x.world.now-x.leaseRenewedAt > Micros(x.world.Config.Params.Workers.Lease*1e6) {
 			if len(x.taskOrder) > 0 {
-				x.w.LeasesLost++
+				x.world.LeasesLost++
 			}
 			x.killAll()
 			x.session++
-			x.leaseRenewedAt = x.w.now
+			x.leaseRenewedAt = x.world.now
 		}
-		x.w.After(50*millisecond, checkLease)
+		x.world.After(50*millisecond, checkLease)
 	}
 	checkLease()
 }
@@ -88,7 +88,7 @@
 func (x *Worker) Restart() {
 	x.killAll()
 	x.incarnation++
-	x.session, x.seq, x.token, x.leaseRenewedAt, x.images = 1, 0, 0, x.w.now, map[string]bool{}
+	x.session, x.seq, x.token, x.leaseRenewedAt, x.images = 1, 0, 0, x.world.now, map[string]bool{}
 }
 
 // terminate ends the machine and everything on it.
@@ -108,7 +108,7 @@
 // noteRemoved voids a task's timers and tells the checker that it is off the machine.
 func (x *Worker) noteRemoved(t *simTask) {
 	t.stateVersion++
-	x.w.Rules.TaskRemoved(t.task, x.id, x.zone)
+	x.world.Checker.TaskRemoved(t.task, x.id, x.zone)
 }
 
 // Hang suspends or resumes the machine.
@@ -136,17 +136,17 @@
 
 // SendSpotNotice announces that the cloud takes the spot machine after the delay.
 func (x *Worker) SendSpotNotice(delay Micros) {
-	x.reclaimAt = x.w.now + delay
-	x.w.After(delay, func() { x.w.Cloud.remove(x.id) })
+	x.reclaimAt = x.world.now + delay
+	x.world.After(delay, func() { x.world.Cloud.remove(x.id) })
 }
 
 // snapshot returns a report of the machine's present state with the next sequence number.
 func (x *Worker) snapshot() *wire.Report {
 	x.seq++
-	r := &wire.Report{Machine: x.id, Addr: x.addr, Type: x.typ.Name, Zone: x.zone, Spot: x.spot,
+	r := &wire.Report{Machine: x.id, Addr: x.addr, Type: x.machineType.Name, Zone: x.zone, Spot: x.spot,
 		Session: x.session, Seq: x.seq, Token: x.token, Tasks: []wire.TaskReport{}}
 	if x.reclaimAt > 0 {
-		secondsLeft := (x.reclaimAt - x.w.now).Seconds()
+		secondsLeft := (x.reclaimAt - x.world.now).Seconds()
 		r.ReclaimNoticeSeconds = &secondsLeft
 	}
 	for _, k := range x.taskOrder {
@@ -165,19 +165,19 @@
 		x.backlog = append(x.backlog, x.report)
 		return
 	}
-	x.lastReportAt, x.awaitingAnswer, x.unreportedChange = x.w.now, true, false
-	if x.w.outboundLost[x.id] { // the report cannot be sent
+	x.lastReportAt, x.awaitingAnswer, x.unreportedChange = x.world.now, true, false
+	if x.world.outboundLost[x.id] { // the report cannot be sent
 		x.tryNext()
 		return
 	}
-	rep, sent := x.snapshot(), sentReport{x.w.now, x.session, x.incarnation}
+	rep, sent := x.snapshot(), sentReport{x.world.now, x.session, x.incarnation}
 	answered := func(a controller.ReportAnswer) { x.runWhenActive(func() { x.handleAnswer(a, sent) }) }
-	n := x.w.Nodes[x.nodeIndex]
-	if x.w.server != nil {
-		x.w.server.postReport(n.name, rep, answered)
+	n := x.world.Nodes[x.nodeIndex]
+	if x.world.server != nil {
+		x.world.server.postReport(n.name, rep, answered)
 		return
 	}
-	x.w.deliverReport(n, rep, answered, func() { x.runWhenActive(x.tryNext) })
+	x.world.deliverReport(n, rep, answered, func() { x.runWhenActive(x.tryNext) })
 }
 
 // sentReport is when a report was sent, and in which session and incarnation.
@@ -206,7 +206,7 @@
 
 // tryNext turns to the next controller and reports to it a second later.
 func (x *Worker) tryNext() {
-	x.nodeIndex = (x.nodeIndex + 1) % len(x.w.Nodes)
+	x.nodeIndex = (x.nodeIndex + 1) % len(x.world.Nodes)
 	x.reportIn(second)
 }
 
@@ -227,7 +227,7 @@
 // applyAnswer renews the lease and executes the answer's commands, unless the answer is
 // outdated, and schedules the next report.
 func (x *Worker) applyAnswer(a controller.ReportAnswer, sent sentReport) {
-	w := x.w
+	w := x.world
 	interval := Micros(w.Config.Params.Workers.Report * 1e6)
 	if a.Body.Token >= x.token && a.Body.Token > 0 && sent.session == x.session && w.now-sent.sentAt <= 4*second {
 		x.token = a.Body.Token
@@ -244,7 +244,7 @@
 // followRedirect selects the named controller and reports whether it is a known one other
 // than the present one.
 func (x *Worker) followRedirect(name string) bool {
-	for i, o := range x.w.Nodes {
+	for i, o := range x.world.Nodes {
 		if o.name == name && i != x.nodeIndex {
 			x.nodeIndex = i
 			return true
@@ -257,7 +257,7 @@
 func (x *Worker) reportIn(d Micros) {
 	x.reportPlan++
 	plan := x.reportPlan
-	x.w.After(d, func() {
+	x.world.After(d, func() {
 		if plan == x.reportPlan {
 			x.report()
 		}
@@ -270,8 +270,8 @@
 // noteChange notes that a task has changed, and reports soon if World.ReportChanges is set.
 func (x *Worker) noteChange() {
 	x.unreportedChange = true
-	if x.w.ReportChanges && x.up && !x.awaitingAnswer {
-		x.reportIn(max(x.lastReportAt+minChangeInterval-x.w.now, 0))
+	if x.world.ReportChanges && x.up && !x.awaitingAnswer {
+		x.reportIn(max(x.lastReportAt+minChangeInterval-x.world.now, 0))
 	}
 }
 
@@ -323,7 +323,7 @@
 	x.tasks[key] = t
 	x.taskOrder = append(x.taskOrder, key)
 	x.noteChange()
-	j := x.w.Rules.jobs[id]
+	j := x.world.Checker.jobs[id]
 	if j == nil {
 		t.state, t.cause = wire.TaskExited, wire.CauseUnknown
 		return
@@ -343,25 +343,25 @@
 		gpus += other.job.GPUs
 		mem += other.job.MemoryGB
 	}
-	if cpus > x.typ.CPUs+1e-6 || gpus > x.typ.GPUs+1e-6 || mem > x.typ.MemoryGB+1e-6 {
+	if cpus > x.machineType.CPUs+1e-6 || gpus > x.machineType.GPUs+1e-6 || mem > x.machineType.MemoryGB+1e-6 {
 		t.state, t.cause = wire.TaskExited, wire.CauseNoCapacity
 		return
 	}
 	fetchTime := Micros(0)
 	if !x.images[t.job.Image] {
-		fetchTime = Micros(t.job.ImageGB / x.typ.FetchRate * 1e6)
+		fetchTime = Micros(t.job.ImageGB / x.machineType.FetchRate * 1e6)
 	}
 	x.afterIfUnchanged(t, fetchTime, func() {
 		x.images[t.job.Image] = true
-		x.w.Rules.TaskStarted(x.w.now, t.task, x.id, x.typ.Name, x.zone, x.spot)
+		x.world.Checker.TaskStarted(x.world.now, t.task, x.id, x.machineType.Name, x.zone, x.spot)
 		if t.job.Kind == wire.KindGang {
 			t.state = wire.TaskWaiting
-			x.afterIfUnchanged(t, Micros(x.w.Config.Params.Workers.GangWait*1e6), func() {
+			x.afterIfUnchanged(t, Micros(x.world.Config.Params.Workers.GangWait*1e6), func() {
 				if t.state == wire.TaskWaiting {
 					x.exitTask(t, wire.CauseGangIncomplete, false)
 				}
 			})
-			x.w.startGangIfComplete(t.job, t.attempt)
+			x.world.startGangIfComplete(t.job, t.attempt)
 			return
 		}
 		x.startRunning(t)
@@ -371,7 +371,7 @@
 // afterIfUnchanged runs f after a span of time unless the task's state has changed by then.
 func (x *Worker) afterIfUnchanged(t *simTask, d Micros, f func()) {
 	version := t.stateVersion
-	x.w.After(d, func() {
+	x.world.After(d, func() {
 		x.runWhenActive(func() {
 			if t.stateVersion == version {
 				f()
@@ -382,9 +382,9 @@
 
 // startRunning starts a task's run time, after which the task is done. Services run on.
 func (x *Worker) startRunning(t *simTask) {
-	t.state, t.startedAt = wire.TaskRunning, x.w.now
+	t.state, t.startedAt = wire.TaskRunning, x.world.now
 	x.noteChange()
-	if x.Unhealthy || x.w.failingJobs[t.job.ID] {
+	if x.Unhealthy || x.world.failingJobs[t.job.ID] {
 		x.afterIfUnchanged(t, second/2, func() { x.exitTask(t, wire.CauseError, false) })
 		return
 	}
@@ -393,10 +393,10 @@
 		x.afterIfUnchanged(t, runTime, func() {
 			if t.job.Kind == wire.KindGang { // when one task of a gang is done, all are
 				for i := range t.job.Tasks {
-					x.w.onTaskCompleted(wire.TaskID(t.job.ID, i))
+					x.world.onTaskCompleted(wire.TaskID(t.job.ID, i))
 				}
 			}
-			x.w.onTaskCompleted(t.task)
+			x.world.onTaskCompleted(t.task)
 			x.exitTask(t, wire.CauseDone, false)
 		})
 	}
@@ -409,7 +409,7 @@
 	t.state, t.cause, t.saved = wire.TaskExited, cause, saved
 	x.noteChange()
 	if t.job.Kind == wire.KindGang {
-		x.w.endGangAfterLoss(t.job, t.attempt, cause)
+		x.world.endGangAfterLoss(t.job, t.attempt, cause)
 	}
 }
 
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -61,29 +61,29 @@
 
 // Kinds of interruption.
 const (
-	None Cut = iota // the link works
-	Drop            // messages are lost
-	Hold            // messages are delivered when the interruption ends
+	CutNone Cut = iota // the link works
+	CutDrop            // messages are lost
+	CutHold            // messages are delivered when the interruption ends
 )
 
 // World is one simulated deployment with its environment.
 type World struct {
-	now    Micros
-	seq    int
-	queue  events
-	rng    *rand.Rand
-	policy *policy.Policy
-	Config config.Config // shared settings; each node gets its own name
-	Nodes  []*Node
-	State  *State
-	Cloud  *Cloud
-	Rules  *Checker
-	Users  map[string]*User
+	now     Micros
+	seq     int
+	queue   events
+	rng     *rand.Rand
+	policy  *policy.Policy
+	Config  config.Config // shared settings; each node gets its own name
+	Nodes   []*Node
+	State   *State
+	Cloud   *Cloud
+	Checker *Checker
+	Users   map[string]*User
 	// CheckCancelCascade makes User.Cancel check that dependent jobs are cancelled first.
 	// It is meant for runs without faults of the state service.
 	CheckCancelCascade bool
 	// NextOrderDelay delays the next command batch sent directly to a worker; it gets no answer.
-	NextOrderDelay Micros
+	NextCommandBatchDelay Micros
 	// ReportDelay delays every report. LinkDelay delays every message by a random span
 	// between 0.25 and 1.25 times its value.
 	ReportDelay, LinkDelay Micros
@@ -93,11 +93,11 @@
 	ProbeAnswers    int      // answers to requests of the prober
 	SubmitLatencies []Micros // time from each submission to its answer
 	// AcceptedJobRefusals counts submissions refused with 429 although their job is accepted.
-	AcceptedJobRefusals int
-	CopiesDelivered     int // delayed copies of reports that were delivered after an election
-	LeasesLost          int // worker leases that expired while the worker had tasks
-	RelayedReports      int // reports that a relaying controller forwarded in batches
-	RelayedOrders       int // command batches that a controller sent through a relaying controller
+	AcceptedJobRefusals   int
+	CopiesDelivered       int // delayed copies of reports that were delivered after an election
+	LeasesLost            int // worker leases that expired while the worker had tasks
+	RelayedReports        int // reports that a relaying controller forwarded in batches
+	RelayedCommandBatches int // command batches that a controller sent through a relaying controller
 	// Notices counts admission notices with arrivals per account by destination node.
 	Notices map[string]int
 	// ReportChanges makes workers report changes at once, at most twice a second, in
@@ -127,10 +127,10 @@
 	p.Resources.CPUShare, p.Resources.MemoryMB, p.Resources.FDLimit = 0.1, 100, 900
 	w.State = newState(w)
 	w.Cloud = newCloud(w)
-	w.Rules = NewChecker()
-	w.Rules.Now = func() Micros { return w.now }
+	w.Checker = NewChecker()
+	w.Checker.Now = func() Micros { return w.now }
 	for i := range nodes {
-		w.Nodes = append(w.Nodes, &Node{w: w, name: fmt.Sprintf("node-%d", i)})
+		w.Nodes = append(w.Nodes, &Node{world: w, name: fmt.Sprintf("node-%d", i)})
 	}
 	return w
 }
@@ -204,7 +204,7 @@
 func (w *World) SetCut(a, b string, cut Cut) {
 	key := linkKey(a, b)
 	w.cuts[key] = cut
-	if cut == None {
+	if cut == CutNone {
 		for _, f := range w.heldMessages[key] {
 			w.After(millisecond, f)
 		}
@@ -215,7 +215,7 @@
 // cutFor interrupts the link between two hosts for a span of time.
 func (w *World) cutFor(a, b string, cut Cut, span Micros) {
 	w.SetCut(a, b, cut)
-	w.After(span, func() { w.SetCut(a, b, None) })
+	w.After(span, func() { w.SetCut(a, b, CutNone) })
 }
 
 // addHostFor adds a host to a set for a span of time.
@@ -291,8 +291,8 @@
 		return
 	}
 	switch key := linkKey(from, to); w.cuts[key] {
-	case Drop:
-	case Hold:
+	case CutDrop:
+	case CutHold:
 		w.heldMessages[key] = append(w.heldMessages[key], deliver)
 	default:
 		after := millisecond + Micros(w.rng.IntN(int(millisecond)))
@@ -305,7 +305,7 @@
 
 // call sends a request and delivers its response. If there is no response within the
 // limit, fail is called and a later response is ignored.
-func (w *World) call(from, to string, limit Micros, serve func(respond func(func())), fail func()) {
+func (w *World) call(from, to string, timeout Micros, serve func(respond func(func())), fail func()) {
 	finished := false
 	w.send(from, to, func() {
 		serve(func(receive func()) {
@@ -317,7 +317,7 @@
 			})
 		})
 	})
-	w.After(limit, func() {
+	w.After(timeout, func() {
 		if !finished {
 			finished = true
 			fail()
@@ -327,7 +327,7 @@
 
 // Node is a controller process that can be killed and restarted.
 type Node struct {
-	w           *World
+	world       *World
 	name        string
 	incarnation int
 	oldVersion  bool   // starts with the production version's format level
@@ -350,22 +350,22 @@
 		return
 	}
 	n.incarnation++
-	cfg := n.w.Config
-	cfg.Name, cfg.Listen = n.name, fmt.Sprintf("10.0.0.%d:8080", slices.Index(n.w.Nodes, n)+1)
+	cfg := n.world.Config
+	cfg.Name, cfg.Listen = n.name, fmt.Sprintf("10.0.0.%d:8080", slices.Index(n.world.Nodes, n)+1)
 	if n.duplicateOf != "" {
 		cfg.Name = n.duplicateOf
 	}
-	for _, o := range n.w.Nodes {
+	for _, o := range n.world.Nodes {
 		if o.name != cfg.Name && o.duplicateOf == "" {
 			cfg.Peers = append(append([]config.Peer(nil), cfg.Peers...), config.Peer{Name: o.name})
 		}
 	}
-	e := &env{n: n, incarnation: n.incarnation}
+	e := &env{node: n, incarnation: n.incarnation}
 	level := controller.HighestLevel
 	if n.oldVersion {
 		level = controller.LevelPlacements
 	}
-	n.core = controller.NewAtLevel(e, &cfg, n.w.policy, n.w.rng.Uint64(), level)
+	n.core = controller.NewAtLevel(e, &cfg, n.world.policy, n.world.rng.Uint64(), level)
 	n.core.Start()
 }
 
@@ -395,7 +395,7 @@
 	}
 	n.frozen = true
 	incarnation := n.incarnation
-	n.w.After(span, func() {
+	n.world.After(span, func() {
 		if n.incarnation != incarnation {
 			return
 		}
@@ -409,36 +409,36 @@
 
 // env is the environment of a controller during one incarnation of its node.
 type env struct {
-	n           *Node
+	node        *Node
 	incarnation int
 }
 
 // whileRunning wraps a callback so that it has no effect after the process has ended.
 func (e *env) whileRunning(f func()) func() {
 	return func() {
-		if e.n.incarnation == e.incarnation {
-			e.n.runWhenActive(f)
+		if e.node.incarnation == e.incarnation {
+			e.node.runWhenActive(f)
 		}
 	}
 }
 
-func (e *env) Now() Micros              { return e.n.w.now }
-func (e *env) Wall() Micros             { return 1_700_000_000*second + e.n.w.now }
-func (e *env) After(d Micros, f func()) { e.n.w.After(d, e.whileRunning(f)) }
+func (e *env) Now() Micros              { return e.node.world.now }
+func (e *env) Wall() Micros             { return 1_700_000_000*second + e.node.world.now }
+func (e *env) After(d Micros, f func()) { e.node.world.After(d, e.whileRunning(f)) }
 func (e *env) State() store.Service     { return &stateClient{e} }
-func (e *env) ConnectionUsage() float64 { return e.n.socketUsage }
+func (e *env) ConnectionUsage() float64 { return e.node.socketUsage }
 func (e *env) Cloud() controller.Cloud  { return &cloudClient{e} }
 
 // Call sends a message to a peer; the answer is nil if there is none within the timeout.
 func (e *env) Call(name string, m *peer.Msg, timeout Micros, done func(*peer.Msg)) {
-	w := e.n.w
+	w := e.node.world
 	frame := m.Encode() // encoded and decoded so that runs cover the real codec
 	if m.AdmissionNotice != nil && len(m.AdmissionNotice.Accounts) > 0 {
 		w.Notices[name]++
 	}
 	w.RelayedReports += len(m.RelayedReports)
-	w.RelayedOrders += len(m.Orders)
-	w.call(e.n.name, name, timeout, func(respond func(func())) {
+	w.RelayedCommandBatches += len(m.Orders)
+	w.call(e.node.name, name, timeout, func(respond func(func())) {
 		to := w.node(name)
 		if to == nil || !to.Up() {
 			return
@@ -455,11 +455,11 @@
 
 // SendOrders sends a command batch directly to the worker at an address.
 func (e *env) SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
-	w := e.n.w
+	w := e.node.world
 	body := wire.Encode(o)
-	delay := w.NextOrderDelay
-	w.NextOrderDelay = 0
-	w.call(e.n.name, addr, 2*second, func(respond func(func())) {
+	delay := w.NextCommandBatchDelay
+	w.NextCommandBatchDelay = 0
+	w.call(e.node.name, addr, 2*second, func(respond func(func())) {
 		worker := w.Cloud.Machines[addr]
 		if worker == nil || !worker.up {
 			return
@@ -501,7 +501,7 @@
 
 // User submits and follows one job.
 type User struct {
-	w         *World
+	world     *World
 	job       *wire.Job
 	LastPhase string // phase in the last successful answer to a submission, poll or cancellation
 	lastCode  int
@@ -520,18 +520,18 @@
 func (w *World) UserFor(job *wire.Job) *User {
 	u := w.Users[job.ID]
 	if u == nil {
-		u = &User{w: w, job: job, firstAttempt: w.now}
+		u = &User{world: w, job: job, firstAttempt: w.now}
 		w.Users[job.ID] = u
-		w.Rules.AddJob(job)
+		w.Checker.AddJob(job)
 	}
 	return u
 }
 
 // ask sends a request to a random node that is ready, or to the node of the user's open
 // connection, and checks the answer. Without such a node the answer is 503.
-func (u *User) ask(send request, check func(knownFacts, controller.Answer)) {
-	w := u.w
-	known := w.Rules.BeginRequest(u.job.ID)
+func (u *User) sendRequest(req request, check func(knownFacts, controller.Answer)) {
+	w := u.world
+	known := w.Checker.BeginRequest(u.job.ID)
 	done := func(a controller.Answer) { check(known, a) }
 	var candidates []*Node
 	for _, n := range w.Nodes {
@@ -543,16 +543,16 @@
 		w.After(100*millisecond, func() { done(controller.Answer{Code: 503}) })
 		return
 	}
-	w.askNode(candidates[w.rng.IntN(len(candidates))], send, done)
+	w.sendRequestTo(candidates[w.rng.IntN(len(candidates))], req, done)
 }
 
 // request is a user's request, as a call of a controller.
 type request = func(c *controller.Core, reply func(controller.Answer))
 
 // askNode sends a user's request to a node. A timeout gives an answer with code 0.
-func (w *World) askNode(n *Node, send request, done func(controller.Answer)) {
+func (w *World) sendRequestTo(n *Node, req request, done func(controller.Answer)) {
 	w.call("users", n.name, 5*second, func(respond func(func())) {
-		n.runWhenActive(func() { send(n.core, func(a controller.Answer) { respond(func() { done(a) }) }) })
+		n.runWhenActive(func() { req(n.core, func(a controller.Answer) { respond(func() { done(a) }) }) })
 	}, func() { done(controller.Answer{Code: 0}) })
 }
 
@@ -571,10 +571,10 @@
 	if p == nil || u == nil {
 		return
 	}
-	ask := func(after Micros, n *Node, send request, check func(string, knownFacts, controller.Answer)) {
+	sendAfter := func(after Micros, n *Node, req request, check func(string, knownFacts, controller.Answer)) {
 		w.After(after, func() {
-			known := w.Rules.factsFor(id)
-			w.askNode(n, send, func(a controller.Answer) {
+			known := w.Checker.factsFor(id)
+			w.sendRequestTo(n, req, func(a controller.Answer) {
 				w.ProbeAnswers++
 				check(id, known, a)
 				if a.Code == 200 || a.Code == 201 {
@@ -586,23 +586,23 @@
 	status := func(c *controller.Core, reply func(controller.Answer)) { c.Status(id, reply) }
 	for _, n := range w.Nodes {
 		for _, window := range []Micros{5 * millisecond, 100 * millisecond, 2 * second} {
-			ask(Micros(p.rng.Int64N(int64(window))), n, status, w.Rules.CheckStatusAnswer)
+			sendAfter(Micros(p.rng.Int64N(int64(window))), n, status, w.Checker.CheckStatusAnswer)
 		}
 	}
 	resubmitTo := w.Nodes[p.rng.IntN(len(w.Nodes))]
-	ask(Micros(p.rng.Int64N(int64(500*millisecond))), resubmitTo, u.submission, w.Rules.CheckSubmitAnswer)
+	sendAfter(Micros(p.rng.Int64N(int64(500*millisecond))), resubmitTo, u.submission, w.Checker.CheckSubmitAnswer)
 	if finished && p.rng.Float64() < p.cancelShare { // the leader learns of the end within a report interval
 		n := w.Nodes[p.rng.IntN(len(w.Nodes))]
-		ask(Micros(p.rng.Int64N(int64(w.Config.Params.Workers.Report*1.5e6))), n, func(c *controller.Core, reply func(controller.Answer)) {
-			w.Rules.CancelRequested(id)
+		sendAfter(Micros(p.rng.Int64N(int64(w.Config.Params.Workers.Report*1.5e6))), n, func(c *controller.Core, reply func(controller.Answer)) {
+			w.Checker.CancelRequested(id)
 			c.Cancel(id, reply)
-		}, w.Rules.CheckStatusAnswer)
+		}, w.Checker.CheckStatusAnswer)
 	}
 }
 
 // onTaskCompleted notes that a task is completed and probes its job if that is now done.
 func (w *World) onTaskCompleted(task string) {
-	if w.Rules.TaskCompleted(task) {
+	if w.Checker.TaskCompleted(task) {
 		id, _, _ := wire.SplitTask(task)
 		w.probe(id, true)
 	}
@@ -620,34 +620,34 @@
 
 // submitWith repeats a submission until it is accepted or rejected as invalid, and polls
 // an accepted job.
-func (u *User) submitWith(send request) {
-	sentAt := u.w.now
-	u.ask(send,
+func (u *User) submitWith(req request) {
+	sentAt := u.world.now
+	u.sendRequest(req,
 		func(known knownFacts, a controller.Answer) {
 			u.lastCode = a.Code
-			u.w.Rules.CheckSubmitAnswer(u.job.ID, known, a)
+			u.world.Checker.CheckSubmitAnswer(u.job.ID, known, a)
 			if a.Code > 0 {
-				u.w.SubmitLatencies = append(u.w.SubmitLatencies, u.w.now-sentAt)
+				u.world.SubmitLatencies = append(u.world.SubmitLatencies, u.world.now-sentAt)
 			}
 			switch a.Code {
 			case 200, 201:
 				u.accepted = true
 				u.LastPhase = a.Status.Phase
 				u.notePhase(a.Status.Phase)
-				u.w.After(5*second, u.poll)
+				u.world.After(5*second, u.poll)
 			case 400, 422:
 			default:
 				wait := max(second, Micros(min(a.RetryAfter, 30))*second)
-				if u.w.RetryInterval > 0 {
-					wait = u.w.RetryInterval
+				if u.world.RetryInterval > 0 {
+					wait = u.world.RetryInterval
 				}
 				if a.Code == 429 {
 					u.refusals++
 					if known.accepted {
-						u.w.AcceptedJobRefusals++
+						u.world.AcceptedJobRefusals++
 					}
 				}
-				u.w.After(wait, func() { u.submitWith(send) })
+				u.world.After(wait, func() { u.submitWith(req) })
 			}
 		})
 }
@@ -657,14 +657,14 @@
 	if u.LastPhase == wire.PhaseDone || u.LastPhase == wire.PhaseCancelled {
 		return
 	}
-	u.Poll(func() { u.w.After(5*second, u.poll) })
+	u.Poll(func() { u.world.After(5*second, u.poll) })
 }
 
 // Poll queries the job's status once and then calls then, unless that is nil.
 func (u *User) Poll(then func()) {
-	u.ask(func(c *controller.Core, reply func(controller.Answer)) { c.Status(u.job.ID, reply) },
+	u.sendRequest(func(c *controller.Core, reply func(controller.Answer)) { c.Status(u.job.ID, reply) },
 		func(known knownFacts, a controller.Answer) {
-			u.w.Rules.CheckStatusAnswer(u.job.ID, known, a)
+			u.world.Checker.CheckStatusAnswer(u.job.ID, known, a)
 			if a.Code == 200 {
 				u.LastPhase = a.Status.Phase
 				u.notePhase(a.Status.Phase)
@@ -679,23 +679,23 @@
 // job is reported cancelled, the jobs that depended on it at the time of the request must
 // be cancelled or done as well (see World.CheckCancelCascade).
 func (u *User) Cancel() {
-	u.w.Rules.CancelRequested(u.job.ID)
-	dependents := u.w.Rules.Dependents(u.job.ID)
-	u.ask(func(c *controller.Core, reply func(controller.Answer)) { c.Cancel(u.job.ID, reply) },
+	u.world.Checker.CancelRequested(u.job.ID)
+	dependents := u.world.Checker.Dependents(u.job.ID)
+	u.sendRequest(func(c *controller.Core, reply func(controller.Answer)) { c.Cancel(u.job.ID, reply) },
 		func(known knownFacts, a controller.Answer) {
-			u.w.Rules.CheckStatusAnswer(u.job.ID, known, a)
+			u.world.Checker.CheckStatusAnswer(u.job.ID, known, a)
 			if a.Code != 200 {
-				u.w.After(second, u.Cancel)
+				u.world.After(second, u.Cancel)
 				return
 			}
 			u.LastPhase = a.Status.Phase
 			if a.Status.Phase == wire.PhaseCancelled {
 				for _, id := range dependents {
-					if !u.w.CheckCancelCascade {
+					if !u.world.CheckCancelCascade {
 						break
 					}
-					if u.w.State.finalPhase(id) == "" {
-						u.w.Rules.addViolation("half_cancelled", "job %s is reported cancelled before dependent job %s has ended", u.job.ID, id)
+					if u.world.State.finalPhase(id) == "" {
+						u.world.Checker.addViolation("half_cancelled", "job %s is reported cancelled before dependent job %s has ended", u.job.ID, id)
 					}
 				}
 				u.notePhase(a.Status.Phase)
@@ -712,10 +712,10 @@
 	}
 	if phase != u.knownPhase && (u.knownPhase == "" || phase != wire.PhaseQueued) {
 		u.knownPhase = phase
-		u.w.probe(u.job.ID, false)
+		u.world.probe(u.job.ID, false)
 	}
 	if phase == wire.PhaseCancelled {
-		u.w.Rules.CancelConfirmed(u.job.ID, u.w.now+Micros(u.w.Config.Params.Workers.Cancel*1e6))
+		u.world.Checker.CancelConfirmed(u.job.ID, u.world.now+Micros(u.world.Config.Params.Workers.Cancel*1e6))
 	}
 }
 
