--- a/internal/sim/script.go
+++ b/internal/sim/script.go
@@ -20,8 +20,8 @@
 type script struct {
 	world       *World
 	endTime     Micros
-	checks      []func() error
-	currentLine int // number of the line that is being read or run
+	checks      []func() error // run at the end; the first error fails the scenario
+	currentLine int            // number of the line that is being read or run
 }
 
 // args holds the arguments of a verb: its words, in order, and its key=value pairs.
@@ -69,7 +69,7 @@
 	return Micros(a.number(key, defaultValue) * 1e6)
 }
 
-// cutMode returns how a link is cut: Hold with the flag hold, otherwise Drop.
+// cutMode returns how a link is cut: CutHold with the flag hold, otherwise CutDrop.
 func (a args) cutMode() Cut {
 	if a.hasFlag("hold") {
 		return CutHold
@@ -80,7 +80,7 @@
 // hasFlag reports whether flag is one of the words.
 func (a args) hasFlag(flag string) bool { return slices.Contains(a.words, flag) }
 
-// Play runs a scenario. It returns an error for an invalid line, a violated rule of the Checker
+// RunScenario runs a scenario. It returns an error for an invalid line, a violated rule of the Checker
 // or a failed expectation.
 func RunScenario(text string) (err error) {
 	s := &script{endTime: 300 * second}
@@ -115,7 +115,7 @@
 		}
 		seconds, err := strconv.ParseFloat(fields[1], 64)
 		if err != nil {
-			panic("at: " + fields[1] + " is no time")
+			panic("at: " + fields[1] + " is not a time")
 		}
 		at, fields = Micros(seconds*1e6), fields[2:]
 	}
@@ -181,7 +181,7 @@
 		if leader := s.world.Leader(); leader != nil {
 			return leader
 		}
-		panic("there is no leader now")
+		panic("there is no leader")
 	}
 	if name == "follower" {
 		for _, n := range s.world.Nodes {
@@ -208,7 +208,7 @@
 				}
 			}
 		}
-		panic("no machine runs " + job)
+		panic("no machine runs job " + job)
 	}
 	if machine := s.world.Cloud.Machines[a.pairs["machine"]]; machine != nil {
 		return machine
@@ -243,8 +243,8 @@
 	"late-rent": true, "late-return": true, "no-boot": true, "hang": true, "deaf": true, "mute": true, "dead": true, "copies": true, "reborn": true, "sick": true,
 	"notice": true, "take": true, "wave": true, "upgrade": true}
 
-// compile returns the action of a line. The action of a fault also tells the checker until when
-// the fault lasts.
+// compile returns the action of a line. The action of a fault also extends the
+// checker's fault window to the end of the fault.
 func (s *script) compile(verb string, a args) func() {
 	action := s.action(verb, a)
 	if action == nil || !faultVerbs[verb] {
--- a/internal/sim/script_setup.go
+++ b/internal/sim/script_setup.go
@@ -18,7 +18,7 @@
 func (s *script) doRun(a args) func() {
 	seconds, err := strconv.ParseFloat(a.word(0), 64)
 	if err != nil {
-		panic("run: " + a.word(0))
+		panic("run: " + a.word(0) + " is not a time")
 	}
 	return func() { s.endTime = Micros(seconds * 1e6) }
 }
@@ -148,7 +148,7 @@
 	return func() { w.CheckCancelCascade = true }
 }
 
-// doOld makes controllers start with the version in production.
+// doOld makes controllers start with the old version, which is in production.
 func (s *script) doOld(a args) func() {
 	w := s.world
 	return func() {
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -60,17 +60,17 @@
 	for line, want := range map[string]string{
 		"explode node-1":           "unknown verb explode",
 		"at":                       "at: a time and a verb are needed",
-		"at soon kill leader":      "soon is no time",
+		"at soon kill leader":      "at: soon is not a time",
 		"at 3 kill node-9":         "no node node-9",
 		"at 3 kill leader for=x":   "for=x: not a number",
-		"at 3 cancel req-000009":   "nobody submitted req-000009",
-		"at 3 resubmit req-000009": "nobody submitted req-000009",
-		"at 3 hang of=req-000009":  "no machine runs req-000009",
-		"at 3 mute of=req-000009":  "no machine runs req-000009",
+		"at 3 cancel req-000009":   "cancel: job req-000009 was never submitted",
+		"at 3 resubmit req-000009": "resubmit: job req-000009 was never submitted",
+		"at 3 hang of=req-000009":  "no machine runs job req-000009",
+		"at 3 mute of=req-000009":  "no machine runs job req-000009",
 		"at 3 zone-cut a node-9":   "no node node-9",
 		"late-writes share=most":   "share=most: not a number",
-		"submit req-000001 choir":  "kind or priority of req-000001",
-		"run long":                 "run: long",
+		"submit req-000001 choir":  "submit: unknown kind or priority of req-000001",
+		"run long":                 "run: long is not a time",
 	} {
 		err := RunScenario("type t cpus=8 boot=10\n\n" + line + "\nrun 5\n")
 		if err == nil || !strings.HasPrefix(err.Error(), "line 3: ") || !strings.Contains(err.Error(), want) {
@@ -228,18 +228,18 @@
 		unhealthy     bool
 		wantViolation bool
 	}{
-		"array":                 {job: wire.Job{Kind: wire.KindArray, Tasks: 9, CPUs: 4}, wantViolation: true},
-		"gang":                  {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2}, wantViolation: true},
-		"gang of five":          {job: wire.Job{Kind: wire.KindGang, Tasks: 5, CPUs: 2}},
-		"gang in one zone":      {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2, OneZone: true}},
-		"gang spread":           {job: wire.Job{Kind: wire.KindGang, Tasks: 2, CPUs: 2, Spread: true}, wantViolation: true},
-		"too large":             {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 5}},
-		"zone":                  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Zone: "c"}},
-		"type":                  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Types: []string{"u"}}},
-		"limit":                 {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 2}, limit: 1},
-		"under the limit":       {job: wire.Job{Kind: wire.KindArray, Tasks: 8, CPUs: 1}, limit: 1, wantViolation: true},
-		"on unhealthy machines": {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1}, unhealthy: true},
-		"spread too widely":     {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 4, Spread: true}},
+		"array":                  {job: wire.Job{Kind: wire.KindArray, Tasks: 9, CPUs: 4}, wantViolation: true},
+		"gang":                   {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2}, wantViolation: true},
+		"gang of five":           {job: wire.Job{Kind: wire.KindGang, Tasks: 5, CPUs: 2}},
+		"gang in one zone":       {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2, OneZone: true}},
+		"gang spread":            {job: wire.Job{Kind: wire.KindGang, Tasks: 2, CPUs: 2, Spread: true}, wantViolation: true},
+		"too large":              {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 5}},
+		"zone":                   {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Zone: "c"}},
+		"type":                   {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Types: []string{"u"}}},
+		"limit":                  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 2}, limit: 1},
+		"under the limit":        {job: wire.Job{Kind: wire.KindArray, Tasks: 8, CPUs: 1}, limit: 1, wantViolation: true},
+		"on unhealthy machines":  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1}, unhealthy: true},
+		"gang spread, too large": {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 4, Spread: true}},
 	} {
 		w := NewWorld(1, []string{"a", "b"}, 7)
 		for _, zone := range []string{"a", "b"} {
