--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// fitCmd is the command fit.
+// fitCmd is the command fit. It prints the linear models of resource usage.
 type fitCmd struct {
 	Reports []string `arg:"" type:"existingfile" help:"JSON reports of runs with at least three different numbers of workers."`
 }
@@ -157,8 +157,9 @@
 	return scale.Fits(reports)
 }
 
+// main exits with code 0, 1 (see errViolations) or 2.
 func main() {
-	ctx := kong.Parse(&cli, kong.Description("Plays a deployment of thousands of workers on this machine and measures each role."))
+	ctx := kong.Parse(&cli, kong.Description("Runs load tests of a deployment of thousands of workers on this machine and measures each controller."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "scaletest:", err)
 		if errors.Is(err, errViolations) {
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// expectedValue returns the value that the fit of the quantity model predicts for a phase.
+// expectedValue returns the value of a quantity that its fit predicts for a phase.
 func expectedValue(fits []Fit, quantity string, r *Report, p *Result) float64 {
 	sum := 0.0
 	for _, f := range fits {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -50,7 +50,8 @@
 	RedirectedReports uint64  `json:"Redirected"` // answered with the name of another controller
 	FailedReports     uint64  `json:"Failed"`     // unanswered, or answered with neither success nor a redirect
 	LeasesLost        int     // leases that expired at workers with tasks
-	// Bytes per worker and second in the bodies of reports, answers and orders.
+	// WorkerBytesPerSecond counts the bytes per worker in the bodies of reports, their
+	// answers and command batches.
 	WorkerBytesPerSecond float64 `json:"WorkerBytes"`
 	Controllers          []PhaseUsage
 	Harness              PhaseUsage `json:"Stand"` // this process: simulated workers, state service, cloud and users
@@ -61,7 +62,8 @@
 	Name  string
 	Leads bool    // whether the controller leads at the end of the phase
 	Cores float64 // mean number of cores in use
-	// Cores that the fits of earlier runs predict; 0 if SetExpected was not called.
+	// ExpectedCores is the number of cores that the fits of earlier runs predict; 0 if
+	// SetExpected was not called.
 	ExpectedCores float64 `json:"Expected"`
 	CPUWait       float64 `json:"Waited"` // mean number of threads that were ready to run but had no core
 	ResidentMB    float64 `json:"MB"`     // resident memory at the end, in MiB
--- a/internal/scale/testdata/relay.star
+++ b/internal/scale/testdata/relay.star
@@ -1,3 +1,3 @@
-# Followers relay workers' connections already from one worker on, for small runs.
+# Followers relay workers' connections from the first worker on, so that small runs cover it.
 relay = True
 relay_workers = 1
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -106,7 +106,7 @@
 
 // Upper bounds of what the simulated environment needs in this process.
 const (
-	workerSockets = 4         // per worker: a listener, a connection to a controller, connections for orders
+	workerSockets = 4         // per worker: a listener, a connection to a controller, connections for command batches
 	otherSockets  = 1000      // state service, cloud and users
 	workerBytes   = 300 << 10 // memory per simulated worker, with a margin
 )
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -30,7 +30,7 @@
 	refused       atomic.Int64 // submission requests that were not accepted or got no answer
 
 	mu            sync.Mutex              // guards the fields below
-	pending       map[string]bool         // ids of jobs not accepted or, apart from services, not done
+	pending       map[string]bool         // IDs of jobs not accepted or, apart from services, not done
 	acceptLatency *hdrhistogram.Histogram // milliseconds from a job's first submission request to its acceptance
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// submit gives a job its id and team and starts a user who submits it and, unless it is a
+// submit gives a job its ID and team and starts a user who submits it and, unless it is a
 // service, polls it until it is done.
 func (u *users) submit(job *wire.Job) {
 	number := int(u.lastJobNumber.Add(1))
--- a/internal/sim/bounds_test.go
+++ b/internal/sim/bounds_test.go
@@ -85,8 +85,9 @@
 	return float64(m.HeapAlloc)
 }
 
-// TestFrames checks that a greeting with its answer's contents fits in a frame, with more
-// teams and classes than any deployment has and as many refused jobs as a node reports.
+// TestFrames checks that a Hello message that also has the contents of its answer fits in
+// a frame, with more teams and classes than any deployment has and as many refused jobs as
+// a node reports.
 func TestFrames(t *testing.T) {
 	const accounts = 50 * 20
 	m := &peer.Msg{Kind: fb.KindHello, AdmissionNotice: &admit.Notice{Accounts: make([]admit.Arrivals, accounts), Refusals: make([]admit.Refusal, 512)},
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -117,8 +117,9 @@
 // cloud returns the cloud of the client's environment.
 func (c *cloudClient) cloud() *Cloud { return c.env.node.world.Cloud }
 
-// call runs f at the cloud after 80 ms and delivers the answer by the function that f
-// returns. In an outage refused is called; without an answer in 5 s, unknown.
+// call runs f at the cloud after 80 ms; the function that f returns then delivers the
+// answer at the node. During an outage refused is called instead, and without an answer
+// within 5 s, unknown.
 func (c *cloudClient) call(f func() func(), refused, unknown func()) {
 	w := c.env.node.world
 	w.call(c.env.node.name, "cloud", 5*second, func(respond func(func())) {
--- a/internal/sim/real_test.go
+++ b/internal/sim/real_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// ask sends a request to the controller that the attempt number selects and returns the
+// sendRequest sends a request to the controller that the attempt number selects and returns the
 // status, 0 without an answer. Half of the requests use a connection that was used before
 // and may be half open.
 func (d *deployment) sendRequest(attempt int, method, path string, in any) (int, wire.JobStatus) {
@@ -145,7 +145,7 @@
 	}, "--policy", "../scale/testdata/relay.star")
 }
 
-// playReal runs jobs to their end while it kills controllers and calls injectFault, about
+// runJobsDuringFaults runs jobs to their end while it kills controllers and calls injectFault, about
 // thirty times a second.
 func runJobsDuringFaults(t *testing.T, injectFault func(d *deployment, round int), args ...string) {
 	d := deploy(t, args)
--- a/internal/sim/real_time_server.go
+++ b/internal/sim/real_time_server.go
@@ -21,8 +21,9 @@
 
 // RealTimeServer runs a simulated environment in real time on loopback. Its state service,
 // cloud and workers serve controllers that are real processes, over HTTP. The checker's
-// rules apply as in virtual time, but whoever submits jobs must tell the checker (AddJob,
-// BeginRequest, CheckSubmitAnswer, CheckStatusAnswer).
+// rules apply as in virtual time, but whoever submits jobs must report them, their
+// requests and the answers to the checker (AddJob, BeginRequest, CheckSubmitAnswer,
+// CheckStatusAnswer).
 type RealTimeServer struct {
 	mu          sync.Mutex // guards the simulated environment
 	world       *World
@@ -428,8 +429,9 @@
 	return server, settings, nil
 }
 
-// Controllers listen on ports below the system's range for outgoing connections, since a
-// controller that is killed and restarted could otherwise find its port taken by one.
+// firstPort and lastPort limit the ports on which controllers listen. They are below the
+// system's range for outgoing connections, since a controller that is killed and restarted
+// could otherwise find its port taken by such a connection.
 const firstPort, lastPort = 10_000, 30_000
 
 // freePort returns an address on loopback where nothing listens at present.
--- a/internal/sim/repeat_test.go
+++ b/internal/sim/repeat_test.go
@@ -8,8 +8,8 @@
 
 // TestScenarioIsDeterministic runs a random scenario several times and requires the same
 // log each time, since otherwise a failing seed could not be reproduced. Controllers that
-// greet their peers or forward submissions in the iteration order of a map break this
-// while users probe them.
+// send Hello messages to their peers or forward submissions in the iteration order of a
+// map break this while users probe them.
 func TestScenarioIsDeterministic(t *testing.T) {
 	const scenario = `relay
 report-changes
--- a/internal/sim/script_chaos.go
+++ b/internal/sim/script_chaos.go
@@ -28,7 +28,7 @@
 	// pairedFaults adds a second fault within 8 s of each, and more cancellations.
 	pairedFaults  bool
 	submittedJobs int
-	waveKinds     []string
+	waveKinds     []string // kinds of faults that a wave may have; see doWave
 }
 
 // schedule draws all jobs and faults of the run.
--- a/internal/sim/script_network.go
+++ b/internal/sim/script_network.go
@@ -103,7 +103,7 @@
 }
 
 // doMute loses the outbound traffic of a machine: its reports reach no controller, while command
-// batches reach it.
+// batches sent directly to it arrive and are answered.
 func (s *script) doMute(a args) func() {
 	w := s.world
 	return func() {
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -385,9 +385,9 @@
 // state returns the state service of the client's environment.
 func (c *stateClient) state() *State { return c.env.node.world.State }
 
-// call runs f at the service and delivers the answer by the function that f returns. If
-// the service has an outage or refuses the node, refused is called; without an answer in
-// 1.5 s, unknown.
+// call runs f at the service; the function that f returns then delivers the answer at the
+// node. If the service has an outage or refuses the node, refused is called instead, and
+// without an answer within 1.5 s, unknown.
 func (c *stateClient) call(f func() func(), refused, unknown func()) {
 	s := c.state()
 	c.env.node.world.call(c.env.node.name, "state", 1500*millisecond, func(respond func(func())) {
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -105,7 +105,7 @@
 	x.tasks, x.taskOrder = map[string]*simTask{}, nil
 }
 
-// noteRemoved voids a task's timers and tells the checker that it is off the machine.
+// noteRemoved voids a task's timers and notifies the checker that it is off the machine.
 func (x *Worker) noteRemoved(t *simTask) {
 	t.stateVersion++
 	x.world.Checker.TaskRemoved(t.task, x.id, x.zone)
@@ -314,9 +314,9 @@
 	}
 }
 
-// startTask starts a task unless another attempt of it is on the machine or resources
-// are lacking. The task
-// fetches its image first; a gang task then waits for the other tasks of its gang.
+// startTask starts a task. The task fetches its image first; a gang task then waits for the
+// other tasks of its gang. If its job is unknown, another attempt of the task is on
+// the machine, or the resources do not suffice, the task exits at once.
 func (x *Worker) startTask(key, task string, attempt uint64) {
 	id, _, _ := wire.SplitTask(task)
 	t := &simTask{task: task, attempt: attempt, state: wire.TaskFetching}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -40,7 +40,7 @@
 	run func()
 }
 
-// events is a heap of events, ordered by time.
+// events is a heap of events, ordered by time; its methods implement heap.Interface.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -82,7 +82,7 @@
 	// CheckCancelCascade makes User.Cancel check that dependent jobs are cancelled first.
 	// It is meant for runs without faults of the state service.
 	CheckCancelCascade bool
-	// NextOrderDelay delays the next command batch sent directly to a worker; it gets no answer.
+	// NextCommandBatchDelay delays the next command batch sent directly to a worker; it gets no answer.
 	NextCommandBatchDelay Micros
 	// ReportDelay delays every report. LinkDelay delays every message by a random span
 	// between 0.25 and 1.25 times its value.
@@ -199,7 +199,7 @@
 	return [2]string{a, b}
 }
 
-// SetCut interrupts the link between two hosts or, with None, restores it, which
+// SetCut interrupts the link between two hosts or, with CutNone, restores it, which
 // delivers the held messages in order.
 func (w *World) SetCut(a, b string, cut Cut) {
 	key := linkKey(a, b)
@@ -304,7 +304,7 @@
 }
 
 // call sends a request and delivers its response. If there is no response within the
-// limit, fail is called and a later response is ignored.
+// timeout, fail is called and a later response is ignored.
 func (w *World) call(from, to string, timeout Micros, serve func(respond func(func())), fail func()) {
 	finished := false
 	w.send(from, to, func() {
@@ -407,7 +407,8 @@
 	})
 }
 
-// env is the environment of a controller during one incarnation of its node.
+// env is the environment (controller.Env) of a controller during one incarnation of its
+// node.
 type env struct {
 	node        *Node
 	incarnation int
@@ -453,7 +454,8 @@
 	}, e.whileRunning(func() { done(nil) }))
 }
 
-// SendOrders sends a command batch directly to the worker at an address.
+// SendOrders sends a command batch directly to the worker at an address; see
+// World.NextCommandBatchDelay.
 func (e *env) SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report)) {
 	w := e.node.world
 	body := wire.Encode(o)
@@ -527,7 +529,7 @@
 	return u
 }
 
-// ask sends a request to a random node that is ready, or to the node of the user's open
+// sendRequest sends a request to a random node that is ready, or to the node of the user's open
 // connection, and checks the answer. Without such a node the answer is 503.
 func (u *User) sendRequest(req request, check func(knownFacts, controller.Answer)) {
 	w := u.world
@@ -549,7 +551,7 @@
 // request is a user's request, as a call of a controller.
 type request = func(c *controller.Core, reply func(controller.Answer))
 
-// askNode sends a user's request to a node. A timeout gives an answer with code 0.
+// sendRequestTo sends a user's request to a node. A timeout gives an answer with code 0.
 func (w *World) sendRequestTo(n *Node, req request, done func(controller.Answer)) {
 	w.call("users", n.name, 5*second, func(respond func(func())) {
 		n.runWhenActive(func() { req(n.core, func(a controller.Answer) { respond(func() { done(a) }) }) })
@@ -591,7 +593,7 @@
 	}
 	resubmitTo := w.Nodes[p.rng.IntN(len(w.Nodes))]
 	sendAfter(Micros(p.rng.Int64N(int64(500*millisecond))), resubmitTo, u.submission, w.Checker.CheckSubmitAnswer)
-	if finished && p.rng.Float64() < p.cancelShare { // the leader learns of the end within a report interval
+	if finished && p.rng.Float64() < p.cancelShare { // sent around the time at which the leader learns of the end, a report interval at most
 		n := w.Nodes[p.rng.IntN(len(w.Nodes))]
 		sendAfter(Micros(p.rng.Int64N(int64(w.Config.Params.Workers.Report*1.5e6))), n, func(c *controller.Core, reply func(controller.Answer)) {
 			w.Checker.CancelRequested(id)
@@ -611,9 +613,10 @@
 // submit submits the job until it is accepted or rejected.
 func (u *User) submit() { u.submitWith(u.submission) }
 
-// submission submits the user's job; malformedSubmission does the same with a field missing.
+// submission submits the user's job.
 func (u *User) submission(c *controller.Core, reply func(controller.Answer)) { c.Submit(u.job, reply) }
 
+// malformedSubmission submits the user's job as a request that lacks a field.
 func (u *User) malformedSubmission(c *controller.Core, reply func(controller.Answer)) {
 	c.RejectMalformed(u.job.ID, "a field is missing", reply)
 }
