--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -92,7 +92,7 @@
 	return ids, true
 }
 
-// remove takes a machine away with everything on it and frees its capacity.
+// remove ends a machine with everything on it and frees its capacity.
 func (c *Cloud) remove(id string) {
 	x := c.Machines[id]
 	if x == nil {
--- a/internal/sim/real_test.go
+++ b/internal/sim/real_test.go
@@ -28,10 +28,10 @@
 	bin         string
 	simServer   *RealTimeServer
 	dir         string
-	nodes       []config.Config
+	configs     []config.Config
 	procs       []*exec.Cmd
 	keptClients []*rpc.Client // connections that users keep using
-	args        []string      // arguments of the program in addition to its settings
+	args        []string      // arguments of the program in addition to --with and --config
 }
 
 // deploy builds the program and starts three controllers with a simulated environment.
@@ -42,23 +42,23 @@
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	var err error
-	if d.simServer, d.nodes, err = StartLoopback(len(d.procs)); err != nil {
+	if d.simServer, d.configs, err = StartLoopback(len(d.procs)); err != nil {
 		t.Fatal(err)
 	}
-	for i := range d.nodes {
-		raw, err := json.Marshal(&d.nodes[i])
+	for i := range d.configs {
+		raw, err := json.Marshal(&d.configs[i])
 		if err == nil {
-			err = os.WriteFile(d.settings(i), raw, 0o600)
+			err = os.WriteFile(d.configPath(i), raw, 0o600)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.start(i)
-		d.keptClients = append(d.keptClients, rpc.New(d.nodes[i].Listen))
+		d.startController(i)
+		d.keptClients = append(d.keptClients, rpc.New(d.configs[i].Listen))
 	}
 	t.Cleanup(func() {
-		for i := range d.nodes {
-			d.kill(i)
+		for i := range d.configs {
+			d.killController(i)
 		}
 		if err := d.simServer.Close(); err != nil {
 			t.Error(err)
@@ -67,12 +67,12 @@
 	return d
 }
 
-// settings returns the path of a controller's settings file.
-func (d *deployment) settings(i int) string { return filepath.Join(d.dir, d.nodes[i].Name+".json") }
+// configPath returns the path of a controller's configuration file.
+func (d *deployment) configPath(i int) string { return filepath.Join(d.dir, d.configs[i].Name+".json") }
 
-// start starts a controller's process.
-func (d *deployment) start(i int) {
-	cmd := exec.Command(d.bin, append([]string{"--with", "admission", "--config", d.settings(i)}, d.args...)...)
+// startController starts a controller's process.
+func (d *deployment) startController(i int) {
+	cmd := exec.Command(d.bin, append([]string{"--with", "admission", "--config", d.configPath(i)}, d.args...)...)
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
 		d.t.Fatal(err)
@@ -80,8 +80,8 @@
 	d.procs[i] = cmd
 }
 
-// kill kills a controller's process.
-func (d *deployment) kill(i int) {
+// killController kills a controller's process.
+func (d *deployment) killController(i int) {
 	if cmd := d.procs[i]; cmd != nil {
 		cmd.Process.Kill()
 		cmd.Wait() // returns an error since the process was killed
@@ -93,10 +93,10 @@
 // and may be half open.
 func (d *deployment) sendRequest(attempt int, method, path string, in any) (int, wire.JobStatus) {
 	var st wire.JobStatus
-	node := attempt % len(d.nodes)
+	node := attempt % len(d.configs)
 	c := d.keptClients[node]
-	if attempt/len(d.nodes)%2 == 0 {
-		c = rpc.NewSingleUse(d.nodes[node].Listen)
+	if attempt/len(d.configs)%2 == 0 {
+		c = rpc.NewSingleUse(d.configs[node].Listen)
 	}
 	status, _, _, err := c.Call(method, path, in, &st, 2*time.Second)
 	if err != nil {
@@ -145,8 +145,8 @@
 	}, "--policy", "../scale/testdata/relay.star")
 }
 
-// runJobsDuringFaults runs jobs to their end while it kills controllers and calls injectFault, about
-// thirty times a second.
+// runJobsDuringFaults runs jobs to their end while it kills controllers and calls
+// injectFault about thirty times a second.
 func runJobsDuringFaults(t *testing.T, injectFault func(d *deployment, round int), args ...string) {
 	d := deploy(t, args)
 	jobs := make([]*wire.Job, 40)
@@ -161,19 +161,19 @@
 		round++
 		injectFault(d, round)
 		if round%8 == 0 && time.Since(start) < 15*time.Second {
-			victim := round / 8 % len(d.nodes)
+			victim := round / 8 % len(d.configs)
 			if round%16 == 0 { // the leader
 				d.simServer.WithWorld(func(w *World) {
-					for i := range d.nodes {
-						if d.nodes[i].Name == w.State.Leader() {
+					for i := range d.configs {
+						if d.configs[i].Name == w.State.Leader() {
 							victim = i
 						}
 					}
 				})
 			}
-			d.kill(victim)
+			d.killController(victim)
 			time.Sleep(time.Duration(round%5) * 10 * time.Millisecond)
-			d.start(victim)
+			d.startController(victim)
 			kills++
 		}
 		for i, j := range jobs {
@@ -220,7 +220,7 @@
 func TestRealSecondProcess(t *testing.T) {
 	d := deploy(t, nil)
 	time.Sleep(300 * time.Millisecond)
-	err := exec.Command(d.bin, "--config", d.settings(0)).Run()
+	err := exec.Command(d.bin, "--config", d.configPath(0)).Run()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 {
 		t.Errorf("second process: got %v, want exit status 1", err)
--- a/internal/sim/real_time_server.go
+++ b/internal/sim/real_time_server.go
@@ -135,7 +135,7 @@
 		status, report := http.StatusServiceUnavailable, (*wire.Report)(nil)
 		rt.WithWorld(func(*World) {
 			switch {
-			case x.dead || x.hung:
+			case x.dead || x.suspended:
 			case r.URL.Path == "/show":
 				status, report = http.StatusOK, x.snapshot()
 			default:
@@ -382,7 +382,7 @@
 
 // StartLoopback starts a small environment with the given number of controllers: one zone
 // and machines that boot in half a second. The caller starts the controllers with the
-// returned settings.
+// returned configurations.
 func StartLoopback(nodes int) (*RealTimeServer, []config.Config, error) {
 	w := NewWorld(nodes, []string{"a"}, 7)
 	p := &w.Config.Params
@@ -396,13 +396,13 @@
 }
 
 // Deploy starts to run an environment whose controllers are spread over its zones. The
-// caller starts the controllers with the returned settings.
+// caller starts the controllers with the returned configurations.
 func Deploy(w *World) (*RealTimeServer, []config.Config, error) {
 	zones := w.Config.Params.Zones
-	settings := make([]config.Config, len(w.Nodes))
+	configs := make([]config.Config, len(w.Nodes))
 	listen := map[string]string{}
-	for i := range settings {
-		c := &settings[i]
+	for i := range configs {
+		c := &configs[i]
 		*c = w.Config
 		c.Name, c.Zone = w.Nodes[i].name, zones[i%len(zones)]
 		var err1, err2 error
@@ -417,16 +417,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	for i := range settings {
-		c := &settings[i]
+	for i := range configs {
+		c := &configs[i]
 		c.Endpoints.State, c.Endpoints.Cloud = server.StateAddr, server.CloudAddr
-		for j, o := range settings {
+		for j, o := range configs {
 			if j != i {
 				c.Peers = append(c.Peers, config.Peer{Name: o.Name, Zone: o.Zone, Addr: o.PeerListen})
 			}
 		}
 	}
-	return server, settings, nil
+	return server, configs, nil
 }
 
 // firstPort and lastPort limit the ports on which controllers listen. They are below the
--- a/internal/sim/script.go
+++ b/internal/sim/script.go
@@ -80,8 +80,8 @@
 // hasFlag reports whether flag is one of the words.
 func (a args) hasFlag(flag string) bool { return slices.Contains(a.words, flag) }
 
-// RunScenario runs a scenario. It returns an error for an invalid line, a violated rule of the Checker
-// or a failed expectation.
+// RunScenario runs a scenario. It returns an error for an invalid line, a violated rule of the
+// Checker or a failed expectation.
 func RunScenario(text string) (err error) {
 	s := &script{endTime: 300 * second}
 	defer func() {
@@ -347,8 +347,8 @@
 	})
 }
 
-// checkFinished returns a check that a job is done or, if a user asked to cancel it or a job that it
-// awaits, cancelled.
+// checkFinished returns a check that a job is done or, if a user asked to cancel it or a job that
+// it awaits, cancelled.
 func (s *script) checkFinished(id string) func() error {
 	return func() error {
 		user := s.world.Users[id]
--- a/internal/sim/script_machines.go
+++ b/internal/sim/script_machines.go
@@ -15,8 +15,8 @@
 	w := s.world
 	return func() {
 		machine := s.worker(a)
-		machine.Hang(true)
-		w.After(a.duration("for", 5), func() { machine.Hang(false) })
+		machine.SetSuspended(true)
+		w.After(a.duration("for", 5), func() { machine.SetSuspended(false) })
 	}
 }
 
@@ -58,8 +58,8 @@
 			}
 			switch machine := w.Cloud.Machines[id]; a.word(0) {
 			case "hang":
-				machine.Hang(true)
-				w.After(a.duration("for", 10), func() { machine.Hang(false) })
+				machine.SetSuspended(true)
+				w.After(a.duration("for", 10), func() { machine.SetSuspended(false) })
 			case "cut":
 				s.compile("isolate", args{words: []string{"", "hold"}, pairs: map[string]string{"machine": id, "for": a.pairs["for"]}})()
 			case "deaf":
--- a/internal/sim/script_nodes.go
+++ b/internal/sim/script_nodes.go
@@ -37,7 +37,7 @@
 
 // doFreeze suspends a controller process for some time while its clocks run on.
 func (s *script) doFreeze(a args) func() {
-	return func() { s.node(a.word(0)).Freeze(a.duration("for", 5)) }
+	return func() { s.node(a.word(0)).Suspend(a.duration("for", 5)) }
 }
 
 // doTwin starts another controller process, on its own machine, under the name of an existing one.
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -34,15 +34,15 @@
 	WriteDelays      *delayedWrites    // applies a share of all nodes' transactions late, without an answer; nil: none
 	DelayedTxns      int               // transactions applied late so far
 
-	WriteRateOverride float64 // changes per second allowed instead of the settings' rate; 0: the settings' rate
-	tokens            float64 // changes allowed now (token bucket)
-	tokensUpdatedAt   Micros  // when tokens were last added
-	NextLimitsInForce bool    // the lower of the present and the announced limits apply
-	LargestValue      int     // size in bytes of the largest value in a transaction
-	RefusedTxns       int     // transactions answered with 400 or 429
-	PeakRequests      int     // largest number of requests in one second
-	currentSecond     Micros  // the second that requestsInSecond counts
-	requestsInSecond  int     // requests in currentSecond
+	WriteRateOverride    float64 // changes per second allowed instead of the settings' rate; 0: the settings' rate
+	writeTokens          float64 // changes allowed now (token bucket)
+	writeTokensUpdatedAt Micros  // when tokens were last added
+	NextLimitsInForce    bool    // the lower of the present and the announced limits apply
+	LargestValue         int     // size in bytes of the largest value in a transaction
+	RefusedTxns          int     // transactions answered with 400 or 429
+	PeakRequests         int     // largest number of requests in one second
+	currentSecond        Micros  // the second that requestsInSecond counts
+	requestsInSecond     int     // requests in currentSecond
 }
 
 // lease is a lease with its lifetime; keys attached to it are deleted when it expires.
@@ -62,7 +62,7 @@
 // newState returns an empty state service that checks its leases every 50 ms.
 func newState(w *World) *State {
 	s := &State{world: w, items: map[string]*wire.Item{}, groupKeys: map[string]string{}, leases: map[uint64]*lease{},
-		RefusedNodes: map[string]bool{}, NextTxnDelay: map[string]Micros{}, LoseNextAnswer: map[string]bool{}, tokens: 1e9}
+		RefusedNodes: map[string]bool{}, NextTxnDelay: map[string]Micros{}, LoseNextAnswer: map[string]bool{}, writeTokens: 1e9}
 	var expire func()
 	expire = func() {
 		if !s.Outage {
@@ -356,17 +356,17 @@
 			invalid = invalid || wire.JSONSize(c.Value) > limits.ValueBytes()
 		}
 	}
-	s.tokens = min(limits.WriteRPS, s.tokens+(s.world.now-s.tokensUpdatedAt).Seconds()*limits.WriteRPS)
-	s.tokensUpdatedAt = s.world.now
+	s.writeTokens = min(limits.WriteRPS, s.writeTokens+(s.world.now-s.writeTokensUpdatedAt).Seconds()*limits.WriteRPS)
+	s.writeTokensUpdatedAt = s.world.now
 	switch {
 	case invalid:
 		s.RefusedTxns++
 		return store.Invalid
-	case s.tokens < float64(len(t.Then)):
+	case s.writeTokens < float64(len(t.Then)):
 		s.RefusedTxns++
 		return store.RateLimited
 	}
-	s.tokens -= float64(len(t.Then))
+	s.writeTokens -= float64(len(t.Then))
 	return store.OK
 }
 
--- a/internal/sim/waiting.go
+++ b/internal/sim/waiting.go
@@ -105,7 +105,7 @@
 
 // canRun reports whether a machine is healthy and allowed to run tasks of a job.
 func (x *Worker) canRun(job *wire.Job) bool {
-	return x.up && !x.dead && !x.hung && !x.Unhealthy && x.reclaimAt == 0 && (job.Spot || !x.spot) &&
+	return x.up && !x.dead && !x.suspended && !x.Unhealthy && x.reclaimAt == 0 && (job.Spot || !x.spot) &&
 		(job.Zone == "" || job.Zone == x.zone) && (len(job.Types) == 0 || slices.Contains(job.Types, x.machineType.Name))
 }
 
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -16,18 +16,18 @@
 	spot        bool
 	rentedAt    Micros // when the cloud created the machine
 
-	up, dead, hung bool                // booted; ended for good; suspended
-	Unhealthy      bool                // every task fails half a second after it starts to run
-	session, seq   uint64              // of the reports
-	incarnation    int                 // answers to requests of an earlier incarnation are discarded
-	token          uint64              // highest token of a controller that the worker has accepted
-	nodeIndex      int                 // index of the node that it reports to
-	leaseRenewedAt Micros              // when the request was sent whose answer last renewed the worker's lease
-	tasks          map[string]*simTask // by task and attempt ("TASK#ATTEMPT")
-	taskOrder      []string            // keys of tasks in the order of their start
-	images         map[string]bool     // images that are in the cache
-	reclaimAt      Micros              // when the cloud takes the spot machine; 0: no notice
-	backlog        []func()            // work that waits until a suspended machine is resumed
+	up, dead, suspended bool                // booted; ended for good; suspended
+	Unhealthy           bool                // every task fails half a second after it starts to run
+	session, seq        uint64              // of the reports
+	incarnation         int                 // answers to requests of an earlier incarnation are discarded
+	token               uint64              // highest token of a controller that the worker has accepted
+	nodeIndex           int                 // index of the node that it reports to
+	leaseRenewedAt      Micros              // when the request was sent whose answer last renewed the worker's lease
+	tasks               map[string]*simTask // by task and attempt ("TASK#ATTEMPT")
+	taskOrder           []string            // keys of tasks in the order of their start
+	images              map[string]bool     // images that are in the cache
+	reclaimAt           Micros              // when the cloud reclaims the spot machine; 0: no notice
+	backlog             []func()            // work that waits until a suspended machine is resumed
 
 	lastReportAt     Micros // when the latest report was sent
 	awaitingAnswer   bool   // an answer, or the time to try another node, is awaited
@@ -111,9 +111,9 @@
 	x.world.Checker.TaskRemoved(t.task, x.id, x.zone)
 }
 
-// Hang suspends or resumes the machine.
-func (x *Worker) Hang(on bool) {
-	x.hung = on
+// SetSuspended suspends or resumes the machine.
+func (x *Worker) SetSuspended(on bool) {
+	x.suspended = on
 	if !on {
 		todo := x.backlog
 		x.backlog = nil
@@ -127,14 +127,14 @@
 func (x *Worker) runWhenActive(f func()) {
 	switch {
 	case x.dead:
-	case x.hung:
+	case x.suspended:
 		x.backlog = append(x.backlog, func() { x.runWhenActive(f) })
 	default:
 		f()
 	}
 }
 
-// SendSpotNotice announces that the cloud takes the spot machine after the delay.
+// SendSpotNotice announces that the cloud reclaims the spot machine after the delay.
 func (x *Worker) SendSpotNotice(delay Micros) {
 	x.reclaimAt = x.world.now + delay
 	x.world.After(delay, func() { x.world.Cloud.remove(x.id) })
@@ -161,7 +161,7 @@
 	if x.dead {
 		return
 	}
-	if x.hung {
+	if x.suspended {
 		x.backlog = append(x.backlog, x.report)
 		return
 	}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,7 +1,7 @@
 // Package sim runs controllers in virtual time against simulated versions of everything
 // around them: the state service, the cloud, the workers and the users. Scenario scripts
 // inject faults, and a Checker reports violations of the protocol's rules. Nothing in
-// virtual time sleeps or reads a clock, so a scenario always takes the same course.
+// virtual time sleeps or reads a clock, so every run of a scenario has the same sequence of events.
 // RealTimeServer serves the same environment over HTTP to real controller processes.
 //
 // The package is no part of the production program: tests and the load test in
@@ -56,14 +56,14 @@
 	return x
 }
 
-// Cut is what happens to messages on an interrupted link.
+// Cut is what happens to messages on a link.
 type Cut int
 
-// Kinds of interruption.
+// States of a link: working, or one of two kinds of cuts.
 const (
 	CutNone Cut = iota // the link works
 	CutDrop            // messages are lost
-	CutHold            // messages are delivered when the interruption ends
+	CutHold            // messages are delivered when the cut ends
 )
 
 // World is one simulated deployment with its environment.
@@ -82,7 +82,8 @@
 	// CheckCancelCascade makes User.Cancel check that dependent jobs are cancelled first.
 	// It is meant for runs without faults of the state service.
 	CheckCancelCascade bool
-	// NextCommandBatchDelay delays the next command batch sent directly to a worker; it gets no answer.
+	// NextCommandBatchDelay delays the next command batch sent directly to a worker; the
+	// batch gets no answer.
 	NextCommandBatchDelay Micros
 	// ReportDelay delays every report. LinkDelay delays every message by a random span
 	// between 0.25 and 1.25 times its value.
@@ -110,7 +111,7 @@
 	failingJobs   map[string]bool        // jobs whose tasks fail on every machine
 	prober        *prober                // nil: users don't probe
 	reportCopier  *reportCopier          // nil: reports are not copied
-	heldMessages  map[[2]string][]func() // messages held on interrupted links
+	heldMessages  map[[2]string][]func() // messages held on cut links
 }
 
 // NewWorld returns a simulated environment with the given number of controllers, which
@@ -161,7 +162,7 @@
 	}
 }
 
-// CutZone interrupts all traffic of a zone's machines to controllers, and all traffic to
+// CutZone drops all messages from a zone's machines to controllers, and all messages to
 // these machines, for a span of time.
 func (w *World) CutZone(zone string, span Micros) {
 	for _, id := range sortedKeys(w.Cloud.Machines) {
@@ -199,7 +200,7 @@
 	return [2]string{a, b}
 }
 
-// SetCut interrupts the link between two hosts or, with CutNone, restores it, which
+// SetCut cuts the link between two hosts or, with CutNone, restores it, which
 // delivers the held messages in order.
 func (w *World) SetCut(a, b string, cut Cut) {
 	key := linkKey(a, b)
@@ -212,7 +213,7 @@
 	}
 }
 
-// cutFor interrupts the link between two hosts for a span of time.
+// cutFor cuts the link between two hosts for a span of time.
 func (w *World) cutFor(a, b string, cut Cut, span Micros) {
 	w.SetCut(a, b, cut)
 	w.After(span, func() { w.SetCut(a, b, CutNone) })
@@ -335,10 +336,10 @@
 	core        *controller.Core
 	// socketUsage is the share of its connections that the node reports as in use.
 	socketUsage float64
-	// frozen means that the process is suspended while its clocks go on; its work queues up
+	// suspended means that the process is suspended while its clocks go on; its work queues up
 	// in backlog.
-	frozen  bool
-	backlog []func()
+	suspended bool
+	backlog   []func()
 }
 
 // Up reports whether the process is running.
@@ -372,7 +373,7 @@
 // Kill ends the process without a shutdown.
 func (n *Node) Kill() {
 	n.core = nil
-	n.frozen, n.backlog = false, nil
+	n.suspended, n.backlog = false, nil
 	n.incarnation++
 }
 
@@ -380,27 +381,27 @@
 func (n *Node) runWhenActive(f func()) {
 	switch {
 	case n.core == nil:
-	case n.frozen:
+	case n.suspended:
 		n.backlog = append(n.backlog, f)
 	default:
 		f()
 	}
 }
 
-// Freeze suspends the process for a span of time. Its clocks go on, and everything that
+// Suspend suspends the process for a span of time. Its clocks go on, and everything that
 // was due meanwhile runs when the process is resumed.
-func (n *Node) Freeze(span Micros) {
-	if n.core == nil || n.frozen {
+func (n *Node) Suspend(span Micros) {
+	if n.core == nil || n.suspended {
 		return
 	}
-	n.frozen = true
+	n.suspended = true
 	incarnation := n.incarnation
 	n.world.After(span, func() {
 		if n.incarnation != incarnation {
 			return
 		}
 		todo := n.backlog
-		n.frozen, n.backlog = false, nil
+		n.suspended, n.backlog = false, nil
 		for _, f := range todo {
 			n.runWhenActive(f)
 		}
@@ -537,7 +538,7 @@
 	done := func(a controller.Answer) { check(known, a) }
 	var candidates []*Node
 	for _, n := range w.Nodes {
-		if n.Up() && (n.name == u.connectedNode || u.connectedNode == "" && !n.frozen && n.core.Ready()) {
+		if n.Up() && (n.name == u.connectedNode || u.connectedNode == "" && !n.suspended && n.core.Ready()) {
 			candidates = append(candidates, n)
 		}
 	}
