--- a/cmd/lilacthread/main.go
+++ b/cmd/lilacthread/main.go
@@ -176,10 +176,10 @@
 	if err != nil {
 		return err
 	}
-	names := map[string]string{wire.PhaseCancelled: "cancelled"}
+	displayNames := map[string]string{wire.PhaseCancelled: "cancelled"}
 	phase := status.Phase
-	if n := names[phase]; n != "" {
-		phase = n
+	if displayName := displayNames[phase]; displayName != "" {
+		phase = displayName
 	}
 	return json.NewEncoder(os.Stdout).Encode(map[string]any{"id": status.ID, "state": phase, "done": status.Done, "running": status.Running})
 }
--- a/internal/admit/account.go
+++ b/internal/admit/account.go
@@ -44,42 +44,42 @@
 // NewAccountIndex numbers the accounts of the given teams, whose names must not be empty,
 // and of the classes that the objectives name.
 func NewAccountIndex(teams []string, objectives []Objective) *AccountIndex {
-	b := &AccountIndex{byAccount: map[Account]int{}, defaultAccounts: map[string]int{}}
+	index := &AccountIndex{byAccount: map[Account]int{}, defaultAccounts: map[string]int{}}
 	longest := map[string]Micros{}
-	for _, a := range objectives {
-		if a.Class != "" {
-			longest[a.Class] = max(longest[a.Class], a.Within)
+	for _, objective := range objectives {
+		if objective.Class != "" {
+			longest[objective.Class] = max(longest[objective.Class], objective.Within)
 		}
 	}
-	sum := xxhash.New()
-	add := func(a Account) {
-		b.byAccount[a] = len(b.Accounts)
-		b.Accounts, b.LongestTargets = append(b.Accounts, a), append(b.LongestTargets, longest[a.Class])
-		sum.WriteString(a.Team + "\x00" + a.Class + "\x00")
+	digest := xxhash.New()
+	add := func(account Account) {
+		index.byAccount[account] = len(index.Accounts)
+		index.Accounts, index.LongestTargets = append(index.Accounts, account), append(index.LongestTargets, longest[account.Class])
+		digest.WriteString(account.Team + "\x00" + account.Class + "\x00")
 	}
 	teams = slices.Clone(teams)
 	slices.Sort(teams)
 	for _, team := range slices.Compact(teams) {
-		b.defaultAccounts[team] = len(b.Accounts)
+		index.defaultAccounts[team] = len(index.Accounts)
 		add(Account{Team: team})
 		for _, class := range slices.Sorted(maps.Keys(longest)) {
 			add(Account{Team: team, Class: class})
 		}
 	}
-	b.Digest = uint32(sum.Sum64())
-	return b
+	index.Digest = uint32(digest.Sum64())
+	return index
 }
 
 // IndexOf returns the account number of a job, or -1 if the team is unknown.
-func (b *AccountIndex) IndexOf(team, class string) int {
-	if i, ok := b.byAccount[Account{team, class}]; ok {
+func (index *AccountIndex) IndexOf(team, class string) int {
+	if i, ok := index.byAccount[Account{team, class}]; ok {
 		return i
 	}
-	if i, ok := b.defaultAccounts[team]; ok {
+	if i, ok := index.defaultAccounts[team]; ok {
 		return i
 	}
 	return -1
 }
 
 // Len returns the number of accounts.
-func (b *AccountIndex) Len() int { return len(b.Accounts) }
+func (index *AccountIndex) Len() int { return len(index.Accounts) }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -14,11 +14,11 @@
 )
 
 func testAccounts(classes int) *AccountIndex {
-	var aims []Objective
+	var objectives []Objective
 	for i := range classes {
-		aims = append(aims, Objective{fmt.Sprintf("c%02d", i), Micros(100+i) * clock.Second})
+		objectives = append(objectives, Objective{fmt.Sprintf("c%02d", i), Micros(100+i) * clock.Second})
 	}
-	return NewAccountIndex([]string{"t", "u"}, aims)
+	return NewAccountIndex([]string{"t", "u"}, objectives)
 }
 
 // TestAccountIndex: unknown classes share one account, and other settings give another
@@ -57,55 +57,55 @@
 }
 
 // localTime is a controller's monotonic clock, up to 0.05% fast or slow.
-func (w *testCluster) localTime(node int) Micros { return w.now + w.now*Micros(w.skew[node])/10_000 }
+func (c *testCluster) localTime(node int) Micros { return c.now + c.now*Micros(c.skew[node])/10_000 }
 
 func newTestCluster(nodes, classes int, skew []int64) *testCluster {
-	w := &testCluster{accounts: testAccounts(classes), limits: LimitsOf(100, nodes), skew: skew, now: clock.Second, latest: make([]*Table, nodes)}
+	c := &testCluster{accounts: testAccounts(classes), limits: LimitsOf(100, nodes), skew: skew, now: clock.Second, latest: make([]*Table, nodes)}
 	for range nodes {
-		w.allowances = append(w.allowances, NewAllowance(w.accounts, w.limits))
+		c.allowances = append(c.allowances, NewAllowance(c.accounts, c.limits))
 	}
-	w.elect(0)
-	w.allocator.grantsFrom = 0 // no earlier leader
-	return w
+	c.elect(0)
+	c.allocator.grantsFrom = 0 // no earlier leader
+	return c
 }
 
-func (w *testCluster) elect(node int) {
-	w.term++
-	w.leader = node
-	w.allocator = NewAllocator(w.accounts, fmt.Sprint(node), w.term, w.localTime(node), w.limits)
+func (c *testCluster) elect(node int) {
+	c.term++
+	c.leader = node
+	c.allocator = NewAllocator(c.accounts, fmt.Sprint(node), c.term, c.localTime(node), c.limits)
 }
 
 // requestTable sends a controller's notice to the leader and puts the reply in flight.
-func (w *testCluster) requestTable(node int) {
-	now := w.localTime(w.leader)
-	w.allocator.RecordNotice(fmt.Sprint(node), w.allowances[node].Notice(func(int) int { return 0 }, w.localTime(node)), now)
-	w.inFlight = append(w.inFlight, tableReply{node, w.allowances[node], w.allocator.TableFor(fmt.Sprint(node), now), w.localTime(node)})
+func (c *testCluster) requestTable(node int) {
+	now := c.localTime(c.leader)
+	c.allocator.RecordNotice(fmt.Sprint(node), c.allowances[node].Notice(func(int) int { return 0 }, c.localTime(node)), now)
+	c.inFlight = append(c.inFlight, tableReply{node, c.allowances[node], c.allocator.TableFor(fmt.Sprint(node), now), c.localTime(node)})
 }
 
-func (w *testCluster) deliver(i int) error {
-	r := w.inFlight[i]
-	w.inFlight = slices.Delete(w.inFlight, i, i+1)
-	p := w.allowances[r.to]
+func (c *testCluster) deliver(i int) error {
+	r := c.inFlight[i]
+	c.inFlight = slices.Delete(c.inFlight, i, i+1)
+	p := c.allowances[r.to]
 	if p != r.recipient { // the controller restarted in between
 		return nil
 	}
 	if p.ApplyTable(r.table, r.requestedAt) {
-		if old := w.latest[r.to]; old != nil && !r.table.Newer(old) {
+		if old := c.latest[r.to]; old != nil && !r.table.Newer(old) {
 			return fmt.Errorf("table %d/%d replaced %d/%d", r.table.Term, r.table.Number, old.Term, old.Number)
 		}
-		w.latest[r.to] = r.table
+		c.latest[r.to] = r.table
 	}
 	return nil
 }
 
 // check verifies that the grants in use never exceed an account's rate or the pool, and that
 // equal tables give equal answers.
-func (w *testCluster) check() error {
-	inUse := make([]int64, w.accounts.Len())
+func (c *testCluster) check() error {
+	inUse := make([]int64, c.accounts.Len())
 	poolInUse := int64(0)
 	var tables map[[2]uint64][]Entry
-	for n, p := range w.allowances {
-		t := p.Table(w.localTime(n))
+	for n, p := range c.allowances {
+		t := p.Table(c.localTime(n))
 		if t == nil {
 			continue
 		}
@@ -115,7 +115,7 @@
 			sum += int64(e.NodeRate)
 		}
 		poolInUse += sum
-		if sum > 0 && n == w.leader && t.Term == w.term {
+		if sum > 0 && n == c.leader && t.Term == c.term {
 			return fmt.Errorf("the leader granted itself a rate")
 		}
 		if tables == nil {
@@ -134,14 +134,14 @@
 		}
 		tables[key] = t.Accounts
 	}
-	if poolInUse > w.limits.Pool {
-		return fmt.Errorf("grants of %d in use, the pool is %d", poolInUse, w.limits.Pool)
+	if poolInUse > c.limits.Pool {
+		return fmt.Errorf("grants of %d in use, the pool is %d", poolInUse, c.limits.Pool)
 	}
 	// The leader spends what is not outstanding on top of all grants in use.
-	if out := w.allocator.Outstanding(w.localTime(w.leader)); poolInUse > out {
+	if out := c.allocator.Outstanding(c.localTime(c.leader)); poolInUse > out {
 		return fmt.Errorf("grants of %d in use, the leader counts %d as outstanding", poolInUse, out)
 	}
-	limit := w.limits.Pool + w.limits.Base*int64(len(w.allowances))
+	limit := c.limits.Pool + c.limits.Base*int64(len(c.allowances))
 	for a, s := range inUse {
 		if s > limit {
 			return fmt.Errorf("account %d: %d of %d in use", a, s, limit)
@@ -155,33 +155,33 @@
 func TestGrantsWithinPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 6).Draw(t, "nodes")
-		w := newTestCluster(nodes, 2, rapid.SliceOfN(rapid.Int64Range(-5, 5), nodes, nodes).Draw(t, "skew"))
+		c := newTestCluster(nodes, 2, rapid.SliceOfN(rapid.Int64Range(-5, 5), nodes, nodes).Draw(t, "skew"))
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			node := rapid.IntRange(0, nodes-1).Draw(t, "node")
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1:
-				w.now += Micros(rapid.IntRange(1, 2_500_000).Draw(t, "dt"))
+				c.now += Micros(rapid.IntRange(1, 2_500_000).Draw(t, "dt"))
 			case 2:
-				w.allocator.BuildTable(w.localTime(w.leader), false, nil, nil)
+				c.allocator.BuildTable(c.localTime(c.leader), false, nil, nil)
 			case 3, 4, 5:
-				w.requestTable(node)
+				c.requestTable(node)
 			case 6, 7:
-				if len(w.inFlight) > 0 {
-					if err := w.deliver(rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "reply")); err != nil {
+				if len(c.inFlight) > 0 {
+					if err := c.deliver(rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "reply")); err != nil {
 						t.Fatal(err)
 					}
 				}
 			case 8:
-				w.allowances[node].RecordSubmission(rapid.IntRange(0, w.accounts.Len()-1).Draw(t, "account"), rapid.IntRange(1, 500).Draw(t, "writes"), w.localTime(node))
+				c.allowances[node].RecordSubmission(rapid.IntRange(0, c.accounts.Len()-1).Draw(t, "account"), rapid.IntRange(1, 500).Draw(t, "writes"), c.localTime(node))
 			case 9:
 				if rapid.Bool().Draw(t, "restart") {
-					w.allowances[node] = NewAllowance(w.accounts, w.limits)
-					w.latest[node] = nil
+					c.allowances[node] = NewAllowance(c.accounts, c.limits)
+					c.latest[node] = nil
 				} else {
-					w.elect(node)
+					c.elect(node)
 				}
 			}
-			if err := w.check(); err != nil {
+			if err := c.check(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -196,23 +196,23 @@
 	states, seen := 0, map[string]bool{}
 	var explore func(path []int)
 	replay := func(path []int) (*testCluster, bool) {
-		w := newTestCluster(3, 1, []int64{0, 5, -5})
+		c := newTestCluster(3, 1, []int64{0, 5, -5})
 		for _, step := range path {
-			if !w.apply(step) {
+			if !c.apply(step) {
 				return nil, false
 			}
 		}
-		return w, true
+		return c, true
 	}
 	explore = func(path []int) {
-		w, ok := replay(path)
+		c, ok := replay(path)
 		if !ok {
 			return
 		}
-		if err := w.check(); err != nil {
+		if err := c.check(); err != nil {
 			t.Fatalf("%v: %v", path, err)
 		}
-		key := w.stateKey() + fmt.Sprint(depth-len(path))
+		key := c.stateKey() + fmt.Sprint(depth-len(path))
 		if seen[key] {
 			return
 		}
@@ -235,49 +235,49 @@
 const numEvents = 9
 
 // apply performs one event and reports whether the event was possible.
-func (w *testCluster) apply(event int) bool {
+func (c *testCluster) apply(event int) bool {
 	switch event {
 	case 0: // one second passes with load at two controllers, and a table is built
-		w.now += clock.Second
-		w.allowances[1].RecordSubmission(1, 300, w.localTime(1))
-		w.allowances[2].RecordSubmission(1, 300, w.localTime(2))
-		w.allocator.BuildTable(w.localTime(w.leader), false, nil, nil)
+		c.now += clock.Second
+		c.allowances[1].RecordSubmission(1, 300, c.localTime(1))
+		c.allowances[2].RecordSubmission(1, 300, c.localTime(2))
+		c.allocator.BuildTable(c.localTime(c.leader), false, nil, nil)
 	case 1, 2:
-		w.requestTable(event)
+		c.requestTable(event)
 	case 3, 4: // the oldest or the newest reply arrives
-		if len(w.inFlight) < event-2 {
+		if len(c.inFlight) < event-2 {
 			return false
 		}
 		i := 0
 		if event == 4 {
-			i = len(w.inFlight) - 1
+			i = len(c.inFlight) - 1
 		}
-		return w.deliver(i) == nil
+		return c.deliver(i) == nil
 	case 5:
-		w.now += 5 * clock.Second / 2
+		c.now += 5 * clock.Second / 2
 	case 6, 7:
-		if w.leader == 6-event+1 {
+		if c.leader == 6-event+1 {
 			return false
 		}
-		w.elect(event - 6 + 1)
+		c.elect(event - 6 + 1)
 	case 8:
-		w.allowances[1], w.latest[1] = NewAllowance(w.accounts, w.limits), nil
+		c.allowances[1], c.latest[1] = NewAllowance(c.accounts, c.limits), nil
 	}
 	return true
 }
 
 // stateKey identifies a state. Grant and reply times are relative to the present, so that
 // equal states have equal keys.
-func (w *testCluster) stateKey() string {
-	s := fmt.Sprint(w.term, w.leader, w.allocator.number, w.allocator.grantsFrom-w.localTime(w.leader) > 0, w.now)
-	for n, p := range w.allowances {
-		if t := p.Table(w.localTime(n)); t != nil {
-			s += fmt.Sprint("|", t.Term, t.Number, t.Accounts[1].NodeRate, p.validUntil-w.localTime(n))
+func (c *testCluster) stateKey() string {
+	s := fmt.Sprint(c.term, c.leader, c.allocator.number, c.allocator.grantsFrom-c.localTime(c.leader) > 0, c.now)
+	for n, p := range c.allowances {
+		if t := p.Table(c.localTime(n)); t != nil {
+			s += fmt.Sprint("|", t.Term, t.Number, t.Accounts[1].NodeRate, p.validUntil-c.localTime(n))
 		}
 		s += fmt.Sprint(";", p.arrivals[1].rate > 1)
 	}
-	for _, r := range w.inFlight {
-		s += fmt.Sprint("/", r.to, r.recipient == w.allowances[r.to], r.requestedAt-w.now)
+	for _, r := range c.inFlight {
+		s += fmt.Sprint("/", r.to, r.recipient == c.allowances[r.to], r.requestedAt-c.now)
 		if r.table != nil {
 			s += fmt.Sprint(r.table.Term, r.table.Number, r.table.Accounts[1].NodeRate)
 		}
@@ -290,36 +290,36 @@
 func TestGrantsExpire(t *testing.T) {
 	for _, skew := range [][]int64{{5, -5, 0}, {-5, 5, 0}, {5, -5, 5}} {
 		for delay := Micros(0); delay < 4*clock.Second; delay += 100 * clock.Millisecond {
-			w := newTestCluster(3, 1, skew)
-			load := func(node int) { w.allowances[node].RecordSubmission(1, 500, w.localTime(node)) }
-			buildTable := func() { w.allocator.BuildTable(w.localTime(0), false, nil, nil) }
+			c := newTestCluster(3, 1, skew)
+			load := func(node int) { c.allowances[node].RecordSubmission(1, 500, c.localTime(node)) }
+			buildTable := func() { c.allocator.BuildTable(c.localTime(0), false, nil, nil) }
 			load(1)
-			w.requestTable(1) // the leader receives the load in the notice
-			w.inFlight = nil
+			c.requestTable(1) // the leader receives the load in the notice
+			c.inFlight = nil
 			buildTable()
-			requestedAt := w.localTime(1)
-			w.requestTable(1)
-			w.now += delay
-			w.inFlight[0].requestedAt = requestedAt
-			if err := w.deliver(0); err != nil {
+			requestedAt := c.localTime(1)
+			c.requestTable(1)
+			c.now += delay
+			c.inFlight[0].requestedAt = requestedAt
+			if err := c.deliver(0); err != nil {
 				t.Fatal(err)
 			}
-			for end := w.now + 4*clock.Second; w.now < end; w.now += clock.Millisecond {
-				if w.allocator.Outstanding(w.localTime(0)) > 0 {
+			for end := c.now + 4*clock.Second; c.now < end; c.now += clock.Millisecond {
+				if c.allocator.Outstanding(c.localTime(0)) > 0 {
 					continue
 				}
 				load(2)
-				w.requestTable(2)
+				c.requestTable(2)
 				buildTable()
-				w.requestTable(2)
-				for len(w.inFlight) > 0 {
-					if err := w.deliver(0); err != nil {
+				c.requestTable(2)
+				for len(c.inFlight) > 0 {
+					if err := c.deliver(0); err != nil {
 						t.Fatal(err)
 					}
 				}
 				break
 			}
-			if err := w.check(); err != nil {
+			if err := c.check(); err != nil {
 				t.Fatalf("skew %v, %v late: %v", skew, delay, err)
 			}
 		}
@@ -329,42 +329,42 @@
 // TestGrantsFollowDemand: a controller with demand gets the pool; one without demand returns
 // its grant within the lifetime of a table.
 func TestGrantsFollowDemand(t *testing.T) {
-	w := newTestCluster(3, 1, []int64{0, 0, 0})
+	c := newTestCluster(3, 1, []int64{0, 0, 0})
 	round := func(busy ...int) {
-		w.now += clock.Second
+		c.now += clock.Second
 		for _, n := range busy {
 			for range 100 {
-				w.allowances[n].RecordSubmission(1, 1, w.now)
+				c.allowances[n].RecordSubmission(1, 1, c.now)
 			}
 		}
-		for n := range w.allowances {
-			w.requestTable(n)
+		for n := range c.allowances {
+			c.requestTable(n)
 		}
-		w.allocator.BuildTable(w.now, false, nil, nil)
-		for n := range w.allowances {
-			w.requestTable(n)
+		c.allocator.BuildTable(c.now, false, nil, nil)
+		for n := range c.allowances {
+			c.requestTable(n)
 		}
-		for len(w.inFlight) > 0 {
-			if err := w.deliver(0); err != nil {
+		for len(c.inFlight) > 0 {
+			if err := c.deliver(0); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	base, baseAndPool := float64(w.limits.Base)/1000, float64(w.limits.Base+w.limits.Pool)/1000
+	base, baseAndPool := float64(c.limits.Base)/1000, float64(c.limits.Base+c.limits.Pool)/1000
 	for range 6 {
 		round(1)
 	}
-	if r := w.allowances[1].Rate(w.now); r < baseAndPool-0.1 {
+	if r := c.allowances[1].Rate(c.now); r < baseAndPool-0.1 {
 		t.Errorf("sole controller with demand: rate %v of %v", r, baseAndPool)
 	}
 	for range 20 {
 		round(2)
 	}
-	if idleRate, busyRate := w.allowances[1].Rate(w.now), w.allowances[2].Rate(w.now); idleRate > base+1 || busyRate < baseAndPool-1.5 {
+	if idleRate, busyRate := c.allowances[1].Rate(c.now), c.allowances[2].Rate(c.now); idleRate > base+1 || busyRate < baseAndPool-1.5 {
 		t.Errorf("after the demand moved: rates %v and %v of %v", idleRate, busyRate, baseAndPool)
 	}
-	w.now += 4 * clock.Second
-	if r := w.allowances[2].Rate(w.now); r != base {
+	c.now += 4 * clock.Second
+	if r := c.allowances[2].Rate(c.now); r != base {
 		t.Errorf("without a valid table: rate %v, want the base %v", r, base)
 	}
 }
--- a/internal/admit/allowance.go
+++ b/internal/admit/allowance.go
@@ -92,10 +92,10 @@
 // arrivalTimeConstant is the time constant of the exponential decay of arrivalStats.
 const arrivalTimeConstant = 2 * clock.Second
 
-func (a *arrivalStats) decay(now Micros) {
-	if dt := now - a.updatedAt; dt > 0 {
+func (s *arrivalStats) decay(now Micros) {
+	if dt := now - s.updatedAt; dt > 0 {
 		factor := math.Exp(-float64(dt) / float64(arrivalTimeConstant))
-		a.rate, a.refused, a.updatedAt = a.rate*factor, a.refused*factor, now
+		s.rate, s.refused, s.updatedAt = s.rate*factor, s.refused*factor, now
 	}
 }
 
@@ -104,9 +104,9 @@
 	if account < 0 {
 		return
 	}
-	a := &p.arrivals[account]
-	a.decay(now)
-	a.rate += float64(writes) / arrivalTimeConstant.Seconds()
+	stats := &p.arrivals[account]
+	stats.decay(now)
+	stats.rate += float64(writes) / arrivalTimeConstant.Seconds()
 }
 
 // CountAccepted counts a submission that was accepted, or one of a job that is already
@@ -126,9 +126,9 @@
 	if account < 0 {
 		return
 	}
-	a := &p.arrivals[account]
-	a.decay(now)
-	a.refused += float64(writes)
+	stats := &p.arrivals[account]
+	stats.decay(now)
+	stats.refused += float64(writes)
 	p.counts[account].Refused++
 	refusal := Refusal{Hash(job), uint32(account), clampUint32(int64(math.Ceil(min(cpus, math.MaxInt32))))}
 	if p.refusals.add(refusal, now) && len(p.unsentRefusals) < maxNoticeRefusals {
@@ -156,8 +156,8 @@
 // arrive.
 func (p *Allowance) ExpectedCPUs(now Micros) []float64 {
 	sums := make([]float64, p.accounts.Len())
-	for _, h := range p.refusals.order {
-		if r := p.refusals.byHash[h]; r.expected && now-r.refusedAt < expectedRetryWindow && int(r.account) < len(sums) {
+	for _, hash := range p.refusals.order {
+		if r := p.refusals.byHash[hash]; r.expected && now-r.refusedAt < expectedRetryWindow && int(r.account) < len(sums) {
 			sums[r.account] += float64(r.cpus)
 		}
 	}
@@ -173,8 +173,8 @@
 	if n == nil || n.Digest != p.accounts.Digest {
 		return
 	}
-	for _, t := range n.Refusals {
-		p.refusals.add(t, now)
+	for _, refusal := range n.Refusals {
+		p.refusals.add(refusal, now)
 	}
 }
 
@@ -187,9 +187,9 @@
 	n := &Notice{Digest: p.accounts.Digest, Accounts: make([]Arrivals, p.accounts.Len()), Refusals: p.unsentRefusals}
 	p.unsentRefusals = nil
 	for i := range n.Accounts {
-		a := &p.arrivals[i]
-		a.decay(now)
-		n.Accounts[i] = Arrivals{Rate: clampUint32(int64(a.rate * milli)), Queued: clampUint32(int64(queued(i))), Refused: clampUint32(int64(a.refused))}
+		stats := &p.arrivals[i]
+		stats.decay(now)
+		n.Accounts[i] = Arrivals{Rate: clampUint32(int64(stats.rate * milli)), Queued: clampUint32(int64(queued(i))), Refused: clampUint32(int64(stats.refused))}
 	}
 	return n
 }
--- a/internal/admit/objective_tracker.go
+++ b/internal/admit/objective_tracker.go
@@ -51,10 +51,10 @@
 	return &ObjectiveTracker{minShares: minShares, finished: make([]finishedCounts, len(minShares))}
 }
 
-func (p *finishedCounts) decay(now Micros) {
-	if dt := now - p.updatedAt; dt > 0 {
+func (c *finishedCounts) decay(now Micros) {
+	if dt := now - c.updatedAt; dt > 0 {
 		factor := math.Exp(-float64(dt) / float64(finishedTimeConstant))
-		p.jobs, p.met, p.updatedAt = p.jobs*factor, p.met*factor, now
+		c.jobs, c.met, c.updatedAt = c.jobs*factor, c.met*factor, now
 	}
 }
 
@@ -63,11 +63,11 @@
 	if account < 0 || account >= len(s.finished) {
 		return
 	}
-	p := &s.finished[account]
-	p.decay(now)
-	p.jobs++
+	counts := &s.finished[account]
+	counts.decay(now)
+	counts.jobs++
 	if met {
-		p.met++
+		counts.met++
 	}
 }
 
@@ -113,9 +113,9 @@
 	statuses := make([]MinShareStatus, len(jobs))
 	total, served := make([]float64, len(s.finished)), make([]float64, len(s.finished))
 	for a := range s.finished {
-		p := &s.finished[a]
-		p.decay(now)
-		total[a], served[a] = p.jobs, p.met
+		counts := &s.finished[a]
+		counts.decay(now)
+		total[a], served[a] = counts.jobs, counts.met
 	}
 	order := make([]int, 0, len(jobs))
 	for i, job := range jobs {
--- a/internal/admit/share.go
+++ b/internal/admit/share.go
@@ -35,11 +35,11 @@
 }
 
 // AccountMinServedShares returns the minimum served share of each account, by number.
-func (r Settings) AccountMinServedShares(accounts *AccountIndex) []float64 {
+func (s Settings) AccountMinServedShares(accounts *AccountIndex) []float64 {
 	shares := make([]float64, accounts.Len())
 	for i, a := range accounts.Accounts {
-		shares[i] = r.MinServedShare
-		if share, ok := r.ClassMinServedShares[a.Class]; ok {
+		shares[i] = s.MinServedShare
+		if share, ok := s.ClassMinServedShares[a.Class]; ok {
 			shares[i] = share
 		}
 	}
--- a/internal/admit/table.go
+++ b/internal/admit/table.go
@@ -143,46 +143,46 @@
 // NewAllocator begins a term and makes no grants until those of earlier terms have expired.
 // Terms start at 1 and never repeat, so the first term has none to wait for.
 func NewAllocator(accounts *AccountIndex, self string, term uint64, now Micros, limits Limits) *Allocator {
-	g := &Allocator{accounts: accounts, self: self, term: term, limits: limits, grantsFrom: now + maxGrantLifetime, nodes: map[string]*nodeState{}}
+	alloc := &Allocator{accounts: accounts, self: self, term: term, limits: limits, grantsFrom: now + maxGrantLifetime, nodes: map[string]*nodeState{}}
 	if term <= 1 {
-		g.grantsFrom = now
+		alloc.grantsFrom = now
 	}
-	return g
+	return alloc
 }
 
 // SetLimits replaces the limits when those of the state service change. A lower pool takes
 // effect as grants expire.
-func (g *Allocator) SetLimits(l Limits) { g.limits = l }
+func (alloc *Allocator) SetLimits(l Limits) { alloc.limits = l }
 
 // RecordNotice stores the last notice of a controller. It ignores a notice made from other
 // settings.
-func (g *Allocator) RecordNotice(node string, n *Notice, now Micros) {
-	if n == nil || n.Digest != g.accounts.Digest || len(n.Accounts) != g.accounts.Len() {
+func (alloc *Allocator) RecordNotice(node string, n *Notice, now Micros) {
+	if n == nil || n.Digest != alloc.accounts.Digest || len(n.Accounts) != alloc.accounts.Len() {
 		return
 	}
-	h := g.nodes[node]
-	if h == nil {
-		h = &nodeState{}
-		g.nodes[node] = h
+	state := alloc.nodes[node]
+	if state == nil {
+		state = &nodeState{}
+		alloc.nodes[node] = state
 	}
-	h.notice, h.noticeAt = n, now
+	state.notice, state.noticeAt = n, now
 }
 
 // BuildTable makes the table of the next second. demands and entitlements describe the use
 // of the machines and are in the table for display only; entitlements may be nil.
-func (g *Allocator) BuildTable(now Micros, overloaded bool, demands []Demand, entitlements []Entitlement) {
-	g.number++
-	g.overloaded = overloaded
-	n := g.accounts.Len()
-	g.entries = make([]Entry, n)
+func (alloc *Allocator) BuildTable(now Micros, overloaded bool, demands []Demand, entitlements []Entitlement) {
+	alloc.number++
+	alloc.overloaded = overloaded
+	n := alloc.accounts.Len()
+	alloc.entries = make([]Entry, n)
 	requests := make([]quota.Request, n)
 	backlog := make([]int64, n)
 	active := int64(0)
-	for _, h := range g.nodes {
-		if now-h.noticeAt > noticeLifetime {
+	for _, state := range alloc.nodes {
+		if now-state.noticeAt > noticeLifetime {
 			continue
 		}
-		for a, arrivals := range h.notice.Accounts {
+		for a, arrivals := range state.notice.Accounts {
 			requests[a].Demand += demandOf(arrivals)
 			backlog[a] += int64(arrivals.Queued) + int64(arrivals.Refused)
 		}
@@ -193,12 +193,12 @@
 		}
 	}
 	// The total includes the bases, which controllers use too; the leader limits its own rate.
-	total := g.limits.Pool + g.limits.Base*int64(max(len(g.nodes), 1))
+	total := alloc.limits.Pool + alloc.limits.Base*int64(max(len(alloc.nodes), 1))
 	for a := range requests {
 		requests[a].Minimum, requests[a].Weight = total/(2*max(active, 1)), 1
 	}
 	for a, rate := range quota.Divide(total, requests) {
-		e := &g.entries[a]
+		e := &alloc.entries[a]
 		e.Rate, e.Slots = clampUint32(rate), slotsFor(backlog[a], max(rate, total/max(active, 1)))
 		if a < len(demands) {
 			e.Held, e.Waiting = clampUint32(int64(demands[a].Held)), clampUint32(int64(demands[a].Waiting))
@@ -230,67 +230,67 @@
 // never exceed an account's rate or, in total, the pool: a grant counts until it has
 // certainly expired, even if a smaller one was made since, because the smaller one may be
 // lost on the way.
-func (g *Allocator) TableFor(node string, now Micros) *Table {
-	if g.number == 0 {
+func (alloc *Allocator) TableFor(node string, now Micros) *Table {
+	if alloc.number == 0 {
 		return nil
 	}
-	t := &Table{Term: g.term, Number: g.number, Digest: g.accounts.Digest, ValidFor: tableLifetime, Overloaded: g.overloaded,
-		Accounts: slices.Clone(g.entries)}
-	h := g.nodes[node]
-	if h == nil || node == g.self || now < g.grantsFrom {
+	t := &Table{Term: alloc.term, Number: alloc.number, Digest: alloc.accounts.Digest, ValidFor: tableLifetime, Overloaded: alloc.overloaded,
+		Accounts: slices.Clone(alloc.entries)}
+	state := alloc.nodes[node]
+	if state == nil || node == alloc.self || now < alloc.grantsFrom {
 		return t
 	}
-	if h.ratesNumber != g.number {
-		h.rates, h.ratesNumber = g.nodeRates(node, now), g.number
+	if state.ratesNumber != alloc.number {
+		state.rates, state.ratesNumber = alloc.nodeRates(node, now), alloc.number
 	}
-	h.grants = append(h.grants, grant{h.rates, now + maxGrantLifetime})
+	state.grants = append(state.grants, grant{state.rates, now + maxGrantLifetime})
 	for a := range t.Accounts {
-		t.Accounts[a].NodeRate = h.rates[a]
+		t.Accounts[a].NodeRate = state.rates[a]
 	}
 	return t
 }
 
 // nodeRates computes a controller's rate for each account: its fair share of the account's
 // rate by demand, as far as the grants of the other controllers leave it.
-func (g *Allocator) nodeRates(node string, now Micros) []uint32 {
-	rates := make([]uint32, g.accounts.Len())
+func (alloc *Allocator) nodeRates(node string, now Micros) []uint32 {
+	rates := make([]uint32, alloc.accounts.Len())
 	inUse := int64(0) // of the pool, by other controllers
-	for name, h := range g.nodes {
+	for name, state := range alloc.nodes {
 		if name != node {
-			inUse += h.maxInUse(now)
+			inUse += state.maxInUse(now)
 		}
 	}
-	free := g.limits.Pool - inUse
+	free := alloc.limits.Pool - inUse
 	for a := range rates {
-		requests := make([]quota.Request, 0, len(g.nodes))
+		requests := make([]quota.Request, 0, len(alloc.nodes))
 		index, others := -1, int64(0)
-		for name, h := range g.nodes {
-			if now-h.noticeAt <= noticeLifetime && name != g.self {
+		for name, state := range alloc.nodes {
+			if now-state.noticeAt <= noticeLifetime && name != alloc.self {
 				if name == node {
 					index = len(requests)
 				}
-				requests = append(requests, quota.Request{Demand: demandOf(h.notice.Accounts[a]), Weight: 1})
+				requests = append(requests, quota.Request{Demand: demandOf(state.notice.Accounts[a]), Weight: 1})
 			}
 			if name != node {
-				others += int64(h.maxAccountInUse(a, now))
+				others += int64(state.maxAccountInUse(a, now))
 			}
 		}
 		if index < 0 {
 			continue
 		}
-		fairRate := quota.Divide(int64(g.entries[a].Rate), requests)[index]
-		rates[a] = clampUint32(min(fairRate, int64(g.entries[a].Rate)-others, free))
+		fairRate := quota.Divide(int64(alloc.entries[a].Rate), requests)[index]
+		rates[a] = clampUint32(min(fairRate, int64(alloc.entries[a].Rate)-others, free))
 		free -= int64(rates[a])
 	}
 	return rates
 }
 
 // maxAccountInUse returns the highest rate of an account that the controller may be using.
-func (h *nodeState) maxAccountInUse(account int, now Micros) uint32 {
+func (s *nodeState) maxAccountInUse(account int, now Micros) uint32 {
 	highest := uint32(0)
-	for _, x := range h.grants {
-		if now < x.expiresAt {
-			highest = max(highest, x.rates[account])
+	for _, g := range s.grants {
+		if now < g.expiresAt {
+			highest = max(highest, g.rates[account])
 		}
 	}
 	return highest
@@ -298,13 +298,13 @@
 
 // maxInUse returns the highest part of the pool that the controller may be using, and drops
 // expired grants.
-func (h *nodeState) maxInUse(now Micros) int64 {
-	h.grants = slices.DeleteFunc(h.grants, func(x grant) bool { return now >= x.expiresAt })
+func (s *nodeState) maxInUse(now Micros) int64 {
+	s.grants = slices.DeleteFunc(s.grants, func(g grant) bool { return now >= g.expiresAt })
 	highest := int64(0)
-	for _, x := range h.grants {
+	for _, g := range s.grants {
 		sum := int64(0)
-		for _, p := range x.rates {
-			sum += int64(p)
+		for _, rate := range g.rates {
+			sum += int64(rate)
 		}
 		highest = max(highest, sum)
 	}
@@ -313,13 +313,13 @@
 
 // Outstanding returns the part of the pool that other controllers may be using, which the
 // leader must not use; until grantsFrom that is the whole pool.
-func (g *Allocator) Outstanding(now Micros) int64 {
-	if now < g.grantsFrom {
-		return g.limits.Pool
+func (alloc *Allocator) Outstanding(now Micros) int64 {
+	if now < alloc.grantsFrom {
+		return alloc.limits.Pool
 	}
 	outstanding := int64(0)
-	for _, h := range g.nodes {
-		outstanding += h.maxInUse(now)
+	for _, state := range alloc.nodes {
+		outstanding += state.maxInUse(now)
 	}
 	return outstanding
 }
--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -16,11 +16,11 @@
 // TestComputeBoundsKnownCases checks recordings whose optimum is known.
 func TestComputeBoundsKnownCases(t *testing.T) {
 	newRecording := func(cpus float64, work ...float64) *Recording {
-		d := &Recording{Capacity: []CapacityStep{{0, cpus}}}
+		recording := &Recording{Capacity: []CapacityStep{{0, cpus}}}
 		for i, w := range work {
-			d.Jobs = append(d.Jobs, Job{Account: fmt.Sprint("a", i%2), From: 0, To: 100 * sec, Work: w})
+			recording.Jobs = append(recording.Jobs, Job{Account: fmt.Sprint("a", i%2), From: 0, To: 100 * sec, Work: w})
 		}
-		return d
+		return recording
 	}
 	for name, c := range map[string]struct {
 		recording           *Recording
@@ -38,9 +38,9 @@
 		}
 	}
 	// The capacity changes over time, and one window lies where there is none.
-	d := &Recording{Capacity: []CapacityStep{{0, 10}, {100 * sec, 0}, {200 * sec, 10}}, Jobs: []Job{
+	recording := &Recording{Capacity: []CapacityStep{{0, 10}, {100 * sec, 0}, {200 * sec, 10}}, Jobs: []Job{
 		{"a", 110 * sec, 190 * sec, 1}, {"b", 50 * sec, 250 * sec, 900}}}
-	if r := ComputeBounds(d); r.MinShareBound > 0.03 || r.GreedyShare["a"] != 0 || r.GreedyShare["b"] != 1 {
+	if r := ComputeBounds(recording); r.MinShareBound > 0.03 || r.GreedyShare["a"] != 0 || r.GreedyShare["b"] != 1 {
 		t.Errorf("got %+v, want account a not served and b served", r)
 	}
 	if r := ComputeBounds(&Recording{}); r.MinShareBound != 0 || len(r.GreedyShare) != 0 {
@@ -53,14 +53,14 @@
 // serves no more than the best subset.
 func TestBoundsHoldForAllSubsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &Recording{Capacity: []CapacityStep{{0, float64(rapid.IntRange(1, 20).Draw(t, "capacity"))}, {60 * sec, float64(rapid.IntRange(0, 20).Draw(t, "later capacity"))}}}
+		recording := &Recording{Capacity: []CapacityStep{{0, float64(rapid.IntRange(1, 20).Draw(t, "capacity"))}, {60 * sec, float64(rapid.IntRange(0, 20).Draw(t, "later capacity"))}}}
 		n := rapid.IntRange(1, 9).Draw(t, "jobs")
 		for range n {
 			from := Micros(rapid.IntRange(0, 20).Draw(t, "from")) * slotLength
-			d.Jobs = append(d.Jobs, Job{Account: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "account"), From: from,
+			recording.Jobs = append(recording.Jobs, Job{Account: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "account"), From: from,
 				To: from + Micros(rapid.IntRange(1, 20).Draw(t, "window"))*slotLength, Work: float64(rapid.IntRange(1, 900).Draw(t, "work"))})
 		}
-		r, g := ComputeBounds(d), newGrid(d)
+		r, g := ComputeBounds(recording), newGrid(recording)
 		bestMinShare, bestMeanShare := 0.0, 0.0
 		for subset := range 1 << n {
 			if !g.feasible(subset) {
@@ -73,8 +73,8 @@
 				}
 			}
 			minShare, meanShare := 1.0, 0.0
-			for _, p := range shares {
-				minShare, meanShare = min(minShare, p), meanShare+p/float64(len(shares))
+			for _, share := range shares {
+				minShare, meanShare = min(minShare, share), meanShare+share/float64(len(shares))
 			}
 			bestMinShare, bestMeanShare = max(bestMinShare, minShare), max(bestMeanShare, meanShare)
 		}
@@ -82,8 +82,8 @@
 			t.Fatalf("shares %v (minimum) and %v (mean) can be served, but the bounds are %v and %v", bestMinShare, bestMeanShare, r.MinShareBound, r.MeanShareBound)
 		}
 		greedyMinShare := 1.0
-		for _, part := range r.GreedyShare {
-			greedyMinShare = min(greedyMinShare, part)
+		for _, share := range r.GreedyShare {
+			greedyMinShare = min(greedyMinShare, share)
 		}
 		if greedyMinShare > bestMinShare+1e-9 {
 			t.Fatalf("the greedy plan serves a minimum share of %v, but the best subset serves %v", greedyMinShare, bestMinShare)
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -114,7 +114,7 @@
 // noticeFor returns the part of this node's notice that is sent to the named peer. Only the
 // leader, or any peer while the leader is unknown, receives the arrivals of each account:
 // with hundreds of teams they are most of the traffic between idle controllers.
-func (c *Core) noticeFor(name string, notice *admit.Notice) *admit.Notice {
+func (c *Core) admissionNoticeFor(name string, notice *admit.Notice) *admit.Notice {
 	if leader := c.elector.Leader(); notice == nil || leader == "" || leader == name {
 		return notice
 	}
@@ -122,7 +122,7 @@
 }
 
 // handleNotice processes a peer's notice and, if this node leads, returns the peer's table.
-func (c *Core) handleNotice(m *peer.Msg) *admit.Table {
+func (c *Core) handleAdmissionNotice(m *peer.Msg) *admit.Table {
 	now := c.env.Now()
 	if p := c.peers[m.Node]; p != nil {
 		p.writeShareKind = writeShareFixed
@@ -176,12 +176,12 @@
 // this node's queue, or 0 if the queue accepts it. wait is the time that the submission is
 // expected to wait there: if it is longer than MaxQueueWait, the submission is refused now.
 func (c *Core) queueRetryAfter(job *wire.Job, account int, wait Micros) int {
-	q := c.submissions.queue
-	if q.Len() > 0 && wait > c.policy.Admission.MaxQueueWait {
+	queue := c.submissions.queue
+	if queue.Len() > 0 && wait > c.policy.Admission.MaxQueueWait {
 		return admit.RetryAfterSeconds(wait, job.ID)
 	}
-	if !q.Fits(account, wire.MaxBody/8) {
-		return admit.RetryAfterSeconds(clock.FromSeconds(float64(q.Cost())/max(c.minSubmissionRate(), 0.1)), job.ID)
+	if !queue.Fits(account, wire.MaxBody/8) {
+		return admit.RetryAfterSeconds(clock.FromSeconds(float64(queue.Cost())/max(c.minSubmissionRate(), 0.1)), job.ID)
 	}
 	return 0
 }
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -114,8 +114,8 @@
 // record that is still pending in that class, or nil.
 func (w *committer) firstPending(list *[]*pendingWrite, class int) *pendingWrite {
 	for len(*list) > 0 {
-		if r := (*list)[0]; w.pending[r.key] == r && r.class == class {
-			return r
+		if write := (*list)[0]; w.pending[write.key] == write && write.class == class {
+			return write
 		}
 		*list = (*list)[1:]
 	}
@@ -124,16 +124,16 @@
 
 // oldestUrgentAge returns how long the first of the urgent records has waited.
 func (w *committer) oldestUrgentAge() Micros {
-	if r := w.firstPending(&w.urgent, classUrgent); r != nil {
-		return w.core.env.Now() - r.queuedAt
+	if write := w.firstPending(&w.urgent, classUrgent); write != nil {
+		return w.core.env.Now() - write.queuedAt
 	}
 	return 0
 }
 
 // batch is a transaction that is being filled or sent.
-type batch struct {
+type pendingTransaction struct {
 	notReady       map[*pendingWrite]bool // records whose render function reported that they cannot be written yet
-	records        []*pendingWrite
+	writes         []*pendingWrite
 	changes        []wire.Change
 	changesByClass [classUrgent + 1]int
 	size           int // bytes of the changes in JSON
@@ -167,7 +167,7 @@
 		return
 	}
 	now := c.env.Now()
-	due := func(r *pendingWrite, minAge Micros) bool { return r != nil && now-r.queuedAt >= minAge }
+	due := func(write *pendingWrite, minAge Micros) bool { return write != nil && now-write.queuedAt >= minAge }
 	if w.firstPending(&w.urgent, classUrgent) == nil && !due(w.firstPending(&w.delayed, classDelayed), w.delayedWriteWait()) && !due(w.firstPending(&w.background, classBackground), backgroundMergeTime) {
 		return
 	}
@@ -184,22 +184,22 @@
 		w.pauseFor(50 * clock.Millisecond)
 		return
 	}
-	txnBatch := &batch{notReady: map[*pendingWrite]bool{}}
-	noCapacity := w.fill(txnBatch, &w.urgent, classUrgent, max(maxChanges, 1), func(*pendingWrite) bool { return true }) ||
-		w.fill(txnBatch, &w.delayed, classDelayed, w.maxChangesFor(admit.TaskEndWrites, maxChanges, len(txnBatch.changes), 4), func(r *pendingWrite) bool { return due(r, w.delayedWriteWait()/2) }) ||
-		w.fill(txnBatch, &w.background, classBackground, w.maxChangesFor(admit.BackgroundWrites, maxChanges, len(txnBatch.changes), 2), func(r *pendingWrite) bool { return due(r, backgroundMergeTime/2) })
-	if len(txnBatch.records) == 0 {
-		if noCapacity || len(txnBatch.notReady) > 0 { // the budget does not cover the first record, or no record can be written yet
+	transaction := &pendingTransaction{notReady: map[*pendingWrite]bool{}}
+	noCapacity := w.fill(transaction, &w.urgent, classUrgent, max(maxChanges, 1), func(*pendingWrite) bool { return true }) ||
+		w.fill(transaction, &w.delayed, classDelayed, w.maxChangesFor(admit.TaskEndWrites, maxChanges, len(transaction.changes), 4), func(write *pendingWrite) bool { return due(write, w.delayedWriteWait()/2) }) ||
+		w.fill(transaction, &w.background, classBackground, w.maxChangesFor(admit.BackgroundWrites, maxChanges, len(transaction.changes), 2), func(write *pendingWrite) bool { return due(write, backgroundMergeTime/2) })
+	if len(transaction.writes) == 0 {
+		if noCapacity || len(transaction.notReady) > 0 { // the budget does not cover the first record, or no record can be written yet
 			w.pauseFor(50 * clock.Millisecond)
 		}
 		return
 	}
 	w.inFlight = true
-	for class, n := range txnBatch.changesByClass {
+	for class, n := range transaction.changesByClass {
 		c.writeBudget.Spend(budgetTime, requestClassOf[class], n)
 	}
 	c.writeBudget.SetWaiting(admit.UrgentWrites, w.firstPending(&w.urgent, classUrgent) != nil)
-	w.send(c.term, txnBatch)
+	w.send(c.term, transaction)
 }
 
 // requestClassOf maps a class of records to its class in the write budget.
@@ -217,37 +217,37 @@
 
 // fill moves eligible records from one list into the batch. It reports whether it stopped
 // because the batch has no room for the next one.
-func (w *committer) fill(b *batch, list *[]*pendingWrite, class, maxChanges int, eligible func(*pendingWrite) bool) bool {
+func (w *committer) fill(transaction *pendingTransaction, list *[]*pendingWrite, class, maxChanges int, eligible func(*pendingWrite) bool) bool {
 	for {
-		r := w.firstPending(list, class)
-		if r == nil || !eligible(r) {
+		write := w.firstPending(list, class)
+		if write == nil || !eligible(write) {
 			return false
 		}
-		if len(b.changes) >= maxChanges {
+		if len(transaction.changes) >= maxChanges {
 			return true
 		}
-		if b.notReady[r] {
+		if transaction.notReady[write] {
 			return false // none of the remaining records can be written yet
 		}
-		changes, ready := r.render()
+		changes, ready := write.render()
 		if !ready {
-			b.notReady[r] = true
-			*list = append((*list)[1:], r)
+			transaction.notReady[write] = true
+			*list = append((*list)[1:], write)
 			continue
 		}
 		size := changesSize(changes)
-		if len(b.records) > 0 && b.size+size > wire.MaxBody-txnOverhead {
+		if len(transaction.writes) > 0 && transaction.size+size > wire.MaxBody-txnOverhead {
 			return true
 		}
 		// The changes of a record stay together. A record that is alone in the batch waits
 		// until the budget covers it or is full, unless it exceeds the limit of a transaction.
-		if len(b.changes)+len(changes) > maxChanges && (len(b.records) > 0 || len(changes) <= w.core.stateLimits().TxnOps && !w.budgetCovers(len(changes))) {
+		if len(transaction.changes)+len(changes) > maxChanges && (len(transaction.writes) > 0 || len(changes) <= w.core.stateLimits().TxnOps && !w.budgetCovers(len(changes))) {
 			return true
 		}
 		*list = (*list)[1:]
-		delete(w.pending, r.key)
-		b.records, b.changes, b.size = append(b.records, r), append(b.changes, changes...), b.size+size
-		b.changesByClass[class] += len(changes)
+		delete(w.pending, write.key)
+		transaction.writes, transaction.changes, transaction.size = append(transaction.writes, write), append(transaction.changes, changes...), transaction.size+size
+		transaction.changesByClass[class] += len(changes)
 	}
 }
 
@@ -269,12 +269,12 @@
 
 // requeue returns the records of a refused transaction to the head of the urgent list, to
 // be rendered again. It keeps their order, which cascading cancellations depend on.
-func (w *committer) requeue(refused *batch) {
+func (w *committer) requeue(refused *pendingTransaction) {
 	var front []*pendingWrite
-	for _, r := range refused.records {
-		r = w.reinsert(r)
-		r.class = classUrgent
-		front = append(front, r)
+	for _, write := range refused.writes {
+		write = w.reinsert(write)
+		write.class = classUrgent
+		front = append(front, write)
 	}
 	w.urgent = append(front, w.urgent...)
 }
@@ -284,11 +284,11 @@
 // background record of three changes could end up alone ahead of all others; if the state
 // service takes 2.5 changes a second, neither that record nor any behind it would ever be
 // written (scenario throttled).
-func (w *committer) requeueInOwnClass(refused *batch) {
+func (w *committer) requeueInOwnClass(refused *pendingTransaction) {
 	var lists [classUrgent + 1][]*pendingWrite
-	for _, r := range refused.records {
-		r = w.reinsert(r)
-		lists[r.class] = append(lists[r.class], r)
+	for _, write := range refused.writes {
+		write = w.reinsert(write)
+		lists[write.class] = append(lists[write.class], write)
 	}
 	w.urgent = append(lists[classUrgent], w.urgent...)
 	w.delayed = append(lists[classDelayed], w.delayed...)
@@ -297,58 +297,58 @@
 
 // reinsert makes a record pending again and merges it with what was queued under its key
 // since it was sent.
-func (w *committer) reinsert(r *pendingWrite) *pendingWrite {
-	if newer := w.pending[r.key]; newer != nil {
-		r.render, r.done, r.class = newer.render, append(r.done, newer.done...), max(r.class, newer.class)
+func (w *committer) reinsert(write *pendingWrite) *pendingWrite {
+	if newer := w.pending[write.key]; newer != nil {
+		write.render, write.done, write.class = newer.render, append(write.done, newer.done...), max(write.class, newer.class)
 	}
-	w.pending[r.key] = r
-	return r
+	w.pending[write.key] = write
+	return write
 }
 
 // send commits a batch. It repeats the transaction if it was not executed, or if its
 // outcome is unknown; in the latter case it first fences off the earlier attempt, which
 // would restore old values if it were applied late.
-func (w *committer) send(term uint64, b *batch) {
+func (w *committer) send(term uint64, transaction *pendingTransaction) {
 	c := w.core
 	stillCurrent := func() bool { return c.elector.Leading() && c.term == term && c.committer.inFlight }
 	resend := func(ok bool) {
 		if ok && stillCurrent() {
-			w.send(term, b)
+			w.send(term, transaction)
 		}
 	}
-	txn := &wire.Txn{If: []wire.Guard{c.elector.Guard()}, Then: b.changes}
-	c.env.State().Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
+	txn := &wire.Txn{If: []wire.Guard{c.elector.Guard()}, Then: transaction.changes}
+	c.env.State().Txn(txn, func(outcome store.Outcome, answer *wire.TxnAnswer) {
 		if !stillCurrent() {
 			return
 		}
-		switch o {
+		switch outcome {
 		case store.OK:
 			c.lastStateContact = c.env.Now()
 			w.inFlight, w.sizeReductions, w.rateLimitCount = false, 0, 0
-			for _, r := range b.records {
-				for _, f := range r.done {
+			for _, write := range transaction.writes {
+				for _, f := range write.done {
 					f()
 				}
 			}
-			c.sendOrders()
+			c.sendQueuedCommandBatches()
 			w.startTransaction()
 		case store.Failed:
 			c.elector.VerifyLeadership(resend)
 		case store.Refused:
 			c.env.After(150*clock.Millisecond, func() { resend(true) })
 		case store.RateLimited:
-			if w.rateLimitCount++; w.rateLimitCount%4 == 0 && (len(b.records) > 1 || b.records[0].class != classUrgent) {
+			if w.rateLimitCount++; w.rateLimitCount%4 == 0 && (len(transaction.writes) > 1 || transaction.writes[0].class != classUrgent) {
 				// The state service may never accept this many changes at once.
 				w.inFlight, w.sizeReductions = false, min(w.sizeReductions+1, 3)
-				w.requeueInOwnClass(b)
+				w.requeueInOwnClass(transaction)
 				w.pauseFor(250 * clock.Millisecond)
 				return
 			}
 			c.env.After(250*clock.Millisecond, func() { resend(true) })
 		case store.Invalid:
-			w.handleInvalidTransaction(b)
+			w.handleInvalidTransaction(transaction)
 		default:
-			slog.Info("transaction not answered, fencing before a retry", "records", len(b.records))
+			slog.Info("transaction not answered, fencing before a retry", "records", len(transaction.writes))
 			c.elector.Fence(resend)
 		}
 	})
@@ -360,17 +360,17 @@
 
 // handleInvalidTransaction handles a transaction that the state service rejects as
 // invalid: either the limits of the service were lowered, or a record exceeds them.
-func (w *committer) handleInvalidTransaction(refused *batch) {
+func (w *committer) handleInvalidTransaction(refused *pendingTransaction) {
 	c := w.core
 	w.inFlight = false
 	raised := c.raiseLevelOnSizeRefusal(refused.changes)
 	w.requeue(refused)
 	if !raised {
 		if w.sizeReductions++; w.sizeReductions > maxSizeReductions {
-			r := w.urgent[0]
-			slog.Error("record dropped, the state service rejects it as invalid", "key", r.key)
+			write := w.urgent[0]
+			slog.Error("record dropped, the state service rejects it as invalid", "key", write.key)
 			w.urgent = w.urgent[1:]
-			delete(w.pending, r.key)
+			delete(w.pending, write.key)
 			w.sizeReductions = 0
 		}
 	}
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -76,8 +76,8 @@
 			c.restoreMachine(&wire.Item{Key: key, Value: value})
 		}
 	}
-	for _, f := range taskRecords {
-		c.restorePlacements(f)
+	for _, stored := range taskRecords {
+		c.restorePlacements(stored)
 	}
 	c.sortMachines()
 }
@@ -86,8 +86,8 @@
 func renderPending(c *Core, t *testing.T) map[string][]byte {
 	t.Helper()
 	values := map[string][]byte{}
-	for _, r := range c.committer.pending {
-		changes, ok := r.render()
+	for _, write := range c.committer.pending {
+		changes, ok := write.render()
 		for _, ch := range changes {
 			if ok && ch.PutKey != "" {
 				values[ch.PutKey] = ch.Value
@@ -155,8 +155,8 @@
 	}
 	c.cfg.Params.State.ValueKB = 1
 	c.migrateRecords()
-	for _, r := range c.committer.pending { // as if committed, the task records first
-		r.render()
+	for _, write := range c.committer.pending { // as if committed, the task records first
+		write.render()
 	}
 	for _, m := range c.machines {
 		for _, p := range m.Placements {
@@ -199,8 +199,8 @@
 		c.catalog = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64}}
 		m := c.addMachine("m-000001", "", "t", "a", false, 0)
 		c.addJobRecord(wire.Encode(&jobRecord{Job: wire.Job{ID: "req-000001", Team: "core", Tasks: 70}}), nil)
-		for _, r := range c.restoreDoneTasks([]wire.Item{{Key: tasksKey("req-000001", tasksPerRecord, 0), Value: value}}) {
-			c.restorePlacements(r)
+		for _, stored := range c.restoreDoneTasks([]wire.Item{{Key: tasksKey("req-000001", tasksPerRecord, 0), Value: value}}) {
+			c.restorePlacements(stored)
 		}
 		for _, p := range m.Placements {
 			if p.Index < tasksPerRecord || p.Index >= 70 {
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -56,7 +56,7 @@
 	// SendOrders sends commands to the worker at addr. It passes OK to done, or Failed if
 	// the worker executed nothing because the token or the session differs; in both cases
 	// with the worker's report.
-	SendOrders(addr string, o *wire.Orders, done func(store.Outcome, *wire.Report))
+	SendOrders(addr string, orders *wire.Orders, done func(store.Outcome, *wire.Report))
 	// ConnectionUsage returns the fraction of this node's connections for users and
 	// workers that is in use.
 	ConnectionUsage() float64
@@ -106,47 +106,47 @@
 	relay            *carrier.Relay
 
 	// The fields below are used only while this node is the leader.
-	term                uint64
-	electedAt           Micros
-	loaded              bool
-	jobs                map[string]*sched.Job
-	finalRecords        map[string]finalRecord
-	finalRecordOrder    []string
-	machines            map[string]*sched.Machine
-	sortedMachines      []*sched.Machine         // all machines, sorted by id
-	machineGroups       map[string]*machineGroup // by machine id
-	groupCount          uint64                   // groups created in this term
-	releasedMachines    map[string]bool
-	teams               map[string]*sched.Team
-	fetchRates          map[string]float64 // GB per second, by machine type
-	committer           committer
-	finalReadWaiters    map[string][]*sched.Job // jobs that wait for the final record of a dependency, by its id
-	attemptCount        uint64
-	rentalCount         uint64
-	pendingRentals      map[string]fleet.Rental
-	refusedUntil        map[fleet.MachineKind]Micros
-	cloudPausedUntil    Micros
-	releaseInFlight     bool
-	releaseQueue        []string
-	pendingReleases     []releaseBatch // without a committed intent, or not yet confirmed by the cloud
-	openIntents         map[string]bool
-	releaseCount        uint64
-	arrivals            map[string]*arrivalStats
-	passScheduled       bool
-	lastPassAt          Micros
-	unplacedTasks       []sched.Unplaced
-	lastReportAt        Micros
-	ordersInFlight      int // command batches sent and not yet answered
-	orderQueue          []*sched.Machine
-	moveBudgetUpdatedAt Micros  // when moveBudget was last updated
-	moveBudget          float64 // service replicas that may be moved now
-	spotLosses          spotLosses
-	allocator           *admit.Allocator
-	shares              *admit.TeamShares
-	accountDemands      []admit.Demand // of the latest scheduling pass, by account
-	objectiveTracker    *admit.ObjectiveTracker
-	fairShares          []admit.Entitlement // nil unless the cluster is overloaded
-	router              *carrier.Router
+	term                   uint64
+	electedAt              Micros
+	loaded                 bool
+	jobs                   map[string]*sched.Job
+	finalRecords           map[string]finalRecord
+	finalRecordOrder       []string
+	machines               map[string]*sched.Machine
+	sortedMachines         []*sched.Machine         // all machines, sorted by id
+	machineGroups          map[string]*machineGroup // by machine id
+	groupCount             uint64                   // groups created in this term
+	releasedMachines       map[string]bool
+	teams                  map[string]*sched.Team
+	fetchRates             map[string]float64 // GB per second, by machine type
+	committer              committer
+	finalReadWaiters       map[string][]*sched.Job // jobs that wait for the final record of a dependency, by its id
+	attemptCount           uint64
+	rentalCount            uint64
+	pendingRentals         map[string]fleet.PendingRental
+	refusedUntil           map[fleet.MachineKind]Micros
+	cloudPausedUntil       Micros
+	releaseInFlight        bool
+	releaseQueue           []string
+	pendingReleases        []releaseBatch // without a committed intent, or not yet confirmed by the cloud
+	openIntents            map[string]bool
+	releaseCount           uint64
+	arrivals               map[string]*arrivalStats
+	passScheduled          bool
+	lastPassAt             Micros
+	unplacedTasks          []sched.Unplaced
+	lastReportAt           Micros
+	commandBatchesInFlight int // command batches sent and not yet answered
+	commandBatchQueue      []*sched.Machine
+	moveBudgetUpdatedAt    Micros  // when moveBudget was last updated
+	moveBudget             float64 // service replicas that may be moved now
+	spotLosses             spotLosses
+	allocator              *admit.Allocator
+	shares                 *admit.TeamShares
+	accountDemands         []admit.Demand // of the latest scheduling pass, by account
+	objectiveTracker       *admit.ObjectiveTracker
+	fairShares             []admit.Entitlement // nil unless the cluster is overloaded
+	router                 *carrier.Router
 }
 
 // peerInfo is what this node knows of another controller from its messages.
@@ -239,13 +239,13 @@
 func (c *Core) leaseMargin() Micros { return c.policy.LeaseMargin + c.cfg.WorkerLease()/500 }
 
 // renewalBound returns the limits within which this node may renew worker leases.
-func (c *Core) renewalBound() lead.RenewalLimits {
+func (c *Core) renewalLimits() lead.RenewalLimits {
 	return lead.RenewalLimits{LeaseDuration: c.cfg.WorkerLease(), CancelTimeout: clock.FromSeconds(c.cfg.Params.Workers.Cancel), Margin: c.leaseMargin()}
 }
 
 // mayRenewLeases reports whether this node may renew worker leases.
 func (c *Core) mayRenewLeases() bool {
-	return c.elector.Leading() && c.renewalBound().Allowed(c.env.Now(), c.elector.LeaseDeadline(), c.loaded)
+	return c.elector.Leading() && c.renewalLimits().Allowed(c.env.Now(), c.elector.LeaseDeadline(), c.loaded)
 }
 
 // logLateRenewals logs and resets the number of worker leases that this leader renewed
@@ -305,8 +305,8 @@
 func (c *Core) sendHellos() {
 	now := c.env.Now()
 	if now-c.lastStateContact > 700*clock.Millisecond {
-		c.env.State().Get(lead.TermKey, func(o store.Outcome, _ *wire.Item) {
-			if o == store.OK || o == store.Failed {
+		c.env.State().Get(lead.TermKey, func(outcome store.Outcome, _ *wire.Item) {
+			if outcome == store.OK || outcome == store.Failed {
 				c.lastStateContact = c.env.Now()
 			}
 		})
@@ -316,7 +316,7 @@
 	for _, p := range c.cfg.Peers { // a slice, so the order is deterministic
 		name := p.Name
 		hello := c.newMessage(fb.KindHello)
-		hello.AdmissionNotice = c.noticeFor(name, notice)
+		hello.AdmissionNotice = c.admissionNoticeFor(name, notice)
 		hello.ConnectionUsagePermille = int(c.env.ConnectionUsage() * 1000)
 		c.env.Call(name, hello, clock.Second, func(m *peer.Msg) {
 			if m != nil {
@@ -332,16 +332,16 @@
 // forgets workers that have not reported here for two worker leases.
 func (c *Core) newMessage(kind fb.Kind) *peer.Msg {
 	now := c.env.Now()
-	reports := uint32(0)
-	for id, s := range c.reportingWorkers {
-		if now-s.lastReportAt < 3*clock.Second && s.forwardingSince == 0 {
-			reports++ // reports that are forwarded reach the leader anyway
+	reportingWorkers := uint32(0)
+	for id, worker := range c.reportingWorkers {
+		if now-worker.lastReportAt < 3*clock.Second && worker.forwardingSince == 0 {
+			reportingWorkers++ // reports that are forwarded reach the leader anyway
 		}
-		if now-s.lastReportAt > 2*c.cfg.WorkerLease() {
+		if now-worker.lastReportAt > 2*c.cfg.WorkerLease() {
 			delete(c.reportingWorkers, id)
 		}
 	}
-	m := &peer.Msg{Kind: kind, Node: c.cfg.Name, StateOK: c.stateOK(), ReportingWorkers: reports, Incarnation: c.incarnation}
+	m := &peer.Msg{Kind: kind, Node: c.cfg.Name, StateOK: c.stateOK(), ReportingWorkers: reportingWorkers, Incarnation: c.incarnation}
 	if c.elector.Leading() {
 		m.Term = c.elector.Term()
 	}
@@ -383,7 +383,7 @@
 	switch m.Kind {
 	case fb.KindHello:
 		r := c.newMessage(fb.KindAnswer)
-		r.Code, r.AdmissionTable, r.RelayTable = 200, c.handleNotice(m), c.currentRelays()
+		r.Code, r.AdmissionTable, r.RelayTable = 200, c.handleAdmissionNotice(m), c.currentRelays()
 		reply(r)
 	case fb.KindStatus:
 		if m.InMemoryOnly {
@@ -442,13 +442,13 @@
 	c.fetchRates, c.spotLosses = map[string]float64{}, spotLosses{updatedAt: now}
 	c.committer = committer{core: c, pending: map[string]*pendingWrite{}}
 	c.attemptCount, c.rentalCount = 0, 0
-	c.pendingRentals = map[string]fleet.Rental{}
+	c.pendingRentals = map[string]fleet.PendingRental{}
 	c.refusedUntil = map[fleet.MachineKind]Micros{}
 	c.releaseQueue, c.pendingReleases, c.releaseCount, c.releaseInFlight = nil, nil, 0, false
 	c.openIntents = map[string]bool{}
 	c.arrivals = map[string]*arrivalStats{}
 	c.unplacedTasks = nil
-	c.ordersInFlight, c.orderQueue = 0, nil
+	c.commandBatchesInFlight, c.commandBatchQueue = 0, nil
 	c.format.raising = false
 	c.router = carrier.NewRouter(relayHost{c}, term, c.cfg.MaxCommandBatches())
 	c.initAdmission(now)
@@ -525,7 +525,7 @@
 		// state_outage_keeps_fleet). Resigning makes the next leader load all records again.
 		c.elector.Resign("the state service was out of reach for long", 0)
 		return
-	} else if c.isolated(now) {
+	} else if c.cutOffFromWorkers(now) {
 		c.elector.Resign("no worker reaches this node", 15*clock.Second)
 		return
 	}
@@ -542,7 +542,7 @@
 		c.maintainRelays()
 		c.probePartitions(now)
 		c.probeOverdueMachines(now)
-		c.sendOrders()
+		c.sendQueuedCommandBatches()
 		c.requestSchedulingPass()
 	}
 	c.committer.startTransaction()
@@ -551,7 +551,7 @@
 // isolated reports whether no worker reports here although some should, while a peer
 // receives reports or this node has lost all its peers too. Another node would then be
 // a better leader, although this one still reaches the state service.
-func (c *Core) isolated(now Micros) bool {
+func (c *Core) cutOffFromWorkers(now Micros) bool {
 	// A worker reports at least every 1.25 intervals, so after 1.75 intervals reports are
 	// overdue from all workers. A quick decision matters: redirected workers return to the
 	// unreachable leader and wait there for 4 s, while their leases run out.
@@ -628,15 +628,15 @@
 		}
 		c.saveMachine(placement.Machine, c.whileInTerm(func() {
 			placement.Committed = true
-			c.queueOrder(placement.Machine)
+			c.queueCommandBatch(placement.Machine)
 		}))
 	}
 	for _, victim := range result.Stop {
 		if victim.Grace > 0 { // the other stops are sent with the launch that needs their resources
-			c.queueOrder(victim.Machine)
+			c.queueCommandBatch(victim.Machine)
 		}
 	}
-	c.sendOrders()
+	c.sendQueuedCommandBatches()
 	c.unplacedTasks = result.Unplaced
 	c.rentMachines(now)
 	c.committer.startTransaction()
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -177,10 +177,10 @@
 func (c *Core) answerUnlessCancelled(record []byte, answer Answer, reply func(Answer)) {
 	var rec jobRecord
 	switch err := msgpack.Unmarshal(record, &rec); {
-	case err == nil && (len(rec.Job.DependsOn) == 0 && rec.AwaitsKeys == 0 || !c.cancellationMayBeDue(c.toSteadyTime(rec.AcceptedAt))):
+	case err == nil && (len(rec.Job.DependsOn) == 0 && rec.ExtraDependencyKeys == 0 || !c.cancellationMayBeDue(c.toSteadyTime(rec.AcceptedAt))):
 		reply(answer)
 		return
-	case err != nil || rec.AwaitsKeys > 0 || len(rec.Job.DependsOn) > maxDependencyLookups:
+	case err != nil || rec.ExtraDependencyKeys > 0 || len(rec.Job.DependsOn) > maxDependencyLookups:
 		reply(unavailable)
 		return
 	}
@@ -248,10 +248,10 @@
 // readFinalRecord reads a job's final record. It passes nil to done if there is none or
 // it cannot be read; absent tells that there is certainly none.
 func (c *Core) readFinalRecord(id string, done func(f *finalRecord, absent bool)) {
-	c.env.State().Get(finalPrefix+id, func(o store.Outcome, it *wire.Item) {
+	c.env.State().Get(finalPrefix+id, func(outcome store.Outcome, item *wire.Item) {
 		final := new(finalRecord)
-		if o != store.OK || msgpack.Unmarshal(it.Value, final) != nil || final.Phase == "" {
-			done(nil, o == store.Failed)
+		if outcome != store.OK || msgpack.Unmarshal(item.Value, final) != nil || final.Phase == "" {
+			done(nil, outcome == store.Failed)
 			return
 		}
 		done(final, false)
@@ -331,11 +331,11 @@
 // Archiving moves a job in the same direction, so it cannot be missed. known is false if
 // the state service gave no usable answer.
 func (c *Core) readAccepted(id string, done func(accepted, service, known bool)) {
-	c.env.State().Get(jobPrefix+id, func(o store.Outcome, it *wire.Item) {
-		switch o {
+	c.env.State().Get(jobPrefix+id, func(outcome store.Outcome, item *wire.Item) {
+		switch outcome {
 		case store.OK:
 			var rec jobRecord
-			err := msgpack.Unmarshal(it.Value, &rec)
+			err := msgpack.Unmarshal(item.Value, &rec)
 			done(true, rec.Job.Kind == wire.KindService, err == nil)
 		case store.Failed:
 			c.readFinalRecord(id, func(f *finalRecord, absent bool) {
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -42,7 +42,7 @@
 // probePartitions probes machines that show symptoms of a one-way partition.
 func (c *Core) probePartitions(now Micros) {
 	for _, m := range c.sortedMachines {
-		if m.Downlink.Suspected() && c.mayOrder(m) && m.Downlink.BeginProbe(now) {
+		if m.Downlink.Suspected() && c.canSendCommandBatch(m) && m.Downlink.BeginProbe(now) {
 			c.probe(m, func(ok bool, _ *wire.Report) { m.Downlink.RecordProbeResult(ok) })
 		}
 	}
@@ -80,10 +80,10 @@
 		return // reports are so frequent that missing several of them is noticed earlier
 	}
 	for _, m := range c.sortedMachines {
-		if c.ordersInFlight >= c.cfg.MaxCommandBatches()/4 {
+		if c.commandBatchesInFlight >= c.cfg.MaxCommandBatches()/4 {
 			return // a whole zone may be silent, and launches need command batches too
 		}
-		if !m.Up || now-m.LastReportAt < overdueAfter || m.UnansweredProbes >= maxUnansweredProbes || now-m.LastProbeAt < responseTimeout/2 || !c.mayOrder(m) {
+		if !m.Up || now-m.LastReportAt < overdueAfter || m.UnansweredProbes >= maxUnansweredProbes || now-m.LastProbeAt < responseTimeout/2 || !c.canSendCommandBatch(m) {
 			continue
 		}
 		m.LastProbeAt = now
@@ -97,7 +97,7 @@
 
 // probe sends an empty command batch; an answer shows that the machine receives commands.
 func (c *Core) probe(m *sched.Machine, done func(ok bool, report *wire.Report)) {
-	c.sendCommands(m, []wire.Command{}, func(outcome store.Outcome, report *wire.Report) {
+	c.sendCommandBatch(m, []wire.Command{}, func(outcome store.Outcome, report *wire.Report) {
 		done((outcome == store.OK || outcome == store.Failed) && report != nil && report.Machine == m.ID, report)
 	})
 }
@@ -107,7 +107,7 @@
 // then, the machine may have restarted with a reset session counter. The report alone can't
 // distinguish the two cases, so the machine is probed.
 func (c *Core) handleStaleReport(m *sched.Machine, report *wire.Report, now Micros) {
-	if now-m.LastReportAt < c.reportOverdueAfter() || now-m.LastRestartCheckAt < c.cfg.ReportInterval() || !c.mayOrder(m) {
+	if now-m.LastReportAt < c.reportOverdueAfter() || now-m.LastRestartCheckAt < c.cfg.ReportInterval() || !c.canSendCommandBatch(m) {
 		return
 	}
 	m.LastRestartCheckAt = now
--- a/internal/controller/format_level.go
+++ b/internal/controller/format_level.go
@@ -40,9 +40,9 @@
 
 // Keys of the format level, which version 0.1 neither reads nor writes.
 const (
-	levelPrefix = "fmt/"
-	levelKey    = "fmt/level"
-	nodePrefix  = "fmt/node/"
+	levelPrefix     = "fmt/"
+	levelKey        = "fmt/level"
+	nodeLevelPrefix = "fmt/node/"
 )
 
 // levelRecord is stored for the level in force, and by each node for the highest level
@@ -66,16 +66,16 @@
 // stateLimits returns the limits of the state service to observe: below LevelTasks the
 // present ones, from then on the lower of the present and the next ones.
 func (c *Core) stateLimits() config.StateLimits {
-	s := c.cfg.Params.State
+	limits := c.cfg.Params.State
 	if c.format.level >= LevelTasks {
-		s = s.Lowest()
+		limits = limits.Lowest()
 	}
 	// A transaction that is still refused after three reductions: reduce the limit of a
 	// value too, so that single records get smaller.
 	if n := c.committer.sizeReductions - 3; n > 0 {
-		s.ValueKB *= math.Pow(0.75, float64(n))
+		limits.ValueKB *= math.Pow(0.75, float64(n))
 	}
-	return s
+	return limits
 }
 
 // announceLevel writes the highest level that this process supports to the state service;
@@ -95,9 +95,9 @@
 	}
 	c.writeBudget.Spend(at, admit.BackgroundWrites, 1)
 	c.env.State().Txn(&wire.Txn{Then: []wire.Change{
-		{PutKey: nodePrefix + c.cfg.Name, Value: wire.Encode(&levelRecord{c.format.maxLevel})},
-	}}, func(o store.Outcome, _ *wire.TxnAnswer) {
-		if o != store.OK {
+		{PutKey: nodeLevelPrefix + c.cfg.Name, Value: wire.Encode(&levelRecord{c.format.maxLevel})},
+	}}, func(outcome store.Outcome, _ *wire.TxnAnswer) {
+		if outcome != store.OK {
 			retry()
 		}
 	})
@@ -121,23 +121,23 @@
 		done(true)
 		return
 	}
-	c.env.State().List(levelPrefix, "", 500, func(o store.Outcome, l *wire.ItemList) {
-		if o != store.OK {
+	c.env.State().List(levelPrefix, "", 500, func(outcome store.Outcome, list *wire.ItemList) {
+		if outcome != store.OK {
 			done(false)
 			return
 		}
-		for i := range l.Items {
+		for i := range list.Items {
 			var r levelRecord
-			if msgpack.Unmarshal(l.Items[i].Value, &r) != nil {
+			if msgpack.Unmarshal(list.Items[i].Value, &r) != nil {
 				continue
 			}
-			if l.Items[i].Key == nodePrefix+c.cfg.Name && r.Level == c.format.maxLevel {
+			if list.Items[i].Key == nodeLevelPrefix+c.cfg.Name && r.Level == c.format.maxLevel {
 				c.format.announced = true
 			}
-			if l.Items[i].Key == levelKey {
+			if list.Items[i].Key == levelKey {
 				c.recordNodeLevel("", 0, r.Level)
 			} else {
-				c.recordNodeLevel(strings.TrimPrefix(l.Items[i].Key, nodePrefix), r.Level, 0)
+				c.recordNodeLevel(strings.TrimPrefix(list.Items[i].Key, nodeLevelPrefix), r.Level, 0)
 			}
 		}
 		done(true)
@@ -159,12 +159,12 @@
 		c.readLevels(func(bool) {})
 	}
 	if commonLevel > c.format.level {
-		c.recordLevel(commonLevel, func() { c.raiseLevel(commonLevel, "supported by every node") })
+		c.saveLevel(commonLevel, func() { c.raiseLevel(commonLevel, "supported by every node") })
 	}
 }
 
 // recordLevel writes the level in force and calls done once it is committed.
-func (c *Core) recordLevel(level int, done func()) {
+func (c *Core) saveLevel(level int, done func()) {
 	c.format.raising = true
 	c.committer.put(levelKey, func() []byte { return wire.Encode(&levelRecord{max(level, c.format.level)}) }, c.whileInTerm(func() {
 		c.format.raising = false
@@ -231,7 +231,7 @@
 	}
 	c.raiseLevel(LevelTasks, "the state service enforces its next limits")
 	if c.elector.Leading() && c.loaded {
-		c.recordLevel(LevelTasks, func() {})
+		c.saveLevel(LevelTasks, func() {})
 	}
 	return true
 }
@@ -245,6 +245,6 @@
 	}
 	c.saveTasks(p.Job, p.Index, classUrgent, c.whileInTerm(func() {
 		p.InJobRecord, p.Committed = true, true
-		c.queueOrder(p.Machine)
+		c.queueCommandBatch(p.Machine)
 	}))
 }
--- a/internal/controller/forward_submissions.go
+++ b/internal/controller/forward_submissions.go
@@ -30,9 +30,9 @@
 	if !c.policy.Admission.Enabled {
 		return 0
 	}
-	q := c.submissions.queue
+	queue := c.submissions.queue
 	cost := 1 + len(job.DependsOn)/64
-	missing := float64(q.CostAhead(account, c.submissionRank(job), cost)+cost) - c.writeBudget.Available(stdTime(now), admit.SubmissionWrites)
+	missing := float64(queue.CostAhead(account, c.submissionRank(job), cost)+cost) - c.writeBudget.Available(stdTime(now), admit.SubmissionWrites)
 	if missing <= 0 {
 		return 0
 	}
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -138,7 +138,7 @@
 			c.pendingReleases = append(c.pendingReleases, releaseBatch{name, rec.Machines})
 		case rec.Rent != nil:
 			slog.Info("resuming rental", "intent", name, "machines", rec.Rent.Count)
-			c.pendingRentals[name] = fleet.Rental{Kind: kindOf(rec.Rent), Count: rec.Rent.Count}
+			c.pendingRentals[name] = fleet.PendingRental{Kind: kindOf(rec.Rent), Count: rec.Rent.Count}
 			c.sendRental(rec.Rent, c.toSteadyTime(rec.WrittenAt), true)
 		default:
 			c.closeIntent(name)
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -43,11 +43,11 @@
 }
 
 // maxGroupSize returns how many machines are certain to fit into a record of limitBytes.
-func maxGroupSize(limitBytes int) int { return max((limitBytes-256)/machineRecordBytes, 1) }
+func maxGroupSize(limitBytes int) int { return max((limitBytes-256)/groupMemberBytes, 1) }
 
 // machineRecordBytes is an upper bound on the size of a machine in its group's record, without
 // its images.
-const machineRecordBytes = 32
+const groupMemberBytes = 32
 
 // formGroups assigns machines of one kind that have no group to new groups and queues the groups
 // to be written.
@@ -152,14 +152,14 @@
 			rec.ImageGB = append(rec.ImageGB, sizeGB[image])
 		}
 		for _, m := range members {
-			held := []int{}
+			imageIndexes := []int{}
 			for i, image := range images {
 				if _, ok := m.Images[image]; ok {
-					held = append(held, i)
+					imageIndexes = append(imageIndexes, i)
 				}
 			}
 			if len(images) > 0 {
-				rec.ImagesByMachine = append(rec.ImagesByMachine, held)
+				rec.ImagesByMachine = append(rec.ImagesByMachine, imageIndexes)
 			}
 		}
 		value := wire.Encode(&rec)
@@ -206,19 +206,19 @@
 
 // groupMachines assigns machines without a group to new groups, by kind.
 func (c *Core) groupMachines(machines []*sched.Machine) {
-	kinds := map[fleet.MachineKind][]*sched.Machine{}
+	machinesByKind := map[fleet.MachineKind][]*sched.Machine{}
 	var kindOrder []fleet.MachineKind
 	for _, m := range machines {
 		if c.machineGroups[m.ID] != nil {
 			continue
 		}
 		kind := fleet.MachineKind{Type: m.Type.Name, Zone: m.Zone, Spot: m.Spot}
-		if kinds[kind] == nil {
+		if machinesByKind[kind] == nil {
 			kindOrder = append(kindOrder, kind)
 		}
-		kinds[kind] = append(kinds[kind], m)
+		machinesByKind[kind] = append(machinesByKind[kind], m)
 	}
 	for _, kind := range kindOrder {
-		c.saveNewMachines(kinds[kind])
+		c.saveNewMachines(machinesByKind[kind])
 	}
 }
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -14,7 +14,7 @@
 // size limit, a machine's own record is deleted only after its group is written and the job
 // records hold its placements, and the next leader restores the same machines, placements and
 // images.
-func TestGroups(t *testing.T) {
+func TestGroupMigration(t *testing.T) {
 	records := productionRecords(t)
 	c := newLoadingCore(LevelPlacements, config.StateLimits{ValueKB: 4, TxnOps: 32, WriteRPS: 100})
 	loadRecords(t, c, records)
@@ -23,8 +23,8 @@
 	isMachineKey := func(key string) bool { return strings.HasPrefix(key, machinePrefix) }
 	deletions := func() int {
 		n := 0
-		for _, r := range c.committer.pending {
-			changes, ok := r.render()
+		for _, write := range c.committer.pending {
+			changes, ok := write.render()
 			for _, ch := range changes {
 				if ok && isMachineKey(ch.DeleteKey) {
 					n++
@@ -72,7 +72,7 @@
 
 // TestGroupFits checks that groups are written within the value size limit, and that images are
 // left out of a full record starting with those cached on the fewest machines.
-func TestGroupFits(t *testing.T) {
+func TestGroupRecordsFit(t *testing.T) {
 	c := newLoadingCore(LevelGroups, config.StateLimits{ValueKB: 2, TxnOps: 8, WriteRPS: 42})
 	c.catalog = []wire.MachineType{{Name: "t", CPUs: 16, MemoryGB: 64, CacheGB: 1000}}
 	var all []*sched.Machine
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -27,8 +27,8 @@
 		interval = clock.Second
 		c.env.State().List(catalogKey, "", 500, func(outcome store.Outcome, page *wire.ItemList) {
 			if outcome == store.OK && c.catalog == nil {
-				if cat := readCatalog(page.Items); cat != nil {
-					c.setCatalog(cat)
+				if stored := readCatalog(page.Items); stored != nil {
+					c.setCatalog(stored)
 				}
 			}
 			if c.catalog == nil {
@@ -285,7 +285,7 @@
 				p.Job.PlacedCount == len(p.Job.Tasks) && vacancies.Claim(p) {
 				slog.Debug("moving replica", "task", p.Task, "from", m.ID)
 				p.Stopping, p.Grace = true, 0
-				c.queueOrder(m)
+				c.queueCommandBatch(m)
 				c.moveBudget--
 			}
 		}
@@ -358,7 +358,7 @@
 // are stopped to continue elsewhere; other tasks may finish.
 func (c *Core) drain(m *sched.Machine) {
 	m.Draining = true
-	c.queueOrder(m)
+	c.queueCommandBatch(m)
 	for _, p := range sortedPlacements(m) {
 		if p.Job == nil || p.Exited {
 			continue
@@ -371,7 +371,7 @@
 
 // drainForNotice stops the tasks that can save their state before the cloud reclaims a machine.
 // Tasks without checkpoints continue, since they may finish in time.
-func (c *Core) drainForNotice(m *sched.Machine, now Micros) {
+func (c *Core) drainForReclaim(m *sched.Machine, now Micros) {
 	slog.Debug("spot reclaim notice", "machine", m.ID, "in", (m.ReclaimAt - now).Seconds())
 	c.spotLosses.lost++
 	for _, p := range sortedPlacements(m) {
@@ -380,9 +380,9 @@
 		case j == nil || p.Exited:
 		case j.Gang(): // all members of the gang must receive the stop within gang_peer_s
 			for i := range j.Tasks {
-				if q := j.Tasks[i].Placement; q != nil && !q.Stopping {
-					q.Stopping, q.Grace = true, j.Spec.SaveDuration+1
-					c.queueOrder(q.Machine)
+				if member := j.Tasks[i].Placement; member != nil && !member.Stopping {
+					member.Stopping, member.Grace = true, j.Spec.SaveDuration+1
+					c.queueCommandBatch(member.Machine)
 				}
 			}
 		case j.Service() || j.Spec.CheckpointInterval > 0:
@@ -469,7 +469,7 @@
 		}
 		c.rentalCount++
 		requestID := "r-" + strconv.FormatUint(c.term, 10) + "-" + strconv.FormatUint(c.rentalCount, 10)
-		c.pendingRentals[requestID] = fleet.Rental(rental)
+		c.pendingRentals[requestID] = fleet.PendingRental(rental)
 		request := &wire.RentRequest{RequestID: requestID, Type: rental.Kind.Type, Zone: rental.Kind.Zone, Spot: rental.Kind.Spot, Count: rental.Count}
 		c.commitIntent(requestID, intentRecord{Rent: request}, func() { c.sendRental(request, now, false) })
 	}
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -19,26 +19,28 @@
 // told to forget that attempt.
 
 // queueOrder marks a machine for a direct command batch in the next round.
-func (c *Core) queueOrder(m *sched.Machine) { c.orderQueue = append(c.orderQueue, m) }
+func (c *Core) queueCommandBatch(m *sched.Machine) {
+	c.commandBatchQueue = append(c.commandBatchQueue, m)
+}
 
 // sendOrders sends a direct command batch to each queued machine. Commands that can't be sent
 // now are part of the answer to the machine's next report.
-func (c *Core) sendOrders() {
-	for _, m := range c.orderQueue {
-		c.sendOrder(m)
+func (c *Core) sendQueuedCommandBatches() {
+	for _, m := range c.commandBatchQueue {
+		c.sendPendingCommands(m)
 	}
-	c.orderQueue = c.orderQueue[:0]
+	c.commandBatchQueue = c.commandBatchQueue[:0]
 }
 
 // mayOrder reports whether a command batch may be sent to the machine now.
-func (c *Core) mayOrder(m *sched.Machine) bool {
+func (c *Core) canSendCommandBatch(m *sched.Machine) bool {
 	if m.CommandInFlight || !c.Serving() || c.machines[m.ID] != m || m.Releasing || m.Addr == "" {
 		return false
 	}
 	if relayNode := c.router.RelayFor(m.ID); relayNode != "" {
 		return c.router.CanSendOrders(relayNode)
 	}
-	return c.ordersInFlight < c.cfg.MaxCommandBatches()
+	return c.commandBatchesInFlight < c.cfg.MaxCommandBatches()
 }
 
 // sendCommands sends a command batch, which may be empty, to a machine for which mayOrder holds.
@@ -47,7 +49,7 @@
 //
 // The batch goes through the relaying controller that holds the machine's connection, if there
 // is one.
-func (c *Core) sendCommands(m *sched.Machine, commands []wire.Command, done func(store.Outcome, *wire.Report)) {
+func (c *Core) sendCommandBatch(m *sched.Machine, commands []wire.Command, done func(store.Outcome, *wire.Report)) {
 	m.CommandInFlight = true
 	term := c.term
 	orders := &wire.Orders{Token: term, Session: m.Session, Commands: commands}
@@ -57,7 +59,7 @@
 			return
 		}
 		if relayNode == "" {
-			c.ordersInFlight--
+			c.commandBatchesInFlight--
 		}
 		m.CommandInFlight = false
 		if outcome == store.OK || outcome == store.Failed {
@@ -71,15 +73,15 @@
 		c.router.SendOrders(relayNode, m.Addr, orders, complete)
 		return
 	}
-	c.ordersInFlight++
+	c.commandBatchesInFlight++
 	c.env.SendOrders(m.Addr, orders, complete)
 }
 
 // sendOrder sends a machine its pending stops and launches in a direct command batch, if it can
 // receive one now.
-func (c *Core) sendOrder(m *sched.Machine) {
+func (c *Core) sendPendingCommands(m *sched.Machine) {
 	now := c.env.Now()
-	if !c.mayOrder(m) || !m.Acked || m.Downlink.Partitioned || now-m.LastReportAt > c.maxReportAge() {
+	if !c.canSendCommandBatch(m) || !m.Acked || m.Downlink.Partitioned || now-m.LastReportAt > c.maxReportAge() {
 		return
 	}
 	stops, starts := c.buildCommands(m, sortedPlacements(m), now, true)
@@ -93,7 +95,7 @@
 			m.LastCommandAt += carrier.OrderTimeout // the relaying controller may send the batch that much later
 		}
 	}
-	c.sendCommands(m, append(stops, starts...), func(outcome store.Outcome, report *wire.Report) {
+	c.sendCommandBatch(m, append(stops, starts...), func(outcome store.Outcome, report *wire.Report) {
 		if m.Session != session {
 			return // the placements of the previous session have ended
 		}
@@ -168,9 +170,9 @@
 // tasks lasts longer than cancel_s while the machine's reports are forwarded (scenario
 // order_held_past_cancel).
 func (c *Core) mayStartCancelled(m *sched.Machine, now Micros) bool {
-	renewalBound := c.renewalBound()
+	renewalLimits := c.renewalLimits()
 	for _, p := range m.Placements {
-		if p.DirectUnanswered && p.Job != nil && p.Job.Cancelled && p.Job.EndedAt > 0 && renewalBound.MayOutliveCancel(now, p.Job.EndedAt) {
+		if p.DirectUnanswered && p.Job != nil && p.Job.Cancelled && p.Job.EndedAt > 0 && renewalLimits.MayOutliveCancel(now, p.Job.EndedAt) {
 			return true
 		}
 	}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -23,26 +23,26 @@
 // all of them as of one instant. From LevelTasks on, the records of a job's tasks have a
 // prefix of their own.
 const (
-	jobPrefix      = "j/"
-	finalPrefix    = "f/"
-	machinePrefix  = "m/"
-	taskPrefix     = "t/"
-	catalogKey     = "catalog"
-	learnedKey     = "learnt"
-	progressSuffix = "/s"
-	awaitsSuffix   = "/w" // followed by a number; sorts after the progress
+	jobPrefix          = "j/"
+	finalPrefix        = "f/"
+	machinePrefix      = "m/"
+	taskPrefix         = "t/"
+	catalogKey         = "catalog"
+	learnedKey         = "learnt"
+	progressSuffix     = "/s"
+	dependenciesSuffix = "/w" // followed by a number; sorts after the progress
 )
 
 // jobRecord is an accepted job.
 type jobRecord struct {
-	Job        wire.Job `msgpack:"job"`
-	AcceptedAt int64    `msgpack:"at"`              // time of day of acceptance, microseconds
-	AwaitsKeys int      `msgpack:"parts,omitempty"` // number of further keys that hold the rest of the awaits
+	Job                 wire.Job `msgpack:"job"`
+	AcceptedAt          int64    `msgpack:"at"`              // time of day of acceptance, microseconds
+	ExtraDependencyKeys int      `msgpack:"parts,omitempty"` // number of further keys that hold the rest of the awaits
 }
 
 // awaitsRecord holds awaits of a job that did not fit in its jobRecord.
-type awaitsRecord struct {
-	Awaits []string `msgpack:"awaits"`
+type dependenciesRecord struct {
+	DependsOn []string `msgpack:"awaits"`
 }
 
 // progressRecord is the progress of a job and, in the end, its final phase.
@@ -175,19 +175,19 @@
 // progressRecordOf returns a job's progress record in the format of the level in force.
 func (c *Core) progressRecordOf(j *sched.Job) *progressRecord {
 	if c.format.level < LevelTasks {
-		r := renderProgress(j, c.stateLimits().ValueBytes())
-		c.setReadyTimes(j, r)
-		return r
+		rec := renderProgress(j, c.stateLimits().ValueBytes())
+		c.setReadyTimes(j, rec)
+		return rec
 	}
-	r := renderProgress(j, 0) // the tasks have records of their own
-	c.setReadyTimes(j, r)
-	if j.CommittedPhase == "" && r.Phase != "" && j.EndedAt == 0 {
+	rec := renderProgress(j, 0) // the tasks have records of their own
+	c.setReadyTimes(j, rec)
+	if j.CommittedPhase == "" && rec.Phase != "" && j.EndedAt == 0 {
 		j.EndedAt = c.env.Now()
 	}
 	if j.EndedAt != 0 {
-		r.EndedAt = c.toWallTime(j.EndedAt)
+		rec.EndedAt = c.toWallTime(j.EndedAt)
 	}
-	return r
+	return rec
 }
 
 // setReadyTimes sets when a job with dependencies became ready and when its pipeline
@@ -214,23 +214,23 @@
 // the next leader starts them again, and they exit with their result at once. A larger
 // record would be refused by the state service and block all others.
 func renderProgress(j *sched.Job, limit int) *progressRecord {
-	r := &progressRecord{DoneCount: j.DoneCount, Estimate: int64(j.Estimate), AnyTaskSucceeded: j.AnyTaskSucceeded}
+	rec := &progressRecord{DoneCount: j.DoneCount, Estimate: int64(j.Estimate), AnyTaskSucceeded: j.AnyTaskSucceeded}
 	switch {
 	case j.Cancelled:
-		r.Phase = wire.PhaseCancelled
+		rec.Phase = wire.PhaseCancelled
 	case j.Ended:
-		r.Phase = wire.PhaseDone
+		rec.Phase = wire.PhaseDone
 	}
-	if r.Phase == "" && j.DoneCount > 0 {
+	if rec.Phase == "" && j.DoneCount > 0 {
 		bits := make([]byte, min((len(j.Tasks)+7)/8, max(limit-progressOverhead, 0)*3/4))
 		for i := range j.Tasks[:min(len(j.Tasks), 8*len(bits))] {
 			if j.Tasks[i].State == sched.Done {
 				bits[i/8] |= 1 << (i % 8)
 			}
 		}
-		r.Done = base64.StdEncoding.EncodeToString(bits)
+		rec.Done = base64.StdEncoding.EncodeToString(bits)
 	}
-	return r
+	return rec
 }
 
 // progressOverhead is an upper bound, in bytes, of what a progress record needs besides
@@ -259,7 +259,7 @@
 		c.deleteTasks(j.ID, first, parts)
 	}
 	for i := range j.ExtraAwaitsKeys {
-		c.committer.put(awaitsKey(j.ID, i), func() []byte { return nil }, nil)
+		c.committer.put(dependenciesKey(j.ID, i), func() []byte { return nil }, nil)
 	}
 }
 
@@ -290,15 +290,15 @@
 			}
 		}
 		// Done tasks first: a record that still holds a placement of one may be older.
-		records := c.restoreDoneTasks(tasks)
+		taskRecords := c.restoreDoneTasks(tasks)
 		for i := range machines {
 			c.restoreMachine(&machines[i])
 		}
 		for i := range groups {
 			c.restoreGroup(&groups[i])
 		}
-		for _, r := range records {
-			c.restorePlacements(r)
+		for _, stored := range taskRecords {
+			c.restorePlacements(stored)
 		}
 		for _, j := range c.jobs {
 			c.queuePendingTasks(j)
@@ -339,12 +339,12 @@
 						groups = items
 						readAll(intentPrefix, func(items []wire.Item, _ uint64) {
 							intents = items
-							c.env.State().Get(learnedKey, func(o store.Outcome, it *wire.Item) {
+							c.env.State().Get(learnedKey, func(outcome store.Outcome, item *wire.Item) {
 								if !stillLeading() {
 									return
 								}
-								if o == store.OK {
-									c.restoreLearned(it.Value)
+								if outcome == store.OK {
+									c.restoreLearned(item.Value)
 								}
 								c.awaitCatalog(stillLeading, finish)
 							})
@@ -373,18 +373,18 @@
 // addJobRecords adds the jobs among the items. If progress is not nil, it receives the
 // progress records among the items, by job id.
 func (c *Core) addJobRecords(items []wire.Item, progress map[string]*progressRecord) {
-	awaitsValues := map[string][][]byte{}
+	dependencyValues := map[string][][]byte{}
 	for i := range items {
 		key := strings.TrimPrefix(items[i].Key, jobPrefix)
-		if id, tail, found := strings.Cut(key, "/"); found && strings.HasPrefix("/"+tail, awaitsSuffix) {
-			awaitsValues[id] = append(awaitsValues[id], items[i].Value)
+		if id, tail, found := strings.Cut(key, "/"); found && strings.HasPrefix("/"+tail, dependenciesSuffix) {
+			dependencyValues[id] = append(dependencyValues[id], items[i].Value)
 		}
 	}
 	for i := range items {
 		id, tail, found := strings.Cut(strings.TrimPrefix(items[i].Key, jobPrefix), "/")
 		switch {
 		case !found:
-			c.addJobRecord(items[i].Value, awaitsValues[id])
+			c.addJobRecord(items[i].Value, dependencyValues[id])
 		case "/"+tail == progressSuffix && progress != nil:
 			p := new(progressRecord)
 			if msgpack.Unmarshal(items[i].Value, p) == nil {
@@ -414,18 +414,18 @@
 	var revision uint64
 	var page func(after string)
 	page = func(after string) {
-		c.env.State().List(prefix, after, 500, func(o store.Outcome, l *wire.ItemList) {
+		c.env.State().List(prefix, after, 500, func(outcome store.Outcome, list *wire.ItemList) {
 			switch {
 			case !stillLeading():
-			case o != store.OK:
+			case outcome != store.OK:
 				c.env.After(100*clock.Millisecond, func() { page(after) })
 			default:
 				if after == "" {
-					revision = l.Revision
+					revision = list.Revision
 				}
-				all = append(all, l.Items...)
-				if l.More && len(l.Items) > 0 {
-					page(l.Items[len(l.Items)-1].Key)
+				all = append(all, list.Items...)
+				if list.More && len(list.Items) > 0 {
+					page(list.Items[len(list.Items)-1].Key)
 					return
 				}
 				done(all, revision)
@@ -437,7 +437,7 @@
 
 // decodeJobRecord decodes a job's record and the values of the further keys that hold the
 // rest of its awaits.
-func decodeJobRecord(value []byte, awaitsValues [][]byte) (*jobRecord, error) {
+func decodeJobRecord(value []byte, dependencyValues [][]byte) (*jobRecord, error) {
 	rec := new(jobRecord)
 	if err := msgpack.Unmarshal(value, rec); err != nil {
 		return nil, err
@@ -445,22 +445,22 @@
 	if !wire.ValidID(rec.Job.ID) {
 		return nil, fmt.Errorf("invalid job id %q", rec.Job.ID)
 	}
-	if len(awaitsValues) != rec.AwaitsKeys {
-		return nil, fmt.Errorf("job %s has %d of %d further awaits keys", rec.Job.ID, len(awaitsValues), rec.AwaitsKeys)
+	if len(dependencyValues) != rec.ExtraDependencyKeys {
+		return nil, fmt.Errorf("job %s has %d of %d further awaits keys", rec.Job.ID, len(dependencyValues), rec.ExtraDependencyKeys)
 	}
-	for _, raw := range awaitsValues {
-		var rest awaitsRecord
+	for _, raw := range dependencyValues {
+		var rest dependenciesRecord
 		if err := msgpack.Unmarshal(raw, &rest); err != nil {
 			return nil, err
 		}
-		rec.Job.DependsOn = append(rec.Job.DependsOn, rest.Awaits...)
+		rec.Job.DependsOn = append(rec.Job.DependsOn, rest.DependsOn...)
 	}
 	return rec, nil
 }
 
 // addJobRecord adds a job from its record, unless it is known already.
-func (c *Core) addJobRecord(value []byte, awaitsValues [][]byte) {
-	rec, err := decodeJobRecord(value, awaitsValues)
+func (c *Core) addJobRecord(value []byte, dependencyValues [][]byte) {
+	rec, err := decodeJobRecord(value, dependencyValues)
 	if err != nil {
 		slog.Error("job record cannot be read", "err", err)
 		return
@@ -482,7 +482,7 @@
 		Tasks:           make([]sched.Task, spec.Tasks),
 		FailedOn:        map[string]bool{},
 		TaskRecords:     map[int]int{},
-		ExtraAwaitsKeys: rec.AwaitsKeys,
+		ExtraAwaitsKeys: rec.ExtraDependencyKeys,
 	}
 	j.Init()
 	j.ComputeSize(c.catalog)
@@ -720,23 +720,23 @@
 	if !c.elector.Leading() || c.term != term {
 		return
 	}
-	c.env.State().Watch(jobPrefix, revision, 10_000, func(o store.Outcome, a *wire.WatchAnswer) {
+	c.env.State().Watch(jobPrefix, revision, 10_000, func(outcome store.Outcome, answer *wire.WatchAnswer) {
 		if !c.elector.Leading() || c.term != term {
 			return
 		}
-		switch o {
+		switch outcome {
 		case store.OK:
-			items := make([]wire.Item, 0, len(a.Events))
-			for _, e := range a.Events {
+			items := make([]wire.Item, 0, len(answer.Events))
+			for _, e := range answer.Events {
 				if e.PutKey != "" {
 					items = append(items, wire.Item{Key: e.PutKey, Value: e.Value})
 				}
 			}
 			c.addJobRecords(items, nil)
-			if len(a.Events) > 0 {
+			if len(answer.Events) > 0 {
 				c.requestSchedulingPass()
 			}
-			c.watchJobs(term, a.Revision)
+			c.watchJobs(term, answer.Revision)
 		case store.Gone:
 			c.listAll(func() bool { return c.elector.Leading() && c.term == term }, jobPrefix,
 				func(items []wire.Item, revision uint64) {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -159,7 +159,7 @@
 		m.ReclaimAt = 0 // the notice came from a delayed copy of a report, or the cloud withdrew it
 	} else if m.ReclaimAt == 0 {
 		m.ReclaimAt = now + clock.FromSeconds(*report.ReclaimNoticeSeconds)
-		c.drainForNotice(m, now)
+		c.drainForReclaim(m, now)
 	}
 	if m.LastCommandUnanswered {
 		m.LastCommandUnanswered = false
@@ -575,8 +575,8 @@
 			c.queuePendingTasks(j)
 		} else {
 			for i := range j.Tasks { // the remaining tasks of this gang attempt are useless
-				if q := j.Tasks[i].Placement; q != nil && !q.Stopping {
-					q.Stopping, q.Grace = true, 0
+				if member := j.Tasks[i].Placement; member != nil && !member.Stopping {
+					member.Stopping, member.Grace = true, 0
 				}
 			}
 		}
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -42,7 +42,7 @@
 func (c *Core) Submit(job *wire.Job, reply func(Answer)) {
 	if c.catalog != nil {
 		if reason := c.unrunnableReason(job); reason != "" {
-			c.refuseNew(job.ID, Answer{Code: 422, Status: wire.JobStatus{ID: reason}}, reply)
+			c.rejectUnlessKnown(job.ID, Answer{Code: 422, Status: wire.JobStatus{ID: reason}}, reply)
 			return
 		}
 	}
@@ -59,16 +59,16 @@
 
 // RejectMalformed answers a submission in which a field is missing or invalid.
 func (c *Core) RejectMalformed(id, reason string, reply func(Answer)) {
-	c.refuseNew(id, Answer{Code: 400, Status: wire.JobStatus{ID: reason}}, reply)
+	c.rejectUnlessKnown(id, Answer{Code: 400, Status: wire.JobStatus{ID: reason}}, reply)
 }
 
 // refuseNew rejects a job permanently unless it exists. An accepted job stays accepted even if
 // its submission would be rejected now because of changed settings, dependencies or limits of
 // the state service; the answer is then the job's status.
-func (c *Core) refuseNew(id string, refusal Answer, reply func(Answer)) {
+func (c *Core) rejectUnlessKnown(id string, rejection Answer, reply func(Answer)) {
 	c.Status(id, func(a Answer) {
 		if a.Code == 404 {
-			a = refusal
+			a = rejection
 		}
 		reply(a)
 	})
@@ -124,11 +124,11 @@
 			c.enqueue(job, mayForward, reply)
 			return
 		}
-		refusal := unavailable
+		rejection := unavailable
 		if result.rejectReason != "" {
-			refusal = Answer{Code: 422, Status: wire.JobStatus{ID: result.rejectReason}}
+			rejection = Answer{Code: 422, Status: wire.JobStatus{ID: result.rejectReason}}
 		}
-		c.refuseNew(job.ID, refusal, reply)
+		c.rejectUnlessKnown(job.ID, rejection, reply)
 	})
 }
 
@@ -164,8 +164,8 @@
 }
 
 // awaitsKey returns the key of a record that holds some of a job's dependencies.
-func awaitsKey(job string, part int) string {
-	return fmt.Sprintf("%s%s%s%04d", jobPrefix, job, awaitsSuffix, part)
+func dependenciesKey(job string, part int) string {
+	return fmt.Sprintf("%s%s%s%04d", jobPrefix, job, dependenciesSuffix, part)
 }
 
 // jobChanges returns the changes that create a job, its record first. Dependencies that
@@ -178,27 +178,27 @@
 	value := wire.Encode(&rec)
 	changes := []wire.Change{{PutKey: jobPrefix + job.ID}}
 	if wire.JSONSize(value) > limit {
-		rec.Job.DependsOn, rec.AwaitsKeys = nil, 1
+		rec.Job.DependsOn, rec.ExtraDependencyKeys = nil, 1
 		value = wire.Encode(&rec)
 		if wire.JSONSize(value) > limit-16 {
 			return nil, fmt.Sprintf("too large: a job's record without its awaits may take %d bytes", limit-16)
 		}
-		var part awaitsRecord
+		var part dependenciesRecord
 		size := 0
 		flush := func() {
-			changes = append(changes, wire.Change{PutKey: awaitsKey(job.ID, len(changes)-1), Value: wire.Encode(&part)})
-			part, size = awaitsRecord{}, 0
+			changes = append(changes, wire.Change{PutKey: dependenciesKey(job.ID, len(changes)-1), Value: wire.Encode(&part)})
+			part, size = dependenciesRecord{}, 0
 		}
 		for _, id := range job.DependsOn {
 			idSize := len(id) + 3
 			if size+idSize > limit-16 {
 				flush()
 			}
-			part.Awaits = append(part.Awaits, id)
+			part.DependsOn = append(part.DependsOn, id)
 			size += idSize
 		}
 		flush()
-		rec.AwaitsKeys = len(changes) - 1
+		rec.ExtraDependencyKeys = len(changes) - 1
 		value = wire.Encode(&rec)
 	}
 	changes[0].Value = value
@@ -266,15 +266,15 @@
 	c.submissions.busy = true
 	term, leading := c.term, c.elector.Leading()
 	c.writeBudget.Spend(at, admit.SubmissionWrites, len(txn.Then))
-	c.env.State().Txn(txn, func(o store.Outcome, a *wire.TxnAnswer) {
+	c.env.State().Txn(txn, func(outcome store.Outcome, answer *wire.TxnAnswer) {
 		c.submissions.busy = false
-		switch o {
+		switch outcome {
 		case store.OK:
 			c.lastStateContact = c.env.Now()
 			// In an unchanged term, only this leader can have ended the jobs since, and it would know.
 			c.answerCreated(batch, leading && c.elector.Leading() && c.term == term && c.loaded)
 		case store.Failed:
-			c.handleFailedGuards(batch, a.FailedGuards)
+			c.handleFailedGuards(batch, answer.FailedGuards)
 		case store.Invalid:
 			c.resubmit(batch, txn.Then)
 		default:
@@ -422,23 +422,23 @@
 // statusOf returns the committed status of a job: a state that was sent to a user must
 // outlive this leader.
 func statusOf(j *sched.Job) wire.JobStatus {
-	s := wire.JobStatus{ID: j.ID, Phase: j.CommittedPhase, Done: j.DoneCount}
-	if s.Phase != "" {
-		return s
+	status := wire.JobStatus{ID: j.ID, Phase: j.CommittedPhase, Done: j.DoneCount}
+	if status.Phase != "" {
+		return status
 	}
-	s.Phase = wire.PhaseQueued
+	status.Phase = wire.PhaseQueued
 	if j.PlacedCount > 0 {
-		s.Phase = wire.PhaseRunning
+		status.Phase = wire.PhaseRunning
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Placement; p != nil && p.RunningSince > 0 && !p.Exited {
-				s.Running++
+				status.Running++
 			}
 		}
 	}
 	if j.DoneCount == len(j.Tasks) {
-		s.Done, s.Phase = j.DoneCount-1, wire.PhaseRunning // the job's end is not committed yet
+		status.Done, status.Phase = j.DoneCount-1, wire.PhaseRunning // the job's end is not committed yet
 	}
-	return s
+	return status
 }
 
 // lookupStatus reads a job's status from the state service: first the job's record, then
@@ -449,15 +449,15 @@
 		return
 	}
 	term, leading := c.term, c.elector.Leading()
-	c.env.State().List(jobPrefix+id, "", maxLookupItems, func(o store.Outcome, l *wire.ItemList) {
-		if o != store.OK {
+	c.env.State().List(jobPrefix+id, "", maxLookupItems, func(outcome store.Outcome, list *wire.ItemList) {
+		if outcome != store.OK {
 			reply(unavailable)
 			return
 		}
 		var record []byte
 		var progress progressRecord
-		for i := range l.Items {
-			switch it := &l.Items[i]; it.Key {
+		for i := range list.Items {
+			switch it := &list.Items[i]; it.Key {
 			case jobPrefix + id:
 				record = it.Value
 			case jobPrefix + id + progressSuffix:
@@ -475,7 +475,7 @@
 					status.Phase = wire.PhaseRunning
 				}
 				if leading && c.Serving() && c.term == term {
-					c.addJobRecords(l.Items, nil) // the watch has not delivered the job yet
+					c.addJobRecords(list.Items, nil) // the watch has not delivered the job yet
 					c.requestSchedulingPass()
 				}
 				if progress.ReadyAt == 0 {
@@ -578,7 +578,7 @@
 		}
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Placement; p != nil && !p.Exited {
-				c.queueOrder(p.Machine)
+				c.queueCommandBatch(p.Machine)
 			}
 		}
 		c.resolveDependents(j)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -24,11 +24,11 @@
 func kindOf(m *sched.Machine) MachineKind { return MachineKind{m.Type.Name, m.Zone, m.Spot} }
 
 func (k MachineKind) compare(o MachineKind) int {
-	return cmp.Or(cmp.Compare(k.Type, o.Type), cmp.Compare(k.Zone, o.Zone), cmp.Compare(b2i(k.Spot), b2i(o.Spot)))
+	return cmp.Or(cmp.Compare(k.Type, o.Type), cmp.Compare(k.Zone, o.Zone), cmp.Compare(boolToInt(k.Spot), boolToInt(o.Spot)))
 }
 
 // Rental is a rental request that the cloud has not answered yet.
-type Rental struct {
+type PendingRental struct {
 	Kind  MachineKind
 	Count int
 }
@@ -39,7 +39,7 @@
 	Catalog           []wire.MachineType
 	RefusedUntil      map[MachineKind]sched.Micros // when a kind that the cloud refused may be requested again
 	Machines          []*sched.Machine
-	PendingRentals    []Rental
+	PendingRentals    []PendingRental
 	Unplaced          []sched.Unplaced // in queue order
 	Headroom          float64          // CPUs to keep available for new services, free or held by work that they may preempt
 	Service           *sched.Job       // representative service: headroom counts machines that it may use; nil if none is known
@@ -144,7 +144,7 @@
 	return out
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -219,7 +219,7 @@
 // which none of these is possible.
 func (p *rentalPlanner) planJob(u sched.Unplaced) {
 	j, need := u.Job, u.Job.Need()
-	perZone := j.PlacementsByZone(nil)
+	placedByZone := j.PlacementsByZone(nil)
 	next := 0                  // an incoming machine that doesn't fit one task of the job fits none of the others
 	var queues []*releaseQueue // releases that a task of the job may wait for
 	if j.Array() {
@@ -227,7 +227,7 @@
 	}
 	for range u.Count {
 		p.remainingDemand -= j.TaskCPUs()
-		if machine := p.placeOnIncoming(j, need, perZone, &next); machine != nil {
+		if machine := p.placeOnIncoming(j, need, placedByZone, &next); machine != nil {
 			if p.addRelease(machine, j) {
 				queues = p.lookahead().allowedQueues(j)
 			}
@@ -239,7 +239,7 @@
 		}
 		kind, ok := MachineKind{}, false
 		if wait := freed.availableAt - p.Now; !j.Array() || wait > p.minUsefulWait {
-			kind, ok = p.pickKind(j, need, perZone, wait)
+			kind, ok = p.pickKind(j, need, placedByZone, wait)
 		}
 		switch {
 		case ok:
@@ -247,7 +247,7 @@
 			p.requested[kind]++
 			p.batchSupply += p.machineType(kind.Type).CPUs
 			p.incoming = append(p.incoming, p.newIncomingMachine(kind, p.machineType(kind.Type)))
-			if machine := p.placeOnIncoming(j, need, perZone, &next); machine != nil && p.addRelease(machine, j) {
+			if machine := p.placeOnIncoming(j, need, placedByZone, &next); machine != nil && p.addRelease(machine, j) {
 				queues = p.lookahead().allowedQueues(j)
 			}
 		case freed.availableAt < clock.Forever:
@@ -261,17 +261,17 @@
 
 // placeOnIncoming assigns a task of j to the first incoming machine, from index
 // *next on, that has the capacity. It returns nil if there is none.
-func (p *rentalPlanner) placeOnIncoming(j *sched.Job, need sched.Resources, perZone map[string]int, next *int) *incomingMachine {
+func (p *rentalPlanner) placeOnIncoming(j *sched.Job, need sched.Resources, placedByZone map[string]int, next *int) *incomingMachine {
 	for ; *next < len(p.incoming); *next++ {
 		machine := p.incoming[*next]
 		p.incomingExamined++
-		if need.Fits(machine.available) && j.Allows(machine.typ, machine.kind.Zone, machine.kind.Spot) && sched.ZoneAllows(j, perZone, machine.kind.Zone) {
+		if need.Fits(machine.available) && j.Allows(machine.typ, machine.kind.Zone, machine.kind.Spot) && sched.ZoneAllows(j, placedByZone, machine.kind.Zone) {
 			machine.available = machine.available.Sub(need)
 			if j.Priority == wire.PriorityProduction {
 				machine.reclaimableCPUs -= need.DominantCPUs(machine.typ)
 			}
-			if perZone != nil {
-				perZone[machine.kind.Zone]++
+			if placedByZone != nil {
+				placedByZone[machine.kind.Zone]++
 			}
 			return machine
 		}
@@ -294,7 +294,7 @@
 // pickKind chooses the kind of machine to rent for j's next task, among those worth
 // renting for a task that would otherwise wait for the given time. It takes the kind
 // with the lowest price per CPU that this task and the waiting work after it would use.
-func (p *rentalPlanner) pickKind(j *sched.Job, need sched.Resources, perZone map[string]int, wait sched.Micros) (MachineKind, bool) {
+func (p *rentalPlanner) pickKind(j *sched.Job, need sched.Resources, placedByZone map[string]int, wait sched.Micros) (MachineKind, bool) {
 	best, bestCost := MachineKind{}, math.Inf(1)
 	for i := range p.Catalog {
 		t := &p.Catalog[i]
@@ -303,7 +303,7 @@
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				k := MachineKind{t.Name, zone, spot}
-				if p.Now < p.RefusedUntil[k] || !j.Allows(t, zone, spot) || !sched.ZoneAllows(j, perZone, zone) {
+				if p.Now < p.RefusedUntil[k] || !j.Allows(t, zone, spot) || !sched.ZoneAllows(j, placedByZone, zone) {
 					continue
 				}
 				if !p.worthRenting(j, t, spot, wait) {
@@ -376,10 +376,10 @@
 }
 
 // rentUntil rents machines that suit a task of j until haveCPUs reaches wantCPUs.
-func (p *rentalPlanner) rentUntil(wantCPUs, haveCPUs float64, j *sched.Job, perZone map[string]int) {
+func (p *rentalPlanner) rentUntil(wantCPUs, haveCPUs float64, j *sched.Job, placedByZone map[string]int) {
 	for haveCPUs < wantCPUs {
 		p.remainingDemand = wantCPUs - haveCPUs - j.TaskCPUs()
-		k, ok := p.pickKind(j, j.Need(), perZone, clock.Forever)
+		k, ok := p.pickKind(j, j.Need(), placedByZone, clock.Forever)
 		if !ok {
 			return
 		}
@@ -430,7 +430,7 @@
 	}
 	// CPUs free on all machines and on ordinary ones, less those that the tasks of
 	// retiring machines need elsewhere.
-	var freeCPUs, freeOrdinaryCPUs float64
+	var freeCPUs, freeOnDemandCPUs float64
 	type candidate struct {
 		m               *sched.Machine
 		pricePerUsedCPU float64
@@ -441,12 +441,12 @@
 		switch {
 		case m.Retiring && !m.Releasing:
 			freeCPUs -= m.Type.CPUs - available
-			freeOrdinaryCPUs -= m.ProductionCPUs()
+			freeOnDemandCPUs -= m.ProductionCPUs()
 		case m.Usable(in.Now, in.MaxReportAge):
 			freeCPUs += available
 			price := m.Type.SpotPrice
 			if !m.Spot {
-				freeOrdinaryCPUs += available
+				freeOnDemandCPUs += available
 				price = m.Type.Price
 			}
 			if m.Busy() {
@@ -466,7 +466,7 @@
 		if c.pricePerUsedCPU <= 0 || freeCPUs-available < usedCPUs+in.Headroom {
 			continue
 		}
-		if !m.Spot && (freeOrdinaryCPUs-available < m.ProductionCPUs() || spareCPUs-in.SpareCPUsOn(m) < m.ProductionCPUs()+in.Headroom) {
+		if !m.Spot && (freeOnDemandCPUs-available < m.ProductionCPUs() || spareCPUs-in.SpareCPUsOn(m) < m.ProductionCPUs()+in.Headroom) {
 			continue
 		}
 		out = append(out, m)
@@ -474,9 +474,9 @@
 			break
 		}
 		freeCPUs -= available + usedCPUs
-		freeOrdinaryCPUs -= m.ProductionCPUs()
+		freeOnDemandCPUs -= m.ProductionCPUs()
 		if !m.Spot {
-			freeOrdinaryCPUs -= available
+			freeOnDemandCPUs -= available
 			spareCPUs -= in.SpareCPUsOn(m)
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -19,7 +19,7 @@
 	batch := &sched.Job{ID: "b", Priority: wire.PriorityLow, Deadline: clock.Forever, Estimate: 10 * clock.Second,
 		Spec: &wire.Job{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4, Tasks: 4}, Tasks: make([]sched.Task, 4)}
 	in := &Input{Catalog: catalog, RefusedUntil: map[MachineKind]sched.Micros{}, Headroom: 10, Service: service,
-		Unplaced: []sched.Unplaced{{Job: batch, Count: 4}}, PendingRentals: []Rental{{MachineKind{"m", "a", false}, 1}}}
+		Unplaced: []sched.Unplaced{{Job: batch, Count: 4}}, PendingRentals: []PendingRental{{MachineKind{"m", "a", false}, 1}}}
 	if requests := Plan(in); len(requests) != 0 {
 		t.Errorf("got requests %v while a machine that covers the headroom is pending, want none", requests)
 	}
--- a/internal/fleet/lookahead_test.go
+++ b/internal/fleet/lookahead_test.go
@@ -83,24 +83,24 @@
 // planJob does what rentalPlanner.planJob does, with the sorted list.
 func (s *sortedPlanner) planJob(u sched.Unplaced) {
 	j, need := u.Job, u.Job.Need()
-	perZone := j.PlacementsByZone(nil)
+	placedByZone := j.PlacementsByZone(nil)
 	next := 0 // an incoming machine that doesn't fit one task of the job fits none of the others
 	for range u.Count {
 		s.remainingDemand -= j.TaskCPUs()
-		if s.placeOnIncoming(j, need, perZone, &next) {
+		if s.placeOnIncoming(j, need, placedByZone, &next) {
 			continue
 		}
 		wait := clock.Forever
 		if j.Array() {
 			wait = s.earliestFit(j, need) - s.Now
 		}
-		kind, ok := s.pickKind(j, need, perZone, wait)
+		kind, ok := s.pickKind(j, need, placedByZone, wait)
 		switch {
 		case ok:
 			s.requested[kind]++
 			s.batchSupply += s.machineType(kind.Type).CPUs
 			s.incoming = append(s.incoming, s.newIncomingMachine(kind, s.machineType(kind.Type)))
-			s.placeOnIncoming(j, need, perZone, &next)
+			s.placeOnIncoming(j, need, placedByZone, &next)
 		case wait < clock.Forever/2:
 			s.consume(j, need)
 		default:
@@ -110,17 +110,17 @@
 }
 
 // placeOnIncoming does what rentalPlanner.placeOnIncoming and addRelease do.
-func (s *sortedPlanner) placeOnIncoming(j *sched.Job, need sched.Resources, perZone map[string]int, next *int) bool {
+func (s *sortedPlanner) placeOnIncoming(j *sched.Job, need sched.Resources, placedByZone map[string]int, next *int) bool {
 	for ; *next < len(s.incoming); *next++ {
 		machine := s.incoming[*next]
 		s.incomingExamined++
-		if need.Fits(machine.available) && j.Allows(machine.typ, machine.kind.Zone, machine.kind.Spot) && sched.ZoneAllows(j, perZone, machine.kind.Zone) {
+		if need.Fits(machine.available) && j.Allows(machine.typ, machine.kind.Zone, machine.kind.Spot) && sched.ZoneAllows(j, placedByZone, machine.kind.Zone) {
 			machine.available = machine.available.Sub(need)
 			if j.Priority == wire.PriorityProduction {
 				machine.reclaimableCPUs -= need.DominantCPUs(machine.typ)
 			}
-			if perZone != nil {
-				perZone[machine.kind.Zone]++
+			if placedByZone != nil {
+				placedByZone[machine.kind.Zone]++
 			}
 			if j.Array() {
 				s.addFreed(freedCapacity{machine.readyAt + j.Estimate, need.DominantCPUs(machine.typ), machine.kind, machine.typ})
@@ -243,7 +243,7 @@
 						in.RefusedUntil[k] = in.Now + clock.Second
 					}
 					if n := rapid.IntRange(-3, 2).Draw(t, "pending"); n > 0 {
-						in.PendingRentals = append(in.PendingRentals, Rental{k, n})
+						in.PendingRentals = append(in.PendingRentals, PendingRental{k, n})
 					}
 				}
 			}
--- a/internal/fleet/vacancy.go
+++ b/internal/fleet/vacancy.go
@@ -41,14 +41,14 @@
 	if !p.Need.Fits(v.largest) {
 		return false
 	}
-	perZone := p.Job.PlacementsByZone(p)
+	placedByZone := p.Job.PlacementsByZone(p)
 	for i := range v.machines {
 		candidate := &v.machines[i]
 		if !p.Need.Fits(candidate.available) {
 			continue
 		}
 		m := candidate.machine
-		if _, hasImage := m.Images[p.Image]; hasImage && p.Job.Allows(m.Type, m.Zone, m.Spot) && sched.ZoneAllows(p.Job, perZone, m.Zone) {
+		if _, hasImage := m.Images[p.Image]; hasImage && p.Job.Allows(m.Type, m.Zone, m.Spot) && sched.ZoneAllows(p.Job, placedByZone, m.Zone) {
 			candidate.available = candidate.available.Sub(p.Need)
 			return true
 		}
--- a/internal/fleet/vacancy_test.go
+++ b/internal/fleet/vacancy_test.go
@@ -14,11 +14,11 @@
 // claimByLinearSearch is a reference implementation of Vacancies.Claim that searches all
 // machines for each replica.
 func claimByLinearSearch(machines []*sched.Machine, p *sched.Placement, now, maxReportAge sched.Micros, claimed map[*sched.Machine]sched.Resources) bool {
-	perZone := p.Job.PlacementsByZone(p)
+	placedByZone := p.Job.PlacementsByZone(p)
 	for _, m := range machines {
 		_, hasImage := m.Images[p.Image]
 		if hasImage && m.Usable(now, maxReportAge) && m.Errors == 0 && p.Need.Fits(m.Available().Sub(claimed[m])) &&
-			p.Job.Allows(m.Type, m.Zone, m.Spot) && sched.ZoneAllows(p.Job, perZone, m.Zone) {
+			p.Job.Allows(m.Type, m.Zone, m.Spot) && sched.ZoneAllows(p.Job, placedByZone, m.Zone) {
 			claimed[m] = claimed[m].Add(p.Need)
 			return true
 		}
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -68,24 +68,24 @@
 // one that the change made, also if it was applied before. Only the spec of the node that the
 // change names differs. The receiver stays as it was, so a change that is not committed need
 // not be undone.
-func (b *VersionedTree) Apply(c *Change) (next *VersionedTree, version uint64, err *Refusal) {
+func (v *VersionedTree) Apply(c *Change) (next *VersionedTree, version uint64, err *Refusal) {
 	if err := c.check(); err != nil {
 		return nil, 0, err
 	}
-	for _, l := range b.Applied {
-		if l.ID == c.ID {
-			return b, l.Version, nil
+	for _, applied := range v.Applied {
+		if applied.ID == c.ID {
+			return v, applied.Version, nil
 		}
 	}
-	if c.Version != b.Version {
-		return nil, 0, &Refusal{Stale: true, Reason: fmt.Sprintf("quota: change.version: %d is not the current version %d", c.Version, b.Version)}
+	if c.Version != v.Version {
+		return nil, 0, &Refusal{Stale: true, Reason: fmt.Sprintf("quota: change.version: %d is not the current version %d", c.Version, v.Version)}
 	}
-	tree, err := b.Tree.apply(c)
+	tree, err := v.Tree.apply(c)
 	if err != nil {
 		return nil, 0, err
 	}
-	next = &VersionedTree{Tree: tree, Version: b.Version + 1}
-	next.Applied = append(slices.Clone(b.Applied[max(len(b.Applied)-maxApplied+1, 0):]), AppliedChange{c.ID, next.Version})
+	next = &VersionedTree{Tree: tree, Version: v.Version + 1}
+	next.Applied = append(slices.Clone(v.Applied[max(len(v.Applied)-maxApplied+1, 0):]), AppliedChange{c.ID, next.Version})
 	return next, next.Version, nil
 }
 
--- a/internal/quota/divide_test.go
+++ b/internal/quota/divide_test.go
@@ -19,28 +19,28 @@
 		total := rapid.Int64Range(-10, 20000).Draw(t, "total")
 		shares := Divide(total, requests)
 		var sum, demands, minimums int64
-		for i, a := range requests {
-			if shares[i] < 0 || shares[i] > max(a.Demand, 0) {
-				t.Fatalf("share %d for %+v", shares[i], a)
+		for i, request := range requests {
+			if shares[i] < 0 || shares[i] > max(request.Demand, 0) {
+				t.Fatalf("share %d for %+v", shares[i], request)
 			}
 			sum += shares[i]
-			demands += max(a.Demand, 0)
-			minimums += min(max(a.Minimum, 0), max(a.Demand, 0))
+			demands += max(request.Demand, 0)
+			minimums += min(max(request.Minimum, 0), max(request.Demand, 0))
 		}
 		if sum != min(max(total, 0), demands) {
 			t.Fatalf("shares add up to %d of %d, demands to %d", sum, total, demands)
 		}
-		for i, a := range requests {
-			minimum := min(max(a.Minimum, 0), max(a.Demand, 0))
+		for i, request := range requests {
+			minimum := min(max(request.Minimum, 0), max(request.Demand, 0))
 			if minimums <= total && shares[i] < minimum {
-				t.Fatalf("%+v got %d, less than its minimum", a, shares[i])
+				t.Fatalf("%+v got %d, less than its minimum", request, shares[i])
 			}
-			for j, b := range requests {
+			for j, other := range requests {
 				// a demands more, and b has more than its minimum and, relative to its weight, more than a.
-				otherMinimum := min(max(b.Minimum, 0), max(b.Demand, 0))
-				if minimums <= total && shares[i] < max(a.Demand, 0) && shares[j] > otherMinimum &&
-					float64(shares[j]-otherMinimum-2)/float64(effectiveWeight(b)) > float64(shares[i]-minimum+2)/float64(effectiveWeight(a)) {
-					t.Fatalf("%+v got %d while %+v got %d", a, shares[i], b, shares[j])
+				otherMinimum := min(max(other.Minimum, 0), max(other.Demand, 0))
+				if minimums <= total && shares[i] < max(request.Demand, 0) && shares[j] > otherMinimum &&
+					float64(shares[j]-otherMinimum-2)/float64(effectiveWeight(other)) > float64(shares[i]-minimum+2)/float64(effectiveWeight(request)) {
+					t.Fatalf("%+v got %d while %+v got %d", request, shares[i], other, shares[j])
 				}
 			}
 		}
--- a/internal/quota/lend.go
+++ b/internal/quota/lend.go
@@ -103,32 +103,32 @@
 // claim from being met. Below the node that lacks room, those that have borrowed most relative
 // to their weight give back first.
 func (t *Tree) Reclaims() []Reclaim {
-	g := &reclaimPlan{planned: map[*Node]Resources{}}
+	plan := &reclaimPlan{planned: map[*Node]Resources{}}
 	for i := len(t.order) - 1; i >= 0; i-- { // children first, as their amounts count further up
 		n := t.order[i]
-		if excess := maxResources(n.held.Sub(g.planned[n]).Sub(n.Limit), Resources{}); !excess.IsZero() {
-			g.collect(n, excess, nil, Reclaim{OverLimit: true})
+		if excess := maxResources(n.held.Sub(plan.planned[n]).Sub(n.Limit), Resources{}); !excess.IsZero() {
+			plan.collect(n, excess, nil, Reclaim{OverLimit: true})
 		}
 	}
 	for _, leaf := range t.order {
 		if len(leaf.children) > 0 || leaf.claim.IsZero() {
 			continue
 		}
-		g.reclaimFor(leaf)
+		plan.reclaimFor(leaf)
 	}
-	return g.reclaims
+	return plan.reclaims
 }
 
 // reclaimFor plans the reclaims that a leaf's claim needs. At each node on the path to the
 // root that lacks room, the other children give back up to what the claiming side is entitled
 // to; the rest comes from the claiming side itself, where another leaf borrowed it.
-func (g *reclaimPlan) reclaimFor(leaf *Node) {
+func (p *reclaimPlan) reclaimFor(leaf *Node) {
 	path := []*Node{leaf}
 	for n := leaf.parent; n != nil; n = n.parent {
 		path = append(path, n)
 	}
 	for i, n := range path[1:] {
-		free := n.Limit.Sub(n.held.Sub(g.planned[n]))
+		free := n.Limit.Sub(n.held.Sub(p.planned[n]))
 		shortfall := perResource(func(r int) int64 {
 			if *leaf.claim.component(r) == 0 { // a resource that is not claimed is not short
 				return 0
@@ -136,9 +136,9 @@
 			return max(*leaf.claim.component(r)-*free.component(r), 0)
 		})
 		reclaim := Reclaim{Claimant: leaf}
-		shortfall = shortfall.Sub(g.collect(n, minResources(shortfall, path[i].unusedEntitlement()), path[i], reclaim))
+		shortfall = shortfall.Sub(p.collect(n, minResources(shortfall, path[i].unusedEntitlement()), path[i], reclaim))
 		for k := i; k >= 1 && !shortfall.IsZero(); k-- {
-			shortfall = shortfall.Sub(g.collect(path[k], shortfall, path[k-1], reclaim))
+			shortfall = shortfall.Sub(p.collect(path[k], shortfall, path[k-1], reclaim))
 		}
 	}
 }
@@ -151,37 +151,37 @@
 
 // collect reclaims up to amount below n, except from the child exclude, and returns what it
 // found.
-func (g *reclaimPlan) collect(n *Node, amount Resources, exclude *Node, reclaim Reclaim) Resources {
+func (p *reclaimPlan) collect(n *Node, amount Resources, exclude *Node, reclaim Reclaim) Resources {
 	if len(n.children) == 0 {
-		available := g.aboveEntitlement(n)
+		available := p.aboveEntitlement(n)
 		if reclaim.OverLimit {
-			available = n.held.Sub(g.planned[n])
+			available = n.held.Sub(p.planned[n])
 		}
 		taken := minResources(amount, available)
 		if taken.IsZero() {
 			return taken
 		}
 		reclaim.Leaf, reclaim.Amount = n, taken
-		g.reclaims = append(g.reclaims, reclaim)
+		p.reclaims = append(p.reclaims, reclaim)
 		for a := n; a != nil; a = a.parent {
-			g.planned[a] = g.planned[a].Add(taken)
+			p.planned[a] = p.planned[a].Add(taken)
 		}
 		return taken
 	}
 	children := slices.Clone(n.children)
 	slices.SortStableFunc(children, func(a, b *Node) int {
-		return cmp.Or(compareRatios(g.aboveEntitlement(b).CPUs, b.Weight, g.aboveEntitlement(a).CPUs, a.Weight), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(compareRatios(p.aboveEntitlement(b).CPUs, b.Weight, p.aboveEntitlement(a).CPUs, a.Weight), cmp.Compare(a.Name, b.Name))
 	})
 	var total Resources
 	collectFrom := func(c *Node, bound Resources) {
 		if part := minResources(amount.Sub(total), bound); c != exclude && !part.IsZero() {
-			total = total.Add(g.collect(c, part, nil, reclaim))
+			total = total.Add(p.collect(c, part, nil, reclaim))
 		}
 	}
 	// Children beyond their entitlement give back first, and no more than the excess; only a
 	// shrink also takes what is guaranteed.
 	for _, c := range children {
-		collectFrom(c, g.aboveEntitlement(c))
+		collectFrom(c, p.aboveEntitlement(c))
 	}
 	if reclaim.OverLimit {
 		for _, c := range children {
@@ -193,6 +193,6 @@
 
 // aboveEntitlement returns what a node holds beyond its entitlement, less its planned
 // reclaims.
-func (g *reclaimPlan) aboveEntitlement(n *Node) Resources {
-	return maxResources(n.held.Sub(g.planned[n]).Sub(n.entitled), Resources{})
+func (p *reclaimPlan) aboveEntitlement(n *Node) Resources {
+	return maxResources(n.held.Sub(p.planned[n]).Sub(n.entitled), Resources{})
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -446,9 +446,9 @@
 		t.Error("FitsLimits refuses 50 units below a limit of 50; only the present usage is too high")
 	}
 	reclaimed := map[string]int64{}
-	for _, d := range tree.Reclaims() {
-		if reclaimed[d.Leaf.Name] += d.Amount.CPUs; !d.OverLimit {
-			t.Errorf("%s must give back for the claim of %s, not for the limit", d.Leaf.Name, d.Claimant.Name)
+	for _, reclaim := range tree.Reclaims() {
+		if reclaimed[reclaim.Leaf.Name] += reclaim.Amount.CPUs; !reclaim.OverLimit {
+			t.Errorf("%s must give back for the claim of %s, not for the limit", reclaim.Leaf.Name, reclaim.Claimant.Name)
 		}
 	}
 	// Held beyond the entitlements of 30 and 20: by north 30, all of it by transcode, and by
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -258,7 +258,7 @@
 	// each machine. All tasks of a job are alike, so a placement changes only the cost of
 	// its own machine.
 	localImageOnly   bool // use only machines that hold the job's image or are fetching it
-	preferOrdinary   bool // use ordinary machines before spot machines, see prefersOrdinary
+	preferOnDemand   bool // use ordinary machines before spot machines, see prefersOrdinary
 	cost             []float64
 	needsVictims     []bool               // the machine has no room, and its cost does not yet include stopping tasks
 	victimsByMachine map[int][]*Placement // tasks to stop on a machine to make room
@@ -351,8 +351,8 @@
 		work[j] = j.discountedWork(p.Now)
 	}
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
-		if x, y := a.overdue(p.Now), b.overdue(p.Now); x || y {
-			return cmp.Or(cmp.Compare(boolToInt(y), boolToInt(x)), cmp.Compare(a.ReadyAt, b.ReadyAt))
+		if aOverdue, bOverdue := a.overdue(p.Now), b.overdue(p.Now); aOverdue || bOverdue {
+			return cmp.Or(cmp.Compare(boolToInt(bOverdue), boolToInt(aOverdue)), cmp.Compare(a.ReadyAt, b.ReadyAt))
 		}
 		if a.MinShareStatus.Needed && b.MinShareStatus.Needed {
 			return cmp.Or(cmp.Compare(boolToInt(b.hasBegun()), boolToInt(a.hasBegun())), cmp.Compare(a.MinShareStatus.ServedShare, b.MinShareStatus.ServedShare))
@@ -590,7 +590,7 @@
 // scoreAll computes the cost of a task of j on each open machine. A non-empty zone limits
 // it to the machines of that zone.
 func (p *pass) scoreAll(j *Job, zone string) {
-	p.victimsByMachine, p.preferOrdinary, p.costHeap = nil, p.prefersOrdinary(j), p.costHeap[:0]
+	p.victimsByMachine, p.preferOnDemand, p.costHeap = nil, p.prefersOnDemand(j), p.costHeap[:0]
 	for _, i := range p.openMachines {
 		if zone != "" && p.usableMachines[i].Zone != zone {
 			continue
@@ -710,7 +710,7 @@
 		cost = 2 * (1 - share)
 	case share > 0 && !m.Spot && !j.Gang(): // not for gangs, which cannot be stopped for a service
 		cost = remaining / m.Type.CPUs
-	case p.preferOrdinary && !m.Spot:
+	case p.preferOnDemand && !m.Spot:
 		cost = remaining / m.Type.CPUs
 	case m.Spot || !j.Spec.Spot:
 		cost = 1 + remaining/m.Type.CPUs
@@ -737,7 +737,7 @@
 // machine every half hour, nearly every such job on spot machines finishes a whole run late
 // while checkpointed work occupies the ordinary machines. At lower reclaim rates spot
 // machines come first.
-func (p *pass) prefersOrdinary(j *Job) bool {
+func (p *pass) prefersOnDemand(j *Job) bool {
 	if j.inPipeline() {
 		return true
 	}
--- a/internal/sched/reservation.go
+++ b/internal/sched/reservation.go
@@ -104,7 +104,7 @@
 			break // made in an earlier pass
 		}
 		n := len(p.reservations[i])
-		p.reservations[i] = slices.DeleteFunc(p.reservations[i], func(b reservation) bool { return b.job == j })
+		p.reservations[i] = slices.DeleteFunc(p.reservations[i], func(r reservation) bool { return r.job == j })
 		p.reservedTasks -= n - len(p.reservations[i])
 	}
 	j.reservedMachines = j.reservedMachines[:0]
@@ -275,15 +275,15 @@
 // reservations, or clock.Forever if it will not.
 func (p *pass) roomAvailableAt(i int, need Resources) Micros {
 	room := p.available[i]
-	for _, b := range p.reservations[i] {
-		room = room.Sub(b.need)
+	for _, r := range p.reservations[i] {
+		room = room.Sub(r.need)
 	}
 	if need.Fits(room) {
 		return p.Now
 	}
-	for _, e := range p.releasesOn(i) {
-		if room = room.Add(e.need); need.Fits(room) {
-			return e.at
+	for _, release := range p.releasesOn(i) {
+		if room = room.Add(release.need); need.Fits(room) {
+			return release.at
 		}
 	}
 	return clock.Forever
@@ -311,18 +311,18 @@
 		return false
 	}
 	room, latest, earliest := p.available[i], Micros(0), clock.Forever
-	for _, b := range p.reservations[i] {
-		if b.job != j && b.job.passPosition < j.passPosition {
-			room = room.Sub(b.need)
-			latest, earliest = max(latest, b.availableAt), min(earliest, b.availableAt)
+	for _, r := range p.reservations[i] {
+		if r.job != j && r.job.passPosition < j.passPosition {
+			room = room.Sub(r.need)
+			latest, earliest = max(latest, r.availableAt), min(earliest, r.availableAt)
 		}
 	}
 	if earliest == clock.Forever || p.Now+clock.FromSeconds(delay)+j.Estimate <= earliest {
 		return false // no such reservation, or the task ends before it
 	}
-	for _, e := range p.releasesOn(i) {
-		if e.at <= latest {
-			room = room.Add(e.need)
+	for _, release := range p.releasesOn(i) {
+		if release.at <= latest {
+			room = room.Add(release.need)
 		}
 	}
 	return !j.Need().Fits(room)
--- a/internal/sched/reservation_test.go
+++ b/internal/sched/reservation_test.go
@@ -9,10 +9,10 @@
 	"lilacthread/wire"
 )
 
-var accelerated = []wire.MachineType{{Name: "g", CPUs: 48, GPUs: 4, MemoryGB: 192, CacheGB: 100, BootTime: 45, Zones: []string{"a"}}}
+var acceleratorTypes = []wire.MachineType{{Name: "g", CPUs: 48, GPUs: 4, MemoryGB: 192, CacheGB: 100, BootTime: 45, Zones: []string{"a"}}}
 
 func newAcceleratorMachine(n int) *Machine {
-	return &Machine{ID: fmt.Sprintf("m-%06d", n), Type: &accelerated[0], Zone: "a", Up: true, Acked: true,
+	return &Machine{ID: fmt.Sprintf("m-%06d", n), Type: &acceleratorTypes[0], Zone: "a", Up: true, Acked: true,
 		Placements: map[string]*Placement{}, Images: map[string]Micros{"i": 1}, ImageSizes: map[string]float64{"i": 1}}
 }
 
@@ -21,7 +21,7 @@
 		Estimate: estimate * clock.Second, Deadline: clock.Forever, Tasks: make([]Task, tasks),
 		Spec: &wire.Job{ID: id, Kind: kind, Team: "t", Priority: "normal", Tasks: tasks, CPUs: 2 * gpus, GPUs: gpus, MemoryGB: 8, Image: "i"}}
 	j.Init()
-	j.ComputeSize(accelerated)
+	j.ComputeSize(acceleratorTypes)
 	for i := range j.Tasks {
 		j.Queue = append(j.Queue, int32(i))
 	}
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -210,7 +210,7 @@
 		CPUs: reader.number("cores"), GPUs: reader.number("accelerators"), MemoryGB: reader.number("mem_gb"),
 		Image: reader.text("pattern"), ImageGB: reader.number("pull_gb"),
 		Types: reader.texts("looms"), Zone: reader.optionalText("bolt"),
-		OneZone: reader.flag("together"), Spread: reader.flag("apart"), Spot: reader.flag("remnant"),
+		OneZone: reader.boolean("together"), Spread: reader.boolean("apart"), Spot: reader.boolean("remnant"),
 		Estimate: reader.number("expect_s"), CheckpointInterval: reader.number("knot_s"), SaveDuration: reader.number("tie_s"),
 		DependsOn: distinct(reader.texts("awaits")),
 	}
@@ -331,7 +331,7 @@
 	return out
 }
 
-func (f *fieldReader) flag(name string) bool {
+func (f *fieldReader) boolean(name string) bool {
 	b, ok := f.values[name].(bool)
 	if !ok {
 		f.fail(name, "must be true or false")
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -87,9 +87,9 @@
 // small, and that an accepted job is the same after encoding and decoding.
 func FuzzDecodeJob(f *testing.F) {
 	f.Add(encode(f, validSubmission()))
-	awaits := validSubmission()
-	awaits["awaits"] = []string{"req-000001", "req-000002"}
-	f.Add(encode(f, awaits))
+	withDependencies := validSubmission()
+	withDependencies["awaits"] = []string{"req-000001", "req-000002"}
+	f.Add(encode(f, withDependencies))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		job, err := DecodeJob(body)
 		if id := SubmittedID(body); err == nil && id != job.ID || id != "" && !ValidID(id) {
@@ -144,25 +144,25 @@
 // is encoded as by versions that don't know the field.
 func TestDependencies(t *testing.T) {
 	for _, c := range []struct {
-		awaits any
-		want   []string
-		bad    bool
+		value   any
+		want    []string
+		invalid bool
 	}{
 		{nil, nil, false}, {[]string{}, nil, false},
 		{[]string{"req-000002", "x", "req-000002"}, []string{"req-000002", "x"}, false},
 		{"req-000002", nil, true}, {[]any{"req-000002", 3}, nil, true}, {map[string]any{}, nil, true},
 	} {
 		values := validSubmission()
-		values["awaits"] = c.awaits
+		values["awaits"] = c.value
 		job, err := DecodeJob(encode(t, values))
-		if c.bad {
+		if c.invalid {
 			if err == nil || !strings.HasPrefix(err.Error(), "awaits:") {
-				t.Errorf("%v: %v", c.awaits, err)
+				t.Errorf("%v: %v", c.value, err)
 			}
 			continue
 		}
 		if err != nil || !slices.Equal(job.DependsOn, c.want) {
-			t.Errorf("%v: %v, %v", c.awaits, job, err)
+			t.Errorf("%v: %v, %v", c.value, job, err)
 		}
 	}
 	independent, _ := DecodeJob(encode(t, validSubmission()))
