--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -50,7 +50,8 @@
 	RedirectedReports uint64  `json:"Redirected"` // answered with the name of another controller
 	FailedReports     uint64  `json:"Failed"`     // unanswered, or answered with neither success nor a redirect
 	LeasesLost        int     // leases that expired at workers with tasks
-	// Bytes per worker and second in the bodies of reports, answers and orders.
+	// WorkerBytesPerSecond counts the bytes per worker in the bodies of reports, their
+	// answers and command batches.
 	WorkerBytesPerSecond float64 `json:"WorkerBytes"`
 	Controllers          []PhaseUsage
 	Harness              PhaseUsage `json:"Stand"` // this process: simulated workers, state service, cloud and users
@@ -61,7 +62,8 @@
 	Name  string
 	Leads bool    // whether the controller leads at the end of the phase
 	Cores float64 // mean number of cores in use
-	// Cores that the fits of earlier runs predict; 0 if SetExpected was not called.
+	// ExpectedCores is the number of cores that the fits of earlier runs predict; 0 if
+	// SetExpected was not called.
 	ExpectedCores float64 `json:"Expected"`
 	CPUWait       float64 `json:"Waited"` // mean number of threads that were ready to run but had no core
 	ResidentMB    float64 `json:"MB"`     // resident memory at the end, in MiB
@@ -101,7 +103,7 @@
 	self, _ := readUsage(os.Getpid())
 	s.processes = append(s.processes, self)
 	d.simServer.WithWorld(func(w *sim.World) {
-		s.startedTasks, s.runningTasks, s.leasesLost, s.traffic = w.Rules.TaskStarts(), w.RunningTasks(), w.LeasesLost, d.simServer.Traffic
+		s.startedTasks, s.runningTasks, s.leasesLost, s.traffic = w.Checker.TaskStarts(), w.RunningTasks(), w.LeasesLost, d.simServer.Traffic
 	})
 	return s
 }
@@ -145,9 +147,9 @@
 
 // recordWaits sets Waits from the times that the checker recorded. Jobs that did not start
 // are left out.
-func (r *Report) recordWaits(rules *sim.Checker) {
+func (r *Report) recordWaits(checker *sim.Checker) {
 	byPriority := map[string]*hdrhistogram.Histogram{}
-	rules.EachWait(func(job *wire.Job, submitted, started sim.Micros) {
+	checker.EachWait(func(job *wire.Job, submitted, started sim.Micros) {
 		if started == 0 {
 			return
 		}
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -30,7 +30,7 @@
 	refused       atomic.Int64 // submission requests that were not accepted or got no answer
 
 	mu            sync.Mutex              // guards the fields below
-	pending       map[string]bool         // ids of jobs not accepted or, apart from services, not done
+	pending       map[string]bool         // IDs of jobs not accepted or, apart from services, not done
 	acceptLatency *hdrhistogram.Histogram // milliseconds from a job's first submission request to its acceptance
 }
 
@@ -109,12 +109,12 @@
 	}
 }
 
-// submit gives a job its id and team and starts a user who submits it and, unless it is a
+// submit gives a job its ID and team and starts a user who submits it and, unless it is a
 // service, polls it until it is done.
 func (u *users) submit(job *wire.Job) {
 	number := int(u.lastJobNumber.Add(1))
 	job.ID, job.Team = fmt.Sprintf("req-%06d", number), teamName(number%u.deployment.Teams)
-	u.deployment.simServer.WithWorld(func(w *sim.World) { w.Rules.AddJob(job) })
+	u.deployment.simServer.WithWorld(func(w *sim.World) { w.Checker.AddJob(job) })
 	u.setPending(job.ID, true)
 	u.goroutines.Add(1)
 	go func() {
@@ -185,12 +185,12 @@
 func (u *users) request(method, path string, body any, jobID string) (code int, retryAfter time.Duration) {
 	var check func(a controller.Answer)
 	u.deployment.simServer.WithWorld(func(w *sim.World) {
-		facts := w.Rules.BeginRequest(jobID)
+		facts := w.Checker.BeginRequest(jobID)
 		check = func(a controller.Answer) {
 			if method == http.MethodPost {
-				w.Rules.CheckSubmitAnswer(jobID, facts, a)
+				w.Checker.CheckSubmitAnswer(jobID, facts, a)
 			} else {
-				w.Rules.CheckStatusAnswer(jobID, facts, a)
+				w.Checker.CheckStatusAnswer(jobID, facts, a)
 			}
 		}
 	})
--- a/internal/sim/bounds_test.go
+++ b/internal/sim/bounds_test.go
@@ -57,8 +57,8 @@
 			if w.State.PeakRequests > int(p.State.RPS) || w.State.RefusedTxns > 0 || w.State.LargestValue > p.State.ValueBytes() {
 				t.Errorf("limit exceeded: %d requests in a second, %d transactions refused, a value of %d bytes", w.State.PeakRequests, w.State.RefusedTxns, w.State.LargestValue)
 			}
-			if len(w.Rules.Violations) > 0 {
-				t.Errorf("rules broken: %v", w.Rules.Violations)
+			if len(w.Checker.Violations) > 0 {
+				t.Errorf("rules broken: %v", w.Checker.Violations)
 			}
 			before := allocatedBytes()
 			for _, node := range w.Nodes { // so that only their memory is missing afterwards
@@ -85,8 +85,9 @@
 	return float64(m.HeapAlloc)
 }
 
-// TestFrames checks that a greeting with its answer's contents fits in a frame, with more
-// teams and classes than any deployment has and as many refused jobs as a node reports.
+// TestFrames checks that a Hello message that also has the contents of its answer fits in
+// a frame, with more teams and classes than any deployment has and as many refused jobs as
+// a node reports.
 func TestFrames(t *testing.T) {
 	const accounts = 50 * 20
 	m := &peer.Msg{Kind: fb.KindHello, AdmissionNotice: &admit.Notice{Accounts: make([]admit.Arrivals, accounts), Refusals: make([]admit.Refusal, 512)},
@@ -100,7 +101,7 @@
 // leader, the only one that can use them, while they know who leads.
 func TestNoticesGoToTheLeader(t *testing.T) {
 	w := NewWorld(5, []string{"a"}, 7)
-	s := &script{w: w}
+	s := &script{world: w}
 	s.addTeam("core", 0, 0)
 	s.compile("admission", args{})()
 	for _, n := range w.Nodes {
--- a/internal/sim/real_test.go
+++ b/internal/sim/real_test.go
@@ -28,10 +28,10 @@
 	bin         string
 	simServer   *RealTimeServer
 	dir         string
-	nodes       []config.Config
+	configs     []config.Config
 	procs       []*exec.Cmd
 	keptClients []*rpc.Client // connections that users keep using
-	args        []string      // arguments of the program in addition to its settings
+	args        []string      // arguments of the program in addition to --with and --config
 }
 
 // deploy builds the program and starts three controllers with a simulated environment.
@@ -42,23 +42,23 @@
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	var err error
-	if d.simServer, d.nodes, err = StartLoopback(len(d.procs)); err != nil {
+	if d.simServer, d.configs, err = StartLoopback(len(d.procs)); err != nil {
 		t.Fatal(err)
 	}
-	for i := range d.nodes {
-		raw, err := json.Marshal(&d.nodes[i])
+	for i := range d.configs {
+		raw, err := json.Marshal(&d.configs[i])
 		if err == nil {
-			err = os.WriteFile(d.settings(i), raw, 0o600)
+			err = os.WriteFile(d.configPath(i), raw, 0o600)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.start(i)
-		d.keptClients = append(d.keptClients, rpc.New(d.nodes[i].Listen))
+		d.startController(i)
+		d.keptClients = append(d.keptClients, rpc.New(d.configs[i].Listen))
 	}
 	t.Cleanup(func() {
-		for i := range d.nodes {
-			d.kill(i)
+		for i := range d.configs {
+			d.killController(i)
 		}
 		if err := d.simServer.Close(); err != nil {
 			t.Error(err)
@@ -67,12 +67,12 @@
 	return d
 }
 
-// settings returns the path of a controller's settings file.
-func (d *deployment) settings(i int) string { return filepath.Join(d.dir, d.nodes[i].Name+".json") }
+// configPath returns the path of a controller's configuration file.
+func (d *deployment) configPath(i int) string { return filepath.Join(d.dir, d.configs[i].Name+".json") }
 
-// start starts a controller's process.
-func (d *deployment) start(i int) {
-	cmd := exec.Command(d.bin, append([]string{"--with", "admission", "--config", d.settings(i)}, d.args...)...)
+// startController starts a controller's process.
+func (d *deployment) startController(i int) {
+	cmd := exec.Command(d.bin, append([]string{"--with", "admission", "--config", d.configPath(i)}, d.args...)...)
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
 		d.t.Fatal(err)
@@ -80,23 +80,23 @@
 	d.procs[i] = cmd
 }
 
-// kill kills a controller's process.
-func (d *deployment) kill(i int) {
+// killController kills a controller's process.
+func (d *deployment) killController(i int) {
 	if cmd := d.procs[i]; cmd != nil {
 		cmd.Process.Kill()
 		cmd.Wait() // returns an error since the process was killed
 	}
 }
 
-// ask sends a request to the controller that the attempt number selects and returns the
+// sendRequest sends a request to the controller that the attempt number selects and returns the
 // status, 0 without an answer. Half of the requests use a connection that was used before
 // and may be half open.
-func (d *deployment) ask(attempt int, method, path string, in any) (int, wire.JobStatus) {
+func (d *deployment) sendRequest(attempt int, method, path string, in any) (int, wire.JobStatus) {
 	var st wire.JobStatus
-	node := attempt % len(d.nodes)
+	node := attempt % len(d.configs)
 	c := d.keptClients[node]
-	if attempt/len(d.nodes)%2 == 0 {
-		c = rpc.NewSingleUse(d.nodes[node].Listen)
+	if attempt/len(d.configs)%2 == 0 {
+		c = rpc.NewSingleUse(d.configs[node].Listen)
 	}
 	status, _, _, err := c.Call(method, path, in, &st, 2*time.Second)
 	if err != nil {
@@ -109,14 +109,14 @@
 // 50 ms at the same addresses, with half-open connections of users, peers and workers. All
 // accepted jobs must be done, without a violation of the checker's rules.
 func TestRealProcesses(t *testing.T) {
-	playReal(t, func(*deployment, int) {})
+	runJobsDuringFaults(t, func(*deployment, int) {})
 }
 
 // TestRealFaults does the same as TestRealProcesses while messages to single machines are
 // lost for longer than a lease, copies of reports arrive seconds later at any controller,
 // and machines restart with a reset session counter.
 func TestRealFaults(t *testing.T) {
-	playReal(t, func(d *deployment, round int) {
+	runJobsDuringFaults(t, func(d *deployment, round int) {
 		d.simServer.WithWorld(func(w *World) {
 			ids := sortedKeys(w.Cloud.Machines)
 			if round == 1 {
@@ -140,40 +140,40 @@
 // TestRealRelaying does the same as TestRealProcesses while controllers relay the reports
 // of workers and the command batches to them.
 func TestRealRelaying(t *testing.T) {
-	playReal(t, func(d *deployment, _ int) {
+	runJobsDuringFaults(t, func(d *deployment, _ int) {
 		d.simServer.WithWorld(func(w *World) { w.ReportChanges = true })
 	}, "--policy", "../scale/testdata/relay.star")
 }
 
-// playReal runs jobs to their end while it kills controllers and calls injectFault, about
-// thirty times a second.
-func playReal(t *testing.T, injectFault func(d *deployment, round int), args ...string) {
+// runJobsDuringFaults runs jobs to their end while it kills controllers and calls
+// injectFault about thirty times a second.
+func runJobsDuringFaults(t *testing.T, injectFault func(d *deployment, round int), args ...string) {
 	d := deploy(t, args)
 	jobs := make([]*wire.Job, 40)
 	accepted, finished := map[string]bool{}, map[string]bool{}
 	for i := range jobs {
 		jobs[i] = &wire.Job{ID: fmt.Sprintf("req-%06d", 100+i), Class: "c", Team: "core", Kind: wire.KindArray, Priority: "normal",
 			Tasks: 4, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, Estimate: 0.6}
-		d.simServer.WithWorld(func(w *World) { w.Rules.AddJob(jobs[i]) })
+		d.simServer.WithWorld(func(w *World) { w.Checker.AddJob(jobs[i]) })
 	}
 	start, kills, round := time.Now(), 0, 0
 	for time.Since(start) < 60*time.Second && len(finished) < len(jobs) {
 		round++
 		injectFault(d, round)
 		if round%8 == 0 && time.Since(start) < 15*time.Second {
-			victim := round / 8 % len(d.nodes)
+			victim := round / 8 % len(d.configs)
 			if round%16 == 0 { // the leader
 				d.simServer.WithWorld(func(w *World) {
-					for i := range d.nodes {
-						if d.nodes[i].Name == w.State.Leader() {
+					for i := range d.configs {
+						if d.configs[i].Name == w.State.Leader() {
 							victim = i
 						}
 					}
 				})
 			}
-			d.kill(victim)
+			d.killController(victim)
 			time.Sleep(time.Duration(round%5) * 10 * time.Millisecond)
-			d.start(victim)
+			d.startController(victim)
 			kills++
 		}
 		for i, j := range jobs {
@@ -181,16 +181,16 @@
 				continue
 			}
 			var known knownFacts
-			d.simServer.WithWorld(func(w *World) { known = w.Rules.BeginRequest(j.ID) })
+			d.simServer.WithWorld(func(w *World) { known = w.Checker.BeginRequest(j.ID) })
 			if !accepted[j.ID] {
-				code, st := d.ask(round+i, "POST", "/v2/runs", j)
-				d.simServer.WithWorld(func(w *World) { w.Rules.CheckSubmitAnswer(j.ID, known, controller.Answer{Code: code, Status: st}) })
+				code, st := d.sendRequest(round+i, "POST", "/v2/runs", j)
+				d.simServer.WithWorld(func(w *World) { w.Checker.CheckSubmitAnswer(j.ID, known, controller.Answer{Code: code, Status: st}) })
 				accepted[j.ID] = code == 200 || code == 201
 				break
 			}
 			if (round+i)%4 == 0 {
-				code, st := d.ask(round+i, "GET", "/v2/runs/"+j.ID, nil)
-				d.simServer.WithWorld(func(w *World) { w.Rules.CheckStatusAnswer(j.ID, known, controller.Answer{Code: code, Status: st}) })
+				code, st := d.sendRequest(round+i, "GET", "/v2/runs/"+j.ID, nil)
+				d.simServer.WithWorld(func(w *World) { w.Checker.CheckStatusAnswer(j.ID, known, controller.Answer{Code: code, Status: st}) })
 				if st.Phase == wire.PhaseDone {
 					finished[j.ID] = true
 				}
@@ -199,10 +199,10 @@
 		time.Sleep(30 * time.Millisecond)
 	}
 	d.simServer.WithWorld(func(w *World) {
-		w.Rules.CheckOverdue(w.now)
-		w.Rules.CheckFinal()
-		if len(w.Rules.Violations) > 0 {
-			t.Errorf("checker reported violations: %v", w.Rules.Violations)
+		w.Checker.CheckOverdue(w.now)
+		w.Checker.CheckFinal()
+		if len(w.Checker.Violations) > 0 {
+			t.Errorf("checker reported violations: %v", w.Checker.Violations)
 		}
 		t.Logf("%d of %d jobs done after %v and %d kills; %d requests in the state service's busiest second",
 			len(finished), len(jobs), time.Since(start).Round(time.Second/10), kills, w.State.PeakRequests)
@@ -220,7 +220,7 @@
 func TestRealSecondProcess(t *testing.T) {
 	d := deploy(t, nil)
 	time.Sleep(300 * time.Millisecond)
-	err := exec.Command(d.bin, "--config", d.settings(0)).Run()
+	err := exec.Command(d.bin, "--config", d.configPath(0)).Run()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 {
 		t.Errorf("second process: got %v, want exit status 1", err)
--- a/internal/sim/real_time_server.go
+++ b/internal/sim/real_time_server.go
@@ -21,11 +21,12 @@
 
 // RealTimeServer runs a simulated environment in real time on loopback. Its state service,
 // cloud and workers serve controllers that are real processes, over HTTP. The checker's
-// rules apply as in virtual time, but whoever submits jobs must tell the checker (AddJob,
-// BeginRequest, CheckSubmitAnswer, CheckStatusAnswer).
+// rules apply as in virtual time, but whoever submits jobs must report them, their
+// requests and the answers to the checker (AddJob, BeginRequest, CheckSubmitAnswer,
+// CheckStatusAnswer).
 type RealTimeServer struct {
 	mu          sync.Mutex // guards the simulated environment
-	w           *World
+	world       *World
 	start       time.Time
 	clients     map[string]*rpc.Client // connections to the controllers, for report copies
 	addrs       map[string]string      // addresses of the controllers
@@ -56,10 +57,10 @@
 // Serve starts to run an environment whose controllers take reports at the given addresses
 // by name. Close ends it.
 func Serve(w *World, nodes map[string]string) (*RealTimeServer, error) {
-	rt := &RealTimeServer{w: w, start: time.Now(), clients: map[string]*rpc.Client{}, addrs: nodes, connections: map[string]*workerConn{}, stop: make(chan struct{})}
+	rt := &RealTimeServer{world: w, start: time.Now(), clients: map[string]*rpc.Client{}, addrs: nodes, connections: map[string]*workerConn{}, stop: make(chan struct{})}
 	w.server, w.Nodes = rt, nil
 	for _, name := range sortedKeys(nodes) {
-		w.Nodes = append(w.Nodes, &Node{w: w, name: name})
+		w.Nodes = append(w.Nodes, &Node{world: w, name: name})
 		rt.clients[name] = rpc.New(nodes[name])
 	}
 	var err error
@@ -79,8 +80,8 @@
 func (rt *RealTimeServer) WithWorld(f func(w *World)) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	rt.w.Run(Micros(time.Since(rt.start).Microseconds()))
-	f(rt.w)
+	rt.world.Run(Micros(time.Since(rt.start).Microseconds()))
+	f(rt.world)
 }
 
 // run advances the environment every 2 ms until Close.
@@ -134,7 +135,7 @@
 		status, report := http.StatusServiceUnavailable, (*wire.Report)(nil)
 		rt.WithWorld(func(*World) {
 			switch {
-			case x.dead || x.hung:
+			case x.dead || x.suspended:
 			case r.URL.Path == "/show":
 				status, report = http.StatusOK, x.snapshot()
 			default:
@@ -381,7 +382,7 @@
 
 // StartLoopback starts a small environment with the given number of controllers: one zone
 // and machines that boot in half a second. The caller starts the controllers with the
-// returned settings.
+// returned configurations.
 func StartLoopback(nodes int) (*RealTimeServer, []config.Config, error) {
 	w := NewWorld(nodes, []string{"a"}, 7)
 	p := &w.Config.Params
@@ -395,13 +396,13 @@
 }
 
 // Deploy starts to run an environment whose controllers are spread over its zones. The
-// caller starts the controllers with the returned settings.
+// caller starts the controllers with the returned configurations.
 func Deploy(w *World) (*RealTimeServer, []config.Config, error) {
 	zones := w.Config.Params.Zones
-	settings := make([]config.Config, len(w.Nodes))
+	configs := make([]config.Config, len(w.Nodes))
 	listen := map[string]string{}
-	for i := range settings {
-		c := &settings[i]
+	for i := range configs {
+		c := &configs[i]
 		*c = w.Config
 		c.Name, c.Zone = w.Nodes[i].name, zones[i%len(zones)]
 		var err1, err2 error
@@ -416,20 +417,21 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	for i := range settings {
-		c := &settings[i]
+	for i := range configs {
+		c := &configs[i]
 		c.Endpoints.State, c.Endpoints.Cloud = server.StateAddr, server.CloudAddr
-		for j, o := range settings {
+		for j, o := range configs {
 			if j != i {
 				c.Peers = append(c.Peers, config.Peer{Name: o.Name, Zone: o.Zone, Addr: o.PeerListen})
 			}
 		}
 	}
-	return server, settings, nil
+	return server, configs, nil
 }
 
-// Controllers listen on ports below the system's range for outgoing connections, since a
-// controller that is killed and restarted could otherwise find its port taken by one.
+// firstPort and lastPort limit the ports on which controllers listen. They are below the
+// system's range for outgoing connections, since a controller that is killed and restarted
+// could otherwise find its port taken by such a connection.
 const firstPort, lastPort = 10_000, 30_000
 
 // freePort returns an address on loopback where nothing listens at present.
--- a/internal/sim/repeat_test.go
+++ b/internal/sim/repeat_test.go
@@ -8,8 +8,8 @@
 
 // TestScenarioIsDeterministic runs a random scenario several times and requires the same
 // log each time, since otherwise a failing seed could not be reproduced. Controllers that
-// greet their peers or forward submissions in the iteration order of a map break this
-// while users probe them.
+// send Hello messages to their peers or forward submissions in the iteration order of a
+// map break this while users probe them.
 func TestScenarioIsDeterministic(t *testing.T) {
 	const scenario = `relay
 report-changes
@@ -22,7 +22,7 @@
 `
 	defaultLogger := slog.Default()
 	defer slog.SetDefault(defaultLogger)
-	play := func() string {
+	run := func() string {
 		var log bytes.Buffer
 		slog.SetDefault(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{
 			ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
@@ -31,17 +31,17 @@
 				}
 				return a
 			}})))
-		if err := Play(scenario); err != nil {
+		if err := RunScenario(scenario); err != nil {
 			t.Fatal(err)
 		}
 		return log.String()
 	}
-	first := play()
+	first := run()
 	if len(first) < 2000 {
 		t.Fatalf("the log has %d bytes, at least 2000 expected", len(first))
 	}
 	for i := range 5 {
-		if again := play(); again != first {
+		if again := run(); again != first {
 			t.Fatalf("run %d logged other events than the first run", i+2)
 		}
 	}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := Play(string(text)); err != nil {
+			if err := RunScenario(string(text)); err != nil {
 				t.Error(err)
 			}
 		})
@@ -48,7 +48,7 @@
 		if strings.Contains(string(text), "close-looks") {
 			continue
 		}
-		if err := Play("close-looks cancels=0.2\nexpect looks min=100\n" + string(text)); err != nil {
+		if err := RunScenario("close-looks cancels=0.2\nexpect looks min=100\n" + string(text)); err != nil {
 			t.Errorf("%s: %v", f, err)
 		}
 	}
@@ -60,19 +60,19 @@
 	for line, want := range map[string]string{
 		"explode node-1":           "unknown verb explode",
 		"at":                       "at: a time and a verb are needed",
-		"at soon kill leader":      "soon is no time",
+		"at soon kill leader":      "at: soon is not a time",
 		"at 3 kill node-9":         "no node node-9",
 		"at 3 kill leader for=x":   "for=x: not a number",
-		"at 3 cancel req-000009":   "nobody submitted req-000009",
-		"at 3 resubmit req-000009": "nobody submitted req-000009",
-		"at 3 hang of=req-000009":  "no machine runs req-000009",
-		"at 3 mute of=req-000009":  "no machine runs req-000009",
+		"at 3 cancel req-000009":   "cancel: job req-000009 was never submitted",
+		"at 3 resubmit req-000009": "resubmit: job req-000009 was never submitted",
+		"at 3 hang of=req-000009":  "no machine runs job req-000009",
+		"at 3 mute of=req-000009":  "no machine runs job req-000009",
 		"at 3 zone-cut a node-9":   "no node node-9",
 		"late-writes share=most":   "share=most: not a number",
-		"submit req-000001 choir":  "kind or priority of req-000001",
-		"run long":                 "run: long",
+		"submit req-000001 choir":  "submit: unknown kind or priority of req-000001",
+		"run long":                 "run: long is not a time",
 	} {
-		err := Play("type t cpus=8 boot=10\n\n" + line + "\nrun 5\n")
+		err := RunScenario("type t cpus=8 boot=10\n\n" + line + "\nrun 5\n")
 		if err == nil || !strings.HasPrefix(err.Error(), "line 3: ") || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", line, err)
 		}
@@ -228,18 +228,18 @@
 		unhealthy     bool
 		wantViolation bool
 	}{
-		"array":                 {job: wire.Job{Kind: wire.KindArray, Tasks: 9, CPUs: 4}, wantViolation: true},
-		"gang":                  {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2}, wantViolation: true},
-		"gang of five":          {job: wire.Job{Kind: wire.KindGang, Tasks: 5, CPUs: 2}},
-		"gang in one zone":      {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2, OneZone: true}},
-		"gang spread":           {job: wire.Job{Kind: wire.KindGang, Tasks: 2, CPUs: 2, Spread: true}, wantViolation: true},
-		"too large":             {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 5}},
-		"zone":                  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Zone: "c"}},
-		"type":                  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Types: []string{"u"}}},
-		"limit":                 {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 2}, limit: 1},
-		"under the limit":       {job: wire.Job{Kind: wire.KindArray, Tasks: 8, CPUs: 1}, limit: 1, wantViolation: true},
-		"on unhealthy machines": {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1}, unhealthy: true},
-		"spread too widely":     {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 4, Spread: true}},
+		"array":                  {job: wire.Job{Kind: wire.KindArray, Tasks: 9, CPUs: 4}, wantViolation: true},
+		"gang":                   {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2}, wantViolation: true},
+		"gang of five":           {job: wire.Job{Kind: wire.KindGang, Tasks: 5, CPUs: 2}},
+		"gang in one zone":       {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 2, OneZone: true}},
+		"gang spread":            {job: wire.Job{Kind: wire.KindGang, Tasks: 2, CPUs: 2, Spread: true}, wantViolation: true},
+		"too large":              {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 5}},
+		"zone":                   {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Zone: "c"}},
+		"type":                   {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1, Types: []string{"u"}}},
+		"limit":                  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 2}, limit: 1},
+		"under the limit":        {job: wire.Job{Kind: wire.KindArray, Tasks: 8, CPUs: 1}, limit: 1, wantViolation: true},
+		"on unhealthy machines":  {job: wire.Job{Kind: wire.KindArray, Tasks: 1, CPUs: 1}, unhealthy: true},
+		"gang spread, too large": {job: wire.Job{Kind: wire.KindGang, Tasks: 4, CPUs: 4, Spread: true}},
 	} {
 		w := NewWorld(1, []string{"a", "b"}, 7)
 		for _, zone := range []string{"a", "b"} {
@@ -249,17 +249,17 @@
 		}
 		job := c.job
 		job.ID, job.Team = "req-000001", "core"
-		w.Rules.TeamLimits["core"] = c.limit
-		w.Rules.AddJob(&job)
-		w.Rules.jobs[job.ID].accepted = true
-		w.Rules.ExtendFaultWindow(50 * second)
+		w.Checker.TeamLimits["core"] = c.limit
+		w.Checker.AddJob(&job)
+		w.Checker.jobs[job.ID].accepted = true
+		w.Checker.ExtendFaultWindow(50 * second)
 		for w.now = 5 * second; w.now <= 145*second; w.now += 5 * second {
 			w.checkLeftWaiting()
-			if w.now == 140*second && len(w.Rules.Violations) > 0 {
-				t.Errorf("%s: reported too soon: %v", name, w.Rules.Violations)
+			if w.now == 140*second && len(w.Checker.Violations) > 0 {
+				t.Errorf("%s: reported too soon: %v", name, w.Checker.Violations)
 			}
 		}
-		if got := len(w.Rules.Violations) > 0; got != c.wantViolation {
+		if got := len(w.Checker.Violations) > 0; got != c.wantViolation {
 			t.Errorf("%s: reported as left waiting: %v, want %v", name, got, c.wantViolation)
 		}
 	}
@@ -273,7 +273,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Play(strings.Replace(string(text), "serve=0.4", "serve=0.4 begin_s=0", 1)); err == nil || !strings.Contains(err.Error(), "late: ") {
+	if err := RunScenario(strings.Replace(string(text), "serve=0.4", "serve=0.4 begin_s=0", 1)); err == nil || !strings.Contains(err.Error(), "late: ") {
 		t.Error(err)
 	}
 }
@@ -291,7 +291,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := Play(strings.Replace(string(text), "\nadmission ", "\n# admission ", 1)); err == nil || !strings.Contains(err.Error(), "starved") {
+		if err := RunScenario(strings.Replace(string(text), "\nadmission ", "\n# admission ", 1)); err == nil || !strings.Contains(err.Error(), "starved") {
 			t.Errorf("%s: expected a violation of starved, got %v", f, err)
 		}
 	}
