--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -53,6 +53,7 @@
 const maxUnansweredProbes = 2
 
 // reportOverdueAfter returns the time without a report after which a machine's report is overdue.
+// A worker that reaches its controller never takes that long between reports.
 func (c *Core) reportOverdueAfter() Micros { return 3 * c.cfg.ReportInterval() / 2 }
 
 // silent reports whether a machine has missed several reports. A machine is silent earlier if it
@@ -65,8 +66,8 @@
 // controllerSearchTime is about how long a worker takes to find another controller.
 const controllerSearchTime = 3 * responseTimeout / 2
 
-// silenceTimeout returns the time without a report after which a machine is silent, whether or
-// not it was probed.
+// silenceTimeout returns the time without a report after which a machine is silent and may be
+// released, whether or not it was probed.
 func (c *Core) silenceTimeout() Micros {
 	return Micros(c.policy.MaxMissedReports * float64(c.cfg.ReportInterval()))
 }
--- a/internal/controller/format_level.go
+++ b/internal/controller/format_level.go
@@ -218,8 +218,8 @@
 
 // raiseLevelOnSizeRefusal handles changes that the state service rejected as invalid, and
 // reports whether it raised the level. If the present limits allow the changes and the next
-// ones do not, the rejection shows that the next limits apply, so the level rises to
-// LevelTasks.
+// ones do not, the rejection shows that the next limits apply and thus that the upgrade of
+// the nodes is over, so the level rises to LevelTasks.
 func (c *Core) raiseLevelOnSizeRefusal(changes []wire.Change) bool {
 	lowestLimits := c.cfg.Params.State.Lowest()
 	exceedsLowest := len(changes) > lowestLimits.TxnOps
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -446,7 +446,7 @@
 			input.Service = arrivals.lastJob
 		}
 	}
-	if input.Service == nil { // no service has arrived since the takeover: take the one with the lowest id
+	if input.Service == nil { // no service has arrived since the takeover: any one represents its class, so take the lowest id
 		for _, j := range c.jobs {
 			if j.Service() && (input.Service == nil || j.ID < input.Service.ID) {
 				input.Service = j
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -35,8 +35,8 @@
 }
 
 // Leader returns the peer that claims to lead in the highest term, or, if there is none, the last
-// leader that the state service named. This way, a node that can't reach the state service keeps
-// relaying.
+// leader that the state service named. This way, a node whose requests the state service refuses
+// keeps relaying.
 func (h relayHost) Leader() string {
 	best, term := "", uint64(0)
 	for name, p := range h.c.peers {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -64,8 +64,9 @@
 }
 
 // rejectUnlessKnown gives a negative answer to a submission unless the job exists. An
-// accepted job stays accepted even if its submission would be rejected now because of changed
-// settings, dependencies or limits of the state service; the answer is then the job's status.
+// accepted job stays accepted even if this submission differs from the first one, or would be
+// rejected now because of changed settings, dependencies or limits of the state service; the
+// answer is then the job's status.
 func (c *Core) rejectUnlessKnown(id string, rejection Answer, reply func(Answer)) {
 	c.Status(id, func(a Answer) {
 		if a.Code == 404 {
