--- a/internal/quota/divide_test.go
+++ b/internal/quota/divide_test.go
@@ -36,7 +36,8 @@
 				t.Fatalf("%+v got %d, less than its minimum", request, shares[i])
 			}
 			for j, other := range requests {
-				// a demands more, and b has more than its minimum and, relative to its weight, more than a.
+				// request demands more, and other has more than its minimum and, relative to its
+				// weight, more than request.
 				otherMinimum := min(max(other.Minimum, 0), max(other.Demand, 0))
 				if minimums <= total && shares[i] < max(request.Demand, 0) && shares[j] > otherMinimum &&
 					float64(shares[j]-otherMinimum-2)/float64(effectiveWeight(other)) > float64(shares[i]-minimum+2)/float64(effectiveWeight(request)) {
--- a/internal/sched/model.go
+++ b/internal/sched/model.go
@@ -3,6 +3,9 @@
 // gives the same output. It does not rent or return machines, store records or talk to
 // workers: package controller does that with the decisions made here, and package fleet
 // decides which machines to rent and return.
+//
+// "The paper" in comments of this package is "A Two-Tier Approach to Grid Workflow
+// Scheduling" by Sommerfeld and Richter.
 package sched
 
 import (
@@ -38,10 +41,10 @@
 	FinishTargets      []Micros // finish times wanted by the objectives of its class, earliest first
 	StartTargets       []Micros // start times wanted by those objectives, earliest first
 	LastStartTarget    Micros   // the last of StartTargets; 0 if there is none
-	StarvationDeadline Micros   // when the job goes before others if it has not begun; 0 for never
+	StarvationDeadline Micros   // when the job goes before others if it has not begun, whatever its targets; 0 for never
 	Estimate           Micros   // expected run time of one task
 
-	Dependencies      []*Job // jobs that it depends on; emptied when it is ready or over
+	Dependencies      []*Job // jobs that it depends on, except archived and unknown ones; emptied when it is ready or over
 	DirectDependents  []*Job // jobs that depend on it directly
 	UnmetDependencies int    // dependencies not known to be done; 0 means ready
 	dependentsRank    Micros // the largest UpwardRank among DirectDependents
@@ -56,16 +59,16 @@
 	FinalPhaseSent bool   // the final phase was sent to the state service, which may have stored it
 	Ended          bool   // cancelled, or all tasks done
 
-	HoldUntil        Micros          // no task is placed before this time, set after certain failures
+	HoldUntil        Micros          // no task is placed before this time; set after failures on several machines, or if a worker found the job unknown
 	FailedOn         map[string]bool // machines on which its tasks failed
 	Backoff          Micros          // delay before the next attempt after repeated failures; 0 for none
 	AnyTaskSucceeded bool            // at least one task has completed
 
-	StartedAt       Micros      // when a task was first reported as running, or 0
-	EndedAt         Micros      // when the job ended, or 0
-	Requeues        int         // placements that ended before their task was done
-	ExtraAwaitsKeys int         // further state service keys that hold the rest of its dependency list
-	TaskRecords     map[int]int // parts of each task record that may exist, by the record's first task
+	StartedAt           Micros      // when a task was first reported as running, or 0
+	EndedAt             Micros      // when the job ended, or 0
+	Requeues            int         // placements that ended before their task was done
+	ExtraDependencyKeys int         // further state service keys that hold the rest of its dependency list
+	TaskRecords         map[int]int // parts of each task record that may exist, by the record's first task
 
 	GangAttempt uint64 // attempt number shared by all tasks of a gang
 
@@ -166,7 +169,7 @@
 
 	FetchDelay       float64 // expected time to fetch the image, in seconds
 	Committed        bool    // stored in the state service, so that a launch may be sent
-	InJobRecord      bool    // stored in the job's records, so that the machine's record need not hold it
+	InTaskRecord     bool    // stored in the job's task records, so that the machine's record need not hold it
 	Sent             bool    // a launch may have been sent
 	DirectUnanswered bool    // sent in a direct command batch that is not answered; only the end of the session proves absence
 	OutcomeUnknown   bool    // the direct command batch failed without an answer; whether it was executed is unknown
@@ -220,7 +223,7 @@
 	ImageSizes     map[string]float64    // size of each cached image, in GB
 
 	Downlink              oneway.Detector // detects a one-way partition towards the worker
-	LastRedirectAt        Micros          // when the worker was last redirected, to search for a new leader
+	LastRefusedAt         Micros          // when a report was last refused so that the worker searches for another leader
 	StaleTokenAnswered    bool            // a report under an older token was answered in this term
 	LastCommandUnanswered bool            // the latest direct command batch was not answered
 	UnansweredProbes      int             // probes without an answer since the last report
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -82,8 +82,8 @@
 
 // Feasibility levels order jobs under overload by whether they can still meet their
 // targets. Not all jobs can then be served in time, and serving those that are late
-// already makes the others late too. Outside overload nearly all jobs are in time, and
-// placement does not use the levels.
+// already makes the others late too. Outside overload nearly all jobs are in time, so the
+// levels would gain nothing and placement does not use them.
 const (
 	feasible  = iota // can start by its last start target, or has begun and can finish in time
 	lateStart        // starts too late, but can finish by its latest finish target
@@ -156,7 +156,7 @@
 // Urgency levels, the most urgent first.
 const (
 	production   = iota // production priority
-	startOverdue        // has not begun by its starvation deadline
+	startOverdue        // has not begun by its starvation deadline, so that its users believe it forgotten
 	highPriority        // high priority of its own, and not deferrable
 	mustStartNow        // must start now to meet its target
 	canWait
@@ -206,7 +206,7 @@
 }
 
 // minSlack is the slack below which a job counts as urgent. Booting a machine and
-// fetching an image take about this long.
+// fetching an image take times of the same order of magnitude, about 10 to 60 s.
 const minSlack = 15 * clock.Second
 
 // Slack returns how long the job's tasks can still wait without missing its target time.
@@ -419,7 +419,9 @@
 // placeLevel places jobs of one level. Below high priority it does so in two steps, to
 // reduce the time that machines spend fetching images. The first step places each job only
 // on machines that hold its image or are fetching it, even ahead of jobs that became ready
-// up to ImageLocalityWindow earlier. The second step uses all room that is left.
+// up to ImageLocalityWindow earlier but would have to fetch their own image there. Those get
+// the next room on a machine that holds their image. The second step uses all room that is
+// left.
 func (p *pass) placeLevel(jobs []*Job) {
 	p.findOpenMachines(jobs)
 	if jobs[0].Priority < wire.PriorityHigh {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -48,8 +48,9 @@
 }
 
 // TestPreemptionSparesUrgentWork guards against tasks that start and stop without end
-// (incident inc-bfbf): if a job preempts a task of a job that is as urgent or more so, the
-// freed room can go straight back to that job, because it is first in the queue. The task
+// (incident inc-bfbf): if a job of higher priority preempts a task of a job that is as urgent
+// or more so, the freed room can go straight back to that job, because it is first in the
+// queue. In the incident the preempting job could wait and the preempted one could not. The task
 // must be stopped only if its job is less urgent than the waiting one.
 func TestPreemptionSparesUrgentWork(t *testing.T) {
 	typ := &wire.MachineType{Name: "m", CPUs: 4, MemoryGB: 8}
--- a/internal/sched/size_test.go
+++ b/internal/sched/size_test.go
@@ -49,8 +49,9 @@
 }
 
 // TestPassCost bounds the cost of a pass at 500 machines by its number of evaluations: two
-// for each pair of a job and a machine, and a few more for each task placed. The number must
-// not grow with the tasks of each job.
+// for each pair of a job and a machine, and a few more for each task placed and for each
+// machine on which tasks would have to be stopped. The number must not grow with the tasks of
+// each job.
 func TestPassCost(t *testing.T) {
 	const machines, jobs, tasks = 500, 100, 50
 	in := largeInput(machines, jobs, tasks)
