--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -18,7 +18,7 @@
 	file = name + ".star"
 	text, err := files.ReadFile(file)
 	if err != nil {
-		return "", "", fmt.Errorf("--with %s: no such policy program; known: %s", name, strings.Join(Names(), ", "))
+		return "", "", fmt.Errorf("--with %s: no such policy program in deploy; known: %s", name, strings.Join(Names(), ", "))
 	}
 	return "deploy/" + file, string(text), nil
 }
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -97,7 +97,7 @@
 	Redirected    uint64 // redirects of a worker to the controller that should relay for it
 	Shed          uint64 // reports refused because too many were queued
 	Orders        uint64 // command batches sent to workers for the leader
-	RefusedOrders uint64 // command batches refused because too many were in flight
+	RefusedOrders uint64 // command batches refused because too many, each on its own connection, were in flight
 	Malformed     uint64 // items of a batch that could not be decoded
 	BatchLatency  Micros // time until the latest batch of reports was answered or timed out
 }
--- a/internal/carrier/router.go
+++ b/internal/carrier/router.go
@@ -175,7 +175,7 @@
 }
 
 // HandleResults processes the results of command batches. Results of another term, and those
-// that arrive after OrderTimeout, are ignored.
+// of command batches that were given up or already have an outcome, are ignored.
 func (r *Router) HandleResults(results []peer.OrderResult) {
 	for _, result := range results {
 		var report *wire.Report
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -42,8 +42,8 @@
 }
 
 // StateLimits are the limits of the state service: requests and writes per second, the size
-// of a value in KiB and the operations of a transaction. Next holds the limits after an
-// upgrade of the service, whose time is not known; a limit that is missing in Next does not
+// of a value in KiB and the operations of a transaction. Next, if given, holds the limits that
+// apply from some unknown time after an upgrade; a limit that is missing in Next does not
 // change.
 type StateLimits struct {
 	RPS      float64 `json:"rps"`
@@ -275,7 +275,7 @@
 // least 200.
 func (c *Config) MaxQueuedSubmissions() int { return max(int(4*c.Params.State.WriteRPS), 200) }
 
-// MaxFinalStates returns how many final job states a node caches; all of them are stored in
+// MaxFinalRecords returns how many final job records a node caches; all of them are stored in
 // the state service. The cache takes about a fiftieth of the node's memory; it holds at least
-// 1000 states.
-func (c *Config) MaxFinalStates() int { return max(int(64*c.Params.Resources.MemoryMB), 1000) }
+// 1000 records.
+func (c *Config) MaxFinalRecords() int { return max(int(64*c.Params.Resources.MemoryMB), 1000) }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -269,7 +269,7 @@
 		c.finalRecordOrder = append(c.finalRecordOrder, record.ID)
 	}
 	c.finalRecords[record.ID] = *record
-	if len(c.finalRecordOrder) > c.cfg.MaxFinalStates() {
+	if len(c.finalRecordOrder) > c.cfg.MaxFinalRecords() {
 		delete(c.finalRecords, c.finalRecordOrder[0])
 		c.finalRecordOrder = c.finalRecordOrder[1:]
 	}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -184,9 +184,9 @@
 
 // holderIsDead reports whether the process that holds the leader key cannot be alive while
 // this one runs: it has the same node name and the same address, and two live processes
-// cannot listen on one address. The name alone proves nothing: two machines may be given
-// the same name by mistake, and taking the key from a live leader would leave two leaders
-// that both answer users, each with a lease that it considers valid. Such a key must expire
+// cannot listen on one address. The name alone proves nothing: an operator may give two
+// machines the same name by mistake, and taking the key from a live leader would leave two
+// leaders that both answer users, each with a lease that it considers valid. Such a key must expire
 // like that of any other node. Versions before this one stored no address; an upgrade stops
 // their process before it starts the new one.
 func (e *Elector) holderIsDead(holder Record) bool {
--- a/internal/policy/default.star
+++ b/internal/policy/default.star
@@ -1,7 +1,7 @@
 # Default policy of lilacthread. A file given with --policy may override any of these
 # settings; values are checked at start. Durations are in seconds.
 
-# Scheduling.
+# Scheduling, after the design of the two-tier paper.
 cycle_s = 0.25            # maximum delay from an event to the next scheduling pass
 smoothing = 0.3           # weight of the latest run in the moving average of run times and fetch rates
 use_window_s = 600.0      # time constant with which a team's past usage decays
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -44,7 +44,8 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// ErrNotSent means that the request was not sent, so the server executed nothing.
+// ErrNotSent means that the request was not sent, usually because no connection could be made,
+// so the server executed nothing.
 var ErrNotSent = errors.New("not sent")
 
 // maxAnswerBytes bounds the size of an answer. The protocol sets no limit for answers to a watch.
--- a/wire/admission.go
+++ b/wire/admission.go
@@ -34,7 +34,7 @@
 	Queued     int    `msgpack:"queued" json:"queued"`   // writes that the submissions queued at this node need
 	Accepted   uint64 `msgpack:"taken" json:"taken"`     // submissions accepted by this node since it started
 	Refused    uint64 `msgpack:"refused" json:"refused"` // submissions refused by this node since it started
-	Duplicates uint64 `msgpack:"known" json:"known"`     // submissions of jobs that were accepted before
+	Duplicates uint64 `msgpack:"known" json:"known"`     // submissions, at this node since it started, of jobs that were accepted before
 
 	// Time from a submission to its answer.
 	AcceptP50Millis int64 `msgpack:"accept_p50_ms" json:"accept_p50_ms"`
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -35,7 +35,7 @@
 	Types              []string `msgpack:"looms"`            // allowed machine types; empty for all
 	Zone               string   `msgpack:"bolt,omitempty"`   // the only allowed zone; empty for all
 	OneZone            bool     `msgpack:"together"`         // all tasks run in the same zone
-	Spread             bool     `msgpack:"apart"`            // at most half of the tasks run in one zone
+	Spread             bool     `msgpack:"apart"`            // at most half of the tasks, rounded up, run in one zone
 	Spot               bool     `msgpack:"remnant"`          // spot machines are allowed
 	Estimate           float64  `msgpack:"expect_s"`         // estimated run time of a task
 	CheckpointInterval float64  `msgpack:"knot_s"`           // 0: the tasks write no checkpoints
