--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -10,7 +10,8 @@
 )
 
 // Checker records the jobs and tasks of a run and reports every violation of the
-// protocol's rules. Each violation begins with the name of the broken rule.
+// protocol's rules. Each violation begins with the name that the protocol gives to the broken
+// rule.
 type Checker struct {
 	Violations       []string
 	Now              func() Micros
