--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -278,4 +278,4 @@
 // MaxFinalStates returns how many final job states a node caches; all of them are stored in
 // the state service. The cache takes about a fiftieth of the node's memory; it holds at least
 // 1000 states.
-func (c *Config) MaxFinalStates() int { return max(int(64*c.Params.Resources.MemoryMB), 1000) }
+func (c *Config) MaxFinalRecords() int { return max(int(64*c.Params.Resources.MemoryMB), 1000) }
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -84,7 +84,7 @@
 	c.shares = admit.NewTeamShares(c.accountIndex, admitTeams(c.cfg), c.policy.Admission)
 	c.shares.Overloaded = c.allowance.WasOverloaded(now)
 	c.objectiveTracker = c.newObjectiveTracker()
-	c.accountDemands, c.fairShares = make([]admit.Demand, c.accountIndex.Len()), nil
+	c.accountDemands, c.entitlements = make([]admit.Demand, c.accountIndex.Len()), nil
 	c.waitStats.start, c.waitStats.finished = nil, make([]finishedCounts, c.accountIndex.Len())
 }
 
@@ -104,7 +104,7 @@
 	if c.Serving() && c.allocator != nil {
 		c.allocator.SetLimits(c.submitLimits())
 		c.allocator.RecordNotice(c.cfg.Name, notice, now)
-		c.allocator.BuildTable(now, c.shares.Overloaded, c.accountDemands, c.fairShares)
+		c.allocator.BuildTable(now, c.shares.Overloaded, c.accountDemands, c.entitlements)
 		c.allowance.ApplyTable(c.allocator.TableFor(c.cfg.Name, now), now)
 	}
 	c.updateWriteRate()
@@ -384,7 +384,7 @@
 		slog.Info("admission mode", "overload", c.shares.Overloaded, "term", c.term)
 	}
 	if shares == nil {
-		c.fairShares = nil
+		c.entitlements = nil
 		return nil
 	}
 	// The shares apply between teams. Within a team, jobs that its accounts need for their
@@ -400,15 +400,15 @@
 	for i, j := range jobs {
 		unfinished[i] = admit.UnfinishedJob{Account: c.accountNumber(j.Spec), Feasibility: j.Feasibility(now), RemainingWork: j.RemainingWork(), ReadyAt: j.ReadyAt, ID: j.ID}
 	}
-	c.fairShares = make([]admit.Entitlement, len(c.accountDemands))
-	for i := range c.fairShares {
-		c.fairShares[i].Share = teamShares[c.accountIndex.Accounts[i].Team].Share
+	c.entitlements = make([]admit.Entitlement, len(c.accountDemands))
+	for i := range c.entitlements {
+		c.entitlements[i].Share = teamShares[c.accountIndex.Accounts[i].Team].Share
 	}
 	for i, status := range c.objectiveTracker.Evaluate(now, unfinished) {
 		j := jobs[i]
 		j.MinShareStatus = status
 		if status.Needed {
-			c.fairShares[unfinished[i].Account].MinShare += float64(j.PlacedCount+len(j.Queue)) * j.TaskCPUs()
+			c.entitlements[unfinished[i].Account].MinShare += float64(j.PlacedCount+len(j.Queue)) * j.TaskCPUs()
 		}
 	}
 	noShare := &sched.FairShare{} // for jobs without an account
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -160,7 +160,7 @@
 	}
 	for _, m := range c.machines {
 		for _, p := range m.Placements {
-			p.InJobRecord = true
+			p.InTaskRecord = true
 		}
 	}
 	for key, value := range renderPending(c, t) {
@@ -173,7 +173,7 @@
 	migrated := newLoadingCore(LevelTasks, c.cfg.Params.State)
 	loadRecords(t, migrated, records)
 	checkRestored(t, migrated)
-	if m := migrated.machines["m-000002"]; len(m.Placements) != 1 || !m.Placements["req-000001/4"].InJobRecord {
+	if m := migrated.machines["m-000002"]; len(m.Placements) != 1 || !m.Placements["req-000001/4"].InTaskRecord {
 		t.Errorf("placements of m-000002: %v", m.Placements)
 	}
 	var f finalRecord
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -145,7 +145,7 @@
 	shares                 *admit.TeamShares
 	accountDemands         []admit.Demand // of the latest scheduling pass, by account
 	objectiveTracker       *admit.ObjectiveTracker
-	fairShares             []admit.Entitlement // nil unless the cluster is overloaded
+	entitlements           []admit.Entitlement // nil unless the cluster is overloaded
 	router                 *carrier.Router
 }
 
@@ -464,7 +464,7 @@
 	c.handleDeferredReports()
 	c.committer.reset()
 	c.jobs, c.machines, c.sortedMachines, c.finalRecords = nil, nil, nil, nil
-	c.allocator, c.fairShares, c.router = nil, nil, nil
+	c.allocator, c.entitlements, c.router = nil, nil, nil
 	c.updateWriteRate()
 }
 
--- a/internal/controller/format_level.go
+++ b/internal/controller/format_level.go
@@ -195,9 +195,9 @@
 	for _, m := range c.sortedMachines {
 		for _, p := range sortedPlacements(m) {
 			switch {
-			case p.InJobRecord:
+			case p.InTaskRecord:
 			case p.Job == nil: // the task is over, or was placed again after proof that it does not run here
-				p.InJobRecord = true
+				p.InTaskRecord = true
 			default:
 				c.savePlacement(p)
 			}
@@ -244,7 +244,7 @@
 		c.saveMachine(p.Machine, func() {})
 	}
 	c.saveTasks(p.Job, p.Index, classUrgent, c.whileInTerm(func() {
-		p.InJobRecord, p.Committed = true, true
+		p.InTaskRecord, p.Committed = true, true
 		c.queueCommandBatch(p.Machine)
 	}))
 }
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -92,7 +92,7 @@
 	key := machinePrefix + m.ID
 	c.committer.add(key, classBackground, func() ([]wire.Change, bool) {
 		present := c.machines[m.ID] == m
-		if present && (!m.InGroupRecord || slices.ContainsFunc(sortedPlacements(m), func(p *sched.Placement) bool { return !p.InJobRecord })) {
+		if present && (!m.InGroupRecord || slices.ContainsFunc(sortedPlacements(m), func(p *sched.Placement) bool { return !p.InTaskRecord })) {
 			return nil, false
 		}
 		return []wire.Change{{DeleteKey: key}}, true
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -44,7 +44,7 @@
 	}
 	for _, m := range c.machines {
 		for _, p := range m.Placements {
-			p.InJobRecord = true
+			p.InTaskRecord = true
 		}
 	}
 	if n := deletions(); n != 2 {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -153,7 +153,7 @@
 	}
 	m := &sched.Machine{ID: id, Addr: addr, Type: t, Zone: zone, Spot: spot, RequestedAt: requestedAt, KnownSince: c.env.Now(),
 		Placements: map[string]*sched.Placement{}, Images: map[string]Micros{}, ImageSizes: map[string]float64{},
-		IdleSince: c.env.Now(), LastReportAt: -clock.Forever, LastRedirectAt: -clock.Forever}
+		IdleSince: c.env.Now(), LastReportAt: -clock.Forever, LastRefusedAt: -clock.Forever}
 	c.machines[id] = m
 	return m
 }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -132,7 +132,7 @@
 			rec.ImageSizes = append(rec.ImageSizes, m.ImageSizes[image])
 		}
 		for _, p := range m.Placements {
-			if !p.InJobRecord {
+			if !p.InTaskRecord {
 				rec.Placements = append(rec.Placements, placementRecord{p.Task, p.Attempt, p.Session,
 					p.Need.CPUs, p.Need.GPUs, p.Need.Memory, p.Team, p.Priority, p.Image})
 			}
@@ -258,7 +258,7 @@
 	for first, parts := range j.TaskRecords {
 		c.deleteTasks(j.ID, first, parts)
 	}
-	for i := range j.ExtraAwaitsKeys {
+	for i := range j.ExtraDependencyKeys {
 		c.committer.put(dependenciesKey(j.ID, i), func() []byte { return nil }, nil)
 	}
 }
@@ -269,7 +269,7 @@
 		c.finalRecordOrder = append(c.finalRecordOrder, record.ID)
 	}
 	c.finalRecords[record.ID] = *record
-	if len(c.finalRecordOrder) > c.cfg.MaxFinalStates() {
+	if len(c.finalRecordOrder) > c.cfg.MaxFinalRecords() {
 		delete(c.finalRecords, c.finalRecordOrder[0])
 		c.finalRecordOrder = c.finalRecordOrder[1:]
 	}
@@ -477,12 +477,12 @@
 	}
 	j := &sched.Job{
 		Spec: spec, ID: spec.ID,
-		Submitted:       c.toSteadyTime(rec.AcceptedAt),
-		Estimate:        clock.FromSeconds(spec.Estimate),
-		Tasks:           make([]sched.Task, spec.Tasks),
-		FailedOn:        map[string]bool{},
-		TaskRecords:     map[int]int{},
-		ExtraAwaitsKeys: rec.ExtraDependencyKeys,
+		Submitted:           c.toSteadyTime(rec.AcceptedAt),
+		Estimate:            clock.FromSeconds(spec.Estimate),
+		Tasks:               make([]sched.Task, spec.Tasks),
+		FailedOn:            map[string]bool{},
+		TaskRecords:         map[int]int{},
+		ExtraDependencyKeys: rec.ExtraDependencyKeys,
 	}
 	j.Init()
 	j.ComputeSize(c.catalog)
@@ -593,7 +593,7 @@
 // placement with the highest attempt is the current one.
 func (c *Core) restorePlacement(j *sched.Job, placement *sched.Placement) {
 	if old := placement.Machine.Placements[placement.Task]; old != nil && old.Attempt >= placement.Attempt {
-		old.InJobRecord = old.InJobRecord || placement.InJobRecord && old.Attempt == placement.Attempt
+		old.InTaskRecord = old.InTaskRecord || placement.InTaskRecord && old.Attempt == placement.Attempt
 		return
 	}
 	placement.Committed, placement.Sent, placement.Inherited = true, true, true
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -138,10 +138,10 @@
 // other controllers either, the search takes seconds for each of them, and its lease would expire
 // in the meantime.
 func (c *Core) redirectIfIsolated(m *sched.Machine, now Micros) bool {
-	if !c.lostStateAndPeers(now) || now-m.LastRedirectAt <= c.cfg.WorkerLease()/2 || m.LastAnsweredReportAt <= m.LastRedirectAt {
+	if !c.lostStateAndPeers(now) || now-m.LastRefusedAt <= c.cfg.WorkerLease()/2 || m.LastAnsweredReportAt <= m.LastRefusedAt {
 		return false
 	}
-	m.LastRedirectAt = now
+	m.LastRefusedAt = now
 	return true
 }
 
@@ -553,7 +553,7 @@
 	if !p.Machine.Busy() {
 		p.Machine.IdleSince = now
 	}
-	if c.format.level < LevelTasks || p.Committed && !p.InJobRecord {
+	if c.format.level < LevelTasks || p.Committed && !p.InTaskRecord {
 		c.saveMachine(p.Machine, nil)
 	}
 	c.requestSchedulingPass()
--- a/internal/controller/task_records.go
+++ b/internal/controller/task_records.go
@@ -223,6 +223,6 @@
 		}
 		c.restorePlacement(j, &sched.Placement{Index: index, Task: wire.TaskID(j.ID, index), Attempt: stored.BaseAttempt + fields[2],
 			Machine: m, Session: fields[3], Need: j.Need(), Team: j.Spec.Team, Priority: j.Priority,
-			Image: j.Spec.Image, InJobRecord: true})
+			Image: j.Spec.Image, InTaskRecord: true})
 	}
 }
--- a/internal/sched/model.go
+++ b/internal/sched/model.go
@@ -61,11 +61,11 @@
 	Backoff          Micros          // delay before the next attempt after repeated failures; 0 for none
 	AnyTaskSucceeded bool            // at least one task has completed
 
-	StartedAt       Micros      // when a task was first reported as running, or 0
-	EndedAt         Micros      // when the job ended, or 0
-	Requeues        int         // placements that ended before their task was done
-	ExtraAwaitsKeys int         // further state service keys that hold the rest of its dependency list
-	TaskRecords     map[int]int // parts of each task record that may exist, by the record's first task
+	StartedAt           Micros      // when a task was first reported as running, or 0
+	EndedAt             Micros      // when the job ended, or 0
+	Requeues            int         // placements that ended before their task was done
+	ExtraDependencyKeys int         // further state service keys that hold the rest of its dependency list
+	TaskRecords         map[int]int // parts of each task record that may exist, by the record's first task
 
 	GangAttempt uint64 // attempt number shared by all tasks of a gang
 
@@ -166,7 +166,7 @@
 
 	FetchDelay       float64 // expected time to fetch the image, in seconds
 	Committed        bool    // stored in the state service, so that a launch may be sent
-	InJobRecord      bool    // stored in the job's records, so that the machine's record need not hold it
+	InTaskRecord     bool    // stored in the job's records, so that the machine's record need not hold it
 	Sent             bool    // a launch may have been sent
 	DirectUnanswered bool    // sent in a direct command batch that is not answered; only the end of the session proves absence
 	OutcomeUnknown   bool    // the direct command batch failed without an answer; whether it was executed is unknown
@@ -220,7 +220,7 @@
 	ImageSizes     map[string]float64    // size of each cached image, in GB
 
 	Downlink              oneway.Detector // detects a one-way partition towards the worker
-	LastRedirectAt        Micros          // when the worker was last redirected, to search for a new leader
+	LastRefusedAt         Micros          // when the worker was last redirected, to search for a new leader
 	StaleTokenAnswered    bool            // a report under an older token was answered in this term
 	LastCommandUnanswered bool            // the latest direct command batch was not answered
 	UnansweredProbes      int             // probes without an answer since the last report
