--- a/internal/sim/script_setup.go
+++ b/internal/sim/script_setup.go
@@ -18,7 +18,7 @@
 func (s *script) doRun(a args) func() {
 	seconds, err := strconv.ParseFloat(a.word(0), 64)
 	if err != nil {
-		panic("run: " + a.word(0) + " is not a time")
+		panic("run: not a time: " + a.word(0))
 	}
 	return func() { s.endTime = Micros(seconds * 1e6) }
 }
--- a/internal/sim/script_users.go
+++ b/internal/sim/script_users.go
@@ -70,7 +70,7 @@
 		for i := range int(a.number("count", 1)) {
 			user := w.Users[fmt.Sprintf("req-%06d", first+i)]
 			if user == nil {
-				panic("resubmit: job " + a.word(0) + " was never submitted")
+				panic("resubmit: job was never submitted: " + a.word(0))
 			}
 			changed := *user.job
 			switch {
@@ -107,7 +107,7 @@
 	w := s.world
 	return func() {
 		if w.Users[a.word(0)] == nil {
-			panic("cancel: job " + a.word(0) + " was never submitted")
+			panic("cancel: job was never submitted: " + a.word(0))
 		}
 		w.Users[a.word(0)].Cancel()
 	}
